--- /dev/null
+++ b/store/golden_test.go
@@ -0,0 +1,122 @@
+package store
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"cedardoor/wire"
+)
+
+// goldenRecords are stored records of every kind, with all fields set and in their shorter forms.
+// The files under testdata/golden hold the bytes that release f8c9f67 made of them.
+func goldenRecords() map[string]any {
+	due := 120.0
+	spec := wire.Spec{UID: "j-17", Lane: "nightly", Owner: "orders", Shape: wire.ShapeBatch, Rank: "high", Pieces: 3, Cores: 1.5, Accel: 1, RAM: 2.25,
+		Bundle: "b-1", ImageGB: 0.5, Builds: []string{"m1"}, Yard: "north", SamePlace: true, Apart: true, Loaned: true, ExpectS: 30,
+		BookmarkS: 10, StowS: 2, DueS: &due}
+	over := OverRecord{Status: wire.JobDone, Tasks: 3, Nonce: "9.4", Owner: "orders", Cores: 1.5, Accel: 1, RAM: 2.25}
+	done := make([]bool, ChunkTasks)
+	done[0], done[5], done[119] = true, true, true
+	return map[string]any{
+		"lead":          LeadRecord{Node: "node-a", Nonce: "node-a.1.2"},
+		"token":         TokenRecord{Token: 41, Nonce: "node-a.1.2"},
+		"job":           JobRecord{Spec: spec, AtUS: 1_700_000_000_000_001, Node: "node-b"},
+		"job_least":     JobRecord{Spec: wire.Spec{UID: "j-1", Pieces: 1}},
+		"job_over":      JobRecord{Spec: wire.Spec{UID: "j-17"}, AtUS: 1_700_000_000_000_001, Over: &over},
+		"over":          over,
+		"over_of_spec":  Over(&spec, wire.JobCancelled, "9.5"),
+		"chunk":         Pack("9.4", done, []Placed{{Index: 1, Attempt: 2, Host: "h-1", Session: 7}, {Index: 2, Attempt: 1}, {Index: 118, Attempt: 3, Host: "h-2", Session: 1}}),
+		"chunk_empty":   Pack("9.4", make([]bool, 3), nil),
+		"shared":        SharedRecord{Nonce: "9.4", Rows: []SharedRow{{UID: "j-3", Attempt: 2, Host: "h-1", Session: 7}, {UID: "j-4", Attempt: 1}}},
+		"shared_empty":  SharedRecord{Nonce: "9.4", Rows: []SharedRow{}},
+		"demand":        DemandRecord{Cores: 12.5, RAM: 30, Accel: 1, Classes: map[string][2]int64{"nightly": {8, 24_000_000}}},
+		"demand_recent": DemandRecord{Cores: 12.5, RAM: 30, Accel: 1},
+	}
+}
+
+// TestGoldenRecords holds the form of every record against the bytes of release f8c9f67, both ways.
+func TestGoldenRecords(t *testing.T) {
+	for name, record := range goldenRecords() {
+		t.Run(name, func(t *testing.T) {
+			want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".msgpack"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			got, err := wire.Marshal(record)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !bytes.Equal(got, want) {
+				t.Errorf("encoded as\n%q, want\n%q", got, want)
+			}
+			decoded := reflect.New(reflect.TypeOf(record))
+			if err := wire.Unmarshal(want, decoded.Interface()); err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(decoded.Elem().Interface(), record) {
+				t.Errorf("decoded as\n%+v, want\n%+v", decoded.Elem().Interface(), record)
+			}
+		})
+	}
+}
+
+// TestGoldenFinalState reads the final state out of recorded jobs as a poll does.
+func TestGoldenFinalState(t *testing.T) {
+	for name, want := range map[string]string{"job": "", "job_over": wire.JobDone} {
+		raw, err := os.ReadFile(filepath.Join("testdata", "golden", name+".msgpack"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		over, err := OverIn(raw)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got := ""
+		if over != nil {
+			got = over.Status
+		}
+		if got != want {
+			t.Errorf("%s: final state %q, want %q", name, got, want)
+		}
+	}
+}
+
+// TestKeys holds the keys under which records are stored.
+func TestKeys(t *testing.T) {
+	got := []string{KeyLead, KeyToken, KeyCatalog, KeyDemand, JobKey("j-17"), OverKey("j-17"), ChunkKey("j-17", 3), SharedKey(9, 4)}
+	want := []string{"lead", "warrant", "catalog", "demand", "j/j-17", "f/j-17", "p/j-17/00003", "s/9.4"}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("keys %q, want %q", got, want)
+	}
+}
+
+// TestRecordTags lists the names of all fields in stored records, in their order.
+func TestRecordTags(t *testing.T) {
+	tests := []struct {
+		record any
+		want   string
+	}{
+		{LeadRecord{}, "n w"},
+		{TokenRecord{}, "t w"},
+		{JobRecord{}, "s a n o,omitempty"},
+		{SharedRecord{}, "w r"},
+		{SharedRow{}, "u t h,omitempty s"},
+		{DemandRecord{}, "c r a l"},
+		{OverRecord{}, "s p w o c a r"},
+		{ChunkRecord{}, "w d h r"},
+	}
+	for _, tt := range tests {
+		kind := reflect.TypeOf(tt.record)
+		var tags []string
+		for i := range kind.NumField() {
+			tags = append(tags, kind.Field(i).Tag.Get("msgpack"))
+		}
+		if got := strings.Join(tags, " "); got != tt.want {
+			t.Errorf("%s: %q, want %q", kind, got, tt.want)
+		}
+	}
+}
