--- a/agent/agent.go
+++ b/agent/agent.go
@@ -51,8 +51,8 @@
 
 // Do sends commands and tells what has become of them; rep is the worker's
 // report, if it gave one.
-func (c *Client) Do(ctx context.Context, endpoint string, do wire.Do) (rep *wire.Beat, out fleet.Outcome, err error) {
-	status, body, err := c.call(ctx, http.MethodPost, "http://"+endpoint+wire.PathDo, do)
+func (c *Client) Do(ctx context.Context, endpoint string, do wire.CommandRequest) (rep *wire.Heartbeat, out fleet.Outcome, err error) {
+	status, body, err := c.call(ctx, http.MethodPost, "http://"+endpoint+wire.PathCommand, do)
 	if err != nil {
 		if link.NotSent(err) {
 			out = fleet.Void
@@ -61,14 +61,14 @@
 	}
 	switch status {
 	case http.StatusOK, http.StatusConflict:
-		b, err := wire.DecodeBeat(body)
+		b, err := wire.DecodeHeartbeat(body)
 		if err != nil {
 			return nil, fleet.Open, fmt.Errorf("report of %s: %w", endpoint, err)
 		}
 		switch {
 		case status == http.StatusOK:
 			out = fleet.Executed
-		case b.Warrant > do.Warrant || b.Tenure > do.Tenure:
+		case b.Token > do.Token || b.Incarnation > do.Incarnation:
 			out = fleet.Void // for ever: neither goes back
 		}
 		return &b, out, nil
@@ -79,15 +79,15 @@
 }
 
 // Show asks a worker for its report.
-func (c *Client) Show(ctx context.Context, endpoint string) (*wire.Beat, error) {
-	status, body, err := c.call(ctx, http.MethodGet, "http://"+endpoint+wire.PathShow, nil)
+func (c *Client) Show(ctx context.Context, endpoint string) (*wire.Heartbeat, error) {
+	status, body, err := c.call(ctx, http.MethodGet, "http://"+endpoint+wire.PathReport, nil)
 	if err != nil {
 		return nil, fmt.Errorf("ask %s: %w", endpoint, err)
 	}
 	if status != http.StatusOK {
 		return nil, fmt.Errorf("ask %s: status %d", endpoint, status)
 	}
-	b, err := wire.DecodeBeat(body)
+	b, err := wire.DecodeHeartbeat(body)
 	if err != nil {
 		return nil, fmt.Errorf("report of %s: %w", endpoint, err)
 	}
@@ -97,7 +97,7 @@
 // Steward is the leader's side of the heartbeats.
 type Steward interface {
 	// Heartbeat takes a report in; ok is false when this node may not answer it.
-	Heartbeat(rep *wire.Beat) (ans wire.BeatAnswer, ok bool)
+	Heartbeat(rep *wire.Heartbeat) (ans wire.HeartbeatResponse, ok bool)
 	// Leader names who may, empty when unknown or this node.
 	Leader() string
 }
@@ -122,7 +122,7 @@
 			Write(w, http.StatusBadRequest, wire.Error{Error: "body too large or cut short"})
 			return
 		}
-		rep, err := wire.DecodeBeat(body.Bytes())
+		rep, err := wire.DecodeHeartbeat(body.Bytes())
 		if err != nil {
 			Write(w, http.StatusBadRequest, wire.Error{Error: err.Error()})
 			return
@@ -132,7 +132,7 @@
 			return
 		}
 		if leader := s.Leader(); leader != "" {
-			Write(w, http.StatusMisdirectedRequest, wire.Redirect{Steward: leader})
+			Write(w, http.StatusMisdirectedRequest, wire.Redirect{Leader: leader})
 			return
 		}
 		Write(w, http.StatusServiceUnavailable, wire.Error{Error: "no leader"})
--- a/api/api.go
+++ b/api/api.go
@@ -69,9 +69,9 @@
 
 // Routes adds the users' paths to a router.
 func (u *Users) Routes(r chi.Router) {
-	r.Post(wire.PathRuns, u.relayed(u.submit))
-	r.Get(wire.PathRuns+"/{uid}", u.relayed(u.query))
-	r.Post(wire.PathRuns+"/{uid}/"+wire.SuffixAbort, u.relayed(u.abort))
+	r.Post(wire.PathJobs, u.relayed(u.submit))
+	r.Get(wire.PathJobs+"/{uid}", u.relayed(u.query))
+	r.Post(wire.PathJobs+"/{uid}/"+wire.SuffixCancel, u.relayed(u.abort))
 	r.Get(wire.PathHealth, u.health)
 }
 
@@ -176,7 +176,7 @@
 // so that they are not all back together.
 func (u *Users) crowded(w http.ResponseWriter, priority string) {
 	after := 1 + rand.IntN(2)
-	if r, _ := wire.RankOf(priority); r == wire.RankLow {
+	if r, _ := wire.ParsePriority(priority); r == wire.PriorityLow {
 		after = 2 + rand.IntN(8)
 	}
 	refuse(w, http.StatusTooManyRequests, after, "too many submissions: try again")
@@ -204,7 +204,7 @@
 		return nil, nil, fmt.Errorf("record of %s: %w", uid, err)
 	}
 	if kept.Over != nil {
-		u.remember(uid, *kept.Over, row.Stamp)
+		u.remember(uid, *kept.Over, row.ModRevision)
 		return nil, kept.Over, nil
 	}
 	return &row, nil, nil
@@ -224,7 +224,7 @@
 	u.over[uid] = rec
 }
 
-func (u *Users) view(ctx context.Context, uid string) (wire.View, error) {
+func (u *Users) view(ctx context.Context, uid string) (wire.JobStatus, error) {
 	u.mu.Lock()
 	rec, cached := u.over[uid]
 	if u.jobs == nil {
@@ -237,17 +237,17 @@
 	}
 	at, n, err := jobs.ask(ctx, uid)
 	if err != nil {
-		return wire.View{}, err
+		return wire.JobStatus{}, err
 	}
 	if at == unfinished {
-		v := wire.View{UID: uid, Status: wire.JobQueued, Done: n[0], Running: n[1]}
+		v := wire.JobStatus{UID: uid, Status: wire.JobQueued, Done: n[0], Running: n[1]}
 		if n[1] > 0 {
 			v.Status = wire.JobRunning
 		}
 		return v, nil
 	}
 	if at == unreadable {
-		return wire.View{}, fmt.Errorf("record of %s: %w", uid, store.ErrBadAnswer)
+		return wire.JobStatus{}, fmt.Errorf("record of %s: %w", uid, store.ErrBadAnswer)
 	}
 	u.mu.Lock()
 	rec, cached = u.over[uid]
@@ -259,23 +259,23 @@
 		// Over, in its record still or in its final place by now.
 		_, over, err := u.lookup(ctx, uid)
 		if err != nil {
-			return wire.View{}, err
+			return wire.JobStatus{}, err
 		}
 		if over == nil {
-			return wire.View{}, fmt.Errorf("record of %s: %w", uid, store.ErrBadAnswer)
+			return wire.JobStatus{}, fmt.Errorf("record of %s: %w", uid, store.ErrBadAnswer)
 		}
 		return final(uid, over), nil
 	}
 	// Over, since a job leaves the unfinished ones only that way; or never accepted.
 	over, err := u.finished(ctx, uid)
 	if err != nil {
-		return wire.View{}, err
+		return wire.JobStatus{}, err
 	}
 	return final(uid, over), nil
 }
 
-func final(uid string, over *store.OverRecord) wire.View {
-	v := wire.View{UID: uid, Status: over.Status}
+func final(uid string, over *store.OverRecord) wire.JobStatus {
+	v := wire.JobStatus{UID: uid, Status: over.Status}
 	if over.Status == wire.JobDone {
 		v.Done = over.Tasks
 	}
@@ -289,7 +289,7 @@
 
 // JobOf names the job that a request is about; empty when it names none.
 func JobOf(path string, body []byte) string {
-	rest, found := strings.CutPrefix(path, wire.PathRuns)
+	rest, found := strings.CutPrefix(path, wire.PathJobs)
 	if !found {
 		return ""
 	}
@@ -301,7 +301,7 @@
 }
 
 // IsAbort tells whether a path is that of an abort.
-func IsAbort(path string) bool { return strings.HasSuffix(path, "/"+wire.SuffixAbort) }
+func IsAbort(path string) bool { return strings.HasSuffix(path, "/"+wire.SuffixCancel) }
 
 // finished reads a job's final state.
 func (u *Users) finished(ctx context.Context, uid string) (*store.OverRecord, error) {
@@ -319,7 +319,7 @@
 	if err := wire.Unmarshal(row.Value, &rec); err != nil {
 		return nil, fmt.Errorf("final state of %s: %w", uid, err)
 	}
-	u.remember(uid, rec, row.Stamp)
+	u.remember(uid, rec, row.ModRevision)
 	return &rec, nil
 }
 
@@ -353,14 +353,14 @@
 	if verdict == http.StatusCreated {
 		err := u.taking().accept(ctx, store.JobRecord{Spec: spec, AtUS: int64(u.Clock.Wall()), Node: u.Node})
 		if err == nil {
-			agent.Write(w, http.StatusCreated, wire.View{UID: uid, Status: wire.JobQueued})
+			agent.Write(w, http.StatusCreated, wire.JobStatus{UID: uid, Status: wire.JobQueued})
 			return http.StatusCreated
 		}
 		var conflict *store.Conflict
 		switch {
 		case errors.As(err, &conflict):
 		case errors.Is(err, store.ErrBusy):
-			u.crowded(w, spec.Rank)
+			u.crowded(w, spec.Priority)
 			return http.StatusTooManyRequests
 		default:
 			u.unavailable(w, err)
@@ -403,7 +403,7 @@
 func (u *Users) judge(ctx context.Context, s *wire.Spec) (status int, why string) {
 	var team *config.Team
 	for i := range u.Teams {
-		if u.Teams[i].Name == s.Owner {
+		if u.Teams[i].Name == s.Team {
 			team = &u.Teams[i]
 		}
 	}
@@ -411,17 +411,17 @@
 		return http.StatusUnprocessableEntity, "unknown team"
 	}
 	atOnce := 1
-	if s.Shape == wire.ShapeStanding || s.Shape == wire.ShapeGroup {
-		atOnce = s.Pieces
+	if s.Kind == wire.KindService || s.Kind == wire.KindGang {
+		atOnce = s.Tasks
 	}
-	if !team.Limits().Admit(quota.NewAmount(s.Cores, s.Accel).Times(atOnce)) {
+	if !team.Limits().Admit(quota.NewAmount(s.Cores, s.Accelerators).Times(atOnce)) {
 		return http.StatusUnprocessableEntity, "more than the team's limit"
 	}
 	cat, ok := u.Catalog(ctx)
 	if !ok {
 		return http.StatusServiceUnavailable, "machine types unknown"
 	}
-	for _, b := range cat.Builds {
+	for _, b := range cat.MachineTypes {
 		if Fits(s, b) {
 			return http.StatusCreated, ""
 		}
@@ -430,27 +430,27 @@
 }
 
 // Fits tells whether a task of the job fits an empty machine of a type that the job allows.
-func Fits(s *wire.Spec, b wire.Build) bool {
-	if s.Builds != nil {
+func Fits(s *wire.Spec, b wire.MachineType) bool {
+	if s.MachineTypes != nil {
 		found := false
-		for _, sku := range s.Builds {
+		for _, sku := range s.MachineTypes {
 			found = found || sku == b.SKU
 		}
 		if !found {
 			return false
 		}
 	}
-	if s.Yard != "" {
+	if s.Zone != "" {
 		found := false
-		for _, y := range b.Yards {
-			found = found || y == s.Yard
+		for _, y := range b.Zones {
+			found = found || y == s.Zone
 		}
 		if !found {
 			return false
 		}
 	}
 	const slop = 1e-9
-	return s.Cores <= b.Cores+slop && s.Accel <= b.Accel+slop && s.RAM <= b.RAM+slop
+	return s.Cores <= b.Cores+slop && s.Accelerators <= b.Accelerators+slop && s.RAM <= b.RAM+slop
 }
 
 func (u *Users) query(w http.ResponseWriter, r *http.Request) {
@@ -491,7 +491,7 @@
 			return
 		}
 		if over != nil {
-			agent.Write(w, http.StatusOK, wire.View{UID: uid, Status: over.Status})
+			agent.Write(w, http.StatusOK, wire.JobStatus{UID: uid, Status: over.Status})
 			return
 		}
 		var job store.JobRecord
@@ -502,8 +502,8 @@
 		rec := store.Over(&job.Spec, wire.JobCancelled, u.Node)
 		u.Cancels.Expect(uid)
 		epoch, err := tryBusy(ctx, u.Store, u.Clock, u.taking().admission, wire.Txn{
-			When:  []wire.When{{Path: store.JobKey(uid), Stamp: row.Stamp}},
-			Apply: []wire.Apply{{Delete: store.JobKey(uid)}, {Set: store.OverKey(uid), Value: rec}},
+			Conditions: []wire.Condition{{Key: store.JobKey(uid), ModRevision: row.ModRevision}},
+			Operations: []wire.Operation{{Delete: store.JobKey(uid)}, {Set: store.OverKey(uid), Value: rec}},
 		})
 		var conflict *store.Conflict
 		switch {
@@ -512,7 +512,7 @@
 			if u.Cancelled != nil {
 				u.Cancelled(uid)
 			}
-			agent.Write(w, http.StatusOK, wire.View{UID: uid, Status: wire.JobCancelled})
+			agent.Write(w, http.StatusOK, wire.JobStatus{UID: uid, Status: wire.JobCancelled})
 			return
 		case !errors.As(err, &conflict):
 			if errors.Is(err, store.ErrRefused) {
--- a/api/intake.go
+++ b/api/intake.go
@@ -33,7 +33,7 @@
 // entry is a submission that waits for its transaction.
 type entry struct {
 	rec      store.JobRecord
-	priority wire.Rank
+	priority wire.Priority
 	turn     int // among those of its team and priority
 	size     int
 	done     chan error
@@ -55,12 +55,12 @@
 // accept makes a job durable. Its error is a *store.Conflict when the job is
 // known already, and store.ErrBusy when too many come.
 func (in *intake) accept(ctx context.Context, rec store.JobRecord) error {
-	priority, _ := wire.RankOf(rec.Spec.Rank)
+	priority, _ := wire.ParsePriority(rec.Spec.Priority)
 	wait := patience
-	if priority == wire.RankLow {
+	if priority == wire.PriorityLow {
 		wait = lowPatience
 	}
-	if err := in.admission.Admit(ctx, rec.Spec.Owner, wait); errors.Is(err, quota.ErrCrowded) {
+	if err := in.admission.Admit(ctx, rec.Spec.Team, wait); errors.Is(err, quota.ErrCrowded) {
 		return fmt.Errorf("%w: %w", store.ErrBusy, err)
 	} else if err != nil {
 		return fmt.Errorf("%w: %w", store.ErrRefused, err)
@@ -127,11 +127,11 @@
 func (in *intake) takeTurns() {
 	type line struct {
 		team     string
-		priority wire.Rank
+		priority wire.Priority
 	}
 	turns := map[line]int{}
 	for _, e := range in.queue {
-		l := line{e.rec.Spec.Owner, e.priority}
+		l := line{e.rec.Spec.Team, e.priority}
 		e.turn = turns[l]
 		turns[l]++
 	}
@@ -144,8 +144,8 @@
 		var txn wire.Txn
 		for _, e := range batch {
 			uid := e.rec.Spec.UID
-			txn.When = append(txn.When, wire.When{Path: store.JobKey(uid)}, wire.When{Path: store.OverKey(uid)})
-			txn.Apply = append(txn.Apply, wire.Apply{Set: store.JobKey(uid), Value: e.rec})
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: store.JobKey(uid)}, wire.Condition{Key: store.OverKey(uid)})
+			txn.Operations = append(txn.Operations, wire.Operation{Set: store.JobKey(uid), Value: e.rec})
 		}
 		_, err := tryBusy(ctx, in.st, in.ck, in.admission, txn)
 		if errors.Is(err, store.ErrMalformed) && len(batch) > 1 {
--- a/api/view.go
+++ b/api/view.go
@@ -142,13 +142,13 @@
 					at, over := standingOf(ev.Value)
 					v.live[uid] = at
 					if over != nil && v.over != nil {
-						v.over(uid, *over, ev.Stamp) // most polls of a job that is done need no look-up
+						v.over(uid, *over, ev.ModRevision) // most polls of a job that is done need no look-up
 					}
 				} else {
 					delete(v.live, ev.Delete[min(len(store.PrefixJob), len(ev.Delete)):])
 				}
 			}
-			v.epoch = max(v.epoch, ch.Epoch)
+			v.epoch = max(v.epoch, ch.Revision)
 			v.mu.Unlock()
 			return nil
 		}
@@ -162,7 +162,7 @@
 	}
 	live := make(map[string]standing, len(rows))
 	for _, row := range rows {
-		live[row.Path[min(len(store.PrefixJob), len(row.Path)):]], _ = standingOf(row.Value)
+		live[row.Key[min(len(store.PrefixJob), len(row.Key)):]], _ = standingOf(row.Value)
 	}
 	v.mu.Lock()
 	v.live, v.epoch, v.loaded = live, epoch, true
--- a/api/view_test.go
+++ b/api/view_test.go
@@ -26,7 +26,7 @@
 	v := &view{st: st, ck: clock.New(nil), live: map[string]standing{},
 		count: func(context.Context, []string) map[string][2]int { return nil }}
 	set := func(uid string) {
-		if _, err := st.Commit(t.Context(), store.Urgent, wire.Txn{Apply: []wire.Apply{{Set: store.JobKey(uid), Value: store.JobRecord{Spec: wire.Spec{UID: uid}}}}}); err != nil {
+		if _, err := st.Commit(t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey(uid), Value: store.JobRecord{Spec: wire.Spec{UID: uid}}}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/bench_test.go
+++ b/bench_test.go
@@ -52,7 +52,7 @@
 }
 
 // body is a report as it comes.
-func body(tb testing.TB, rep *wire.Beat) []byte {
+func body(tb testing.TB, rep *wire.Heartbeat) []byte {
 	raw, err := wire.Marshal(rep)
 	if err != nil {
 		tb.Fatal(err)
@@ -62,8 +62,10 @@
 
 type benchSteward struct{ g *term }
 
-func (s benchSteward) Heartbeat(rep *wire.Beat) (wire.BeatAnswer, bool) { return s.g.Heartbeat(rep) }
-func (s benchSteward) Leader() string                                   { return "" }
+func (s benchSteward) Heartbeat(rep *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+	return s.g.Heartbeat(rep)
+}
+func (s benchSteward) Leader() string { return "" }
 
 // front serves users and workers on loopback as the daemon does.
 func front(tb testing.TB, g *term, h http.Handler) string {
@@ -134,7 +136,7 @@
 				for i := range benchMachines {
 					rep := report(i, benchTasks, 1, g.r.Token)
 					if n == 1 && c.change {
-						rep.Pieces[0].Status = wire.PieceFlushing
+						rep.Tasks[0].Status = wire.TaskFlushing
 					}
 					raws = append(raws, body(b, rep))
 				}
@@ -171,7 +173,7 @@
 func BenchmarkBeatServed(b *testing.B) {
 	_, g := ledFleet(b, benchMachines, benchTasks)
 	n := g.service(b)
-	n.front.Post(wire.PathBeat, agent.ServeHeartbeat(benchSteward{g}, func() bool { return false }))
+	n.front.Post(wire.PathHeartbeat, agent.ServeHeartbeat(benchSteward{g}, func() bool { return false }))
 	addr := front(b, g, n.front)
 	raws, conns := make([][]byte, benchMachines), make([]*exchange, benchMachines)
 	for i := range raws {
@@ -183,7 +185,7 @@
 	for k := range b.N {
 		i := k % benchMachines
 		setTally(b, raws[i], uint64(k)+100)
-		conns[i].send(b, http.MethodPost, wire.PathBeat, raws[i])
+		conns[i].send(b, http.MethodPost, wire.PathHeartbeat, raws[i])
 	}
 }
 
@@ -197,14 +199,16 @@
 	single(b)
 	b.ResetTimer()
 	for range b.N {
-		x.send(b, http.MethodPost, wire.PathBeat, raw)
+		x.send(b, http.MethodPost, wire.PathHeartbeat, raw)
 	}
 }
 
 type sends struct{}
 
-func (sends) Heartbeat(*wire.Beat) (wire.BeatAnswer, bool) { return wire.BeatAnswer{}, false }
-func (sends) Leader() string                               { return "node-2" }
+func (sends) Heartbeat(*wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+	return wire.HeartbeatResponse{}, false
+}
+func (sends) Leader() string { return "node-2" }
 
 // service gives a second node of the leader's site that serves users.
 func (g *term) service(tb testing.TB) *Service {
@@ -227,7 +231,7 @@
 	single(b)
 	b.ResetTimer()
 	for range b.N {
-		x.send(b, http.MethodGet, wire.PathRuns+"/j-900", nil)
+		x.send(b, http.MethodGet, wire.PathJobs+"/j-900", nil)
 	}
 }
 
@@ -239,7 +243,7 @@
 	single(b)
 	b.ResetTimer()
 	for k := range b.N {
-		x.send(b, http.MethodPost, wire.PathRuns, bodyOf(b, spec(fmt.Sprintf("j-%d", 100000+k), nil), nil))
+		x.send(b, http.MethodPost, wire.PathJobs, bodyOf(b, spec(fmt.Sprintf("j-%d", 100000+k), nil), nil))
 	}
 }
 
@@ -303,7 +307,7 @@
 // BenchmarkChange is a job that comes with the changes, and a plan that finds no room for it.
 func BenchmarkChange(b *testing.B) {
 	_, g := ledFleet(b, benchMachines, benchTasks)
-	raw, err := wire.Marshal(store.JobRecord{Spec: spec("j-900", func(sp *wire.Spec) { sp.Pieces = 8 })})
+	raw, err := wire.Marshal(store.JobRecord{Spec: spec("j-900", func(sp *wire.Spec) { sp.Tasks = 8 })})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -328,9 +332,9 @@
 	n := s.node(nil)
 	g, _ := s.elect(n)
 	tallies := make([]uint64, benchMachines)
-	heartbeat := func(i int, rep *wire.Beat) wire.BeatAnswer {
+	heartbeat := func(i int, rep *wire.Heartbeat) wire.HeartbeatResponse {
 		tallies[i]++
-		rep.Tally = tallies[i]
+		rep.Sequence = tallies[i]
 		ans, ok := g.Heartbeat(rep)
 		if !ok {
 			b.Fatal("not answered")
@@ -346,11 +350,11 @@
 	b.ResetTimer()
 	for k := 0; k < b.N; {
 		uid := fmt.Sprintf("j-%d", 1000+k)
-		raw, err := wire.Marshal(store.JobRecord{Spec: spec(uid, func(sp *wire.Spec) { sp.Pieces, sp.Rank = 48, "low" })})
+		raw, err := wire.Marshal(store.JobRecord{Spec: spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Priority = 48, "low" })})
 		if err != nil {
 			b.Fatal(err)
 		}
-		epoch, err := n.st.Commit(b.Context(), store.Urgent, wire.Txn{Apply: []wire.Apply{{Set: store.JobKey(uid), Value: msgpack.RawMessage(raw)}}})
+		epoch, err := n.st.Commit(b.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey(uid), Value: msgpack.RawMessage(raw)}}})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -363,14 +367,14 @@
 		g.step(b.Context())
 		for round := range 3 {
 			g.mu.Lock()
-			on := map[int][]wire.PieceReport{}
+			on := map[int][]wire.TaskReport{}
 			g.fl.All(func(m *fleet.Machine) {
 				var at int
 				fmt.Sscanf(m.Name, "n-%d", &at)
 				m.Each(func(bk *fleet.Booking) {
-					st := wire.PieceReport{Piece: bk.Task.String(), Try: bk.Attempt, Status: wire.PieceRunning}
+					st := wire.TaskReport{Task: bk.Task.String(), Attempt: bk.Attempt, Status: wire.TaskRunning}
 					if round == 2 {
-						st.Status, st.Cause = wire.PieceEnded, wire.CauseDone
+						st.Status, st.Cause = wire.TaskEnded, wire.CauseDone
 					}
 					if round > 0 {
 						on[at] = append(on[at], st)
@@ -382,7 +386,7 @@
 			g.mu.Unlock()
 			for i, list := range on {
 				rep := report(i, 0, 0, g.r.Token)
-				rep.Pieces = list
+				rep.Tasks = list
 				heartbeat(i, rep)
 			}
 			if round == 2 {
@@ -423,7 +427,7 @@
 	_, g := ledFleet(b, benchMachines, benchTasks)
 	g.mu.Lock()
 	for k := range 60 {
-		sp := spec(fmt.Sprintf("j-%d", 2000+k), func(sp *wire.Spec) { sp.Pieces, sp.Cores, sp.RAM = 8, 3+float64(k%4), 8+float64(k%7) })
+		sp := spec(fmt.Sprintf("j-%d", 2000+k), func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 8, 3+float64(k%4), 8+float64(k%7) })
 		raw, err := wire.Marshal(store.JobRecord{Spec: sp})
 		if err != nil {
 			b.Fatal(err)
@@ -492,9 +496,9 @@
 				}
 			}()
 			cl := agent.NewClient(64)
-			do := wire.Do{Warrant: 1, Tenure: 1}
+			do := wire.CommandRequest{Token: 1, Incarnation: 1}
 			for i := range 2 {
-				do.Orders = append(do.Orders, wire.Order{Verb: wire.VerbRun, Piece: fmt.Sprintf("j-100/%d", i), Try: 1})
+				do.Commands = append(do.Commands, wire.Command{Verb: wire.VerbRun, Task: fmt.Sprintf("j-100/%d", i), Attempt: 1})
 			}
 			single(b)
 			b.ResetTimer()
--- a/boots_test.go
+++ b/boots_test.go
@@ -26,7 +26,7 @@
 	for i := from; i < from+n; i++ {
 		m := g.fl.Ensure(fmt.Sprintf("n-%02d", i), now)
 		g.fl.Place(m, "e", "b", "x", true)
-		m.Listed, m.ListedAt = wire.HostBooting, now
+		m.Listed, m.ListedAt = wire.MachineBooting, now
 		g.asked[m.Name] = now
 	}
 }
@@ -90,7 +90,9 @@
 	s := newSite(t)
 	n := s.node(nil)
 	g, _ := s.elect(n)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Cores, sp.Loaned, sp.Shape, sp.Rank = 6, false, wire.ShapeStanding, "critical" }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) {
+		sp.Cores, sp.Preemptible, sp.Kind, sp.Priority = 6, false, wire.KindService, "critical"
+	}))
 	s.resync(g)
 	g.resize(t.Context())
 	hosts := s.cloud.Hosts()
@@ -98,7 +100,7 @@
 		t.Fatal("nothing rented")
 	}
 	for _, h := range hosts {
-		w := s.worker(h.UID, h.Yard, h.Loaned)
+		w := s.worker(h.UID, h.Zone, h.Preemptible)
 		heartbeat(t, g, w)
 	}
 	for range 5 {
@@ -121,7 +123,7 @@
 	for _, machines := range []int{3, 14} {
 		s, n, g, ws := crew(t, machines)
 		s.submit(n, spec("j-1", func(sp *wire.Spec) {
-			sp.Pieces, sp.Cores, sp.Shape, sp.Rank, sp.ExpectS = machines, 6, wire.ShapeStanding, "critical", 0
+			sp.Tasks, sp.Cores, sp.Kind, sp.Priority, sp.ExpectedS = machines, 6, wire.KindService, "critical", 0
 		}))
 		s.resync(g)
 		s.pass(g, ws, 20)
--- a/changes.go
+++ b/changes.go
@@ -95,7 +95,7 @@
 		g.unwatch = cancel
 	}
 	g.mu.Unlock()
-	var ch wire.Changes
+	var ch wire.WatchResponse
 	var err error
 	if behind {
 		ch, err = g.st.News(wctx, store.PrefixJob, *since)
@@ -112,10 +112,10 @@
 		return err
 	}
 	now := g.ck.Now()
-	*since = max(*since, ch.Epoch)
+	*since = max(*since, ch.Revision)
 	for _, ev := range ch.Events {
 		if ev.Set != "" {
-			if err := g.addJob(ev.Set, ev.Value, ev.Stamp, now); err != nil {
+			if err := g.addJob(ev.Set, ev.Value, ev.ModRevision, now); err != nil {
 				g.log.Error("job record ignored", "error", err)
 			}
 		} else if j := g.jobs[ev.Delete[min(len(store.PrefixJob), len(ev.Delete)):]]; j != nil {
@@ -124,7 +124,7 @@
 			g.cancel(j, now)
 		}
 	}
-	g.read(ch.Epoch, began, spell, held)
+	g.read(ch.Revision, began, spell, held)
 	if len(ch.Events) > 0 || behind {
 		g.wake()
 	}
@@ -146,8 +146,8 @@
 	defer g.mu.Unlock()
 	there := make(map[string]bool, len(rows))
 	for _, row := range rows {
-		there[row.Path] = true
-		if err := g.addJob(row.Path, row.Value, row.Stamp, now); err != nil {
+		there[row.Key] = true
+		if err := g.addJob(row.Key, row.Value, row.ModRevision, now); err != nil {
 			g.log.Error("job record ignored", "error", err)
 		}
 	}
--- a/cloud/client.go
+++ b/cloud/client.go
@@ -68,8 +68,8 @@
 	if err := c.call(ctx, http.MethodGet, wire.PathCatalog, nil, &cat); err != nil {
 		return cat, fmt.Errorf("catalogue: %w", err)
 	}
-	for _, b := range cat.Builds {
-		if b.SKU == "" || b.Cores <= 0 || b.RAM <= 0 || len(b.Yards) == 0 {
+	for _, b := range cat.MachineTypes {
+		if b.SKU == "" || b.Cores <= 0 || b.RAM <= 0 || len(b.Zones) == 0 {
 			return wire.Catalog{}, fmt.Errorf("catalogue: %w: type %q has no size or zone", ErrUnavailable, b.SKU)
 		}
 	}
@@ -77,39 +77,39 @@
 }
 
 // List reads the whole machine list.
-func (c *Client) List(ctx context.Context) ([]wire.Host, error) {
-	var all []wire.Host
+func (c *Client) List(ctx context.Context) ([]wire.Machine, error) {
+	var all []wire.Machine
 	since := ""
 	for {
 		q := url.Values{"limit": {"500"}}
 		if since != "" {
 			q.Set("since", since)
 		}
-		var page wire.HostPage
+		var page wire.MachinePage
 		if err := c.call(ctx, http.MethodGet, wire.PathRentals+"?"+q.Encode(), nil, &page); err != nil {
 			return nil, fmt.Errorf("machine list: %w", err)
 		}
-		all = append(all, page.Hosts...)
-		if !page.HasNext || len(page.Hosts) == 0 {
+		all = append(all, page.Machines...)
+		if !page.HasNext || len(page.Machines) == 0 {
 			return all, nil
 		}
-		since = page.Hosts[len(page.Hosts)-1].UID
+		since = page.Machines[len(page.Machines)-1].UID
 	}
 }
 
 // Rent asks for machines. The same request name gives the same answer again,
 // so a rental whose answer was lost is simply repeated.
 func (c *Client) Rent(ctx context.Context, r wire.RentRequest) ([]string, error) {
-	var h wire.Hosts
+	var h wire.MachineNames
 	if err := c.call(ctx, http.MethodPost, wire.PathRentals, r, &h); err != nil {
-		return nil, fmt.Errorf("rent %d %s in %s: %w", r.Count, r.Build, r.Yard, err)
+		return nil, fmt.Errorf("rent %d %s in %s: %w", r.Count, r.MachineType, r.Zone, err)
 	}
-	return h.Hosts, nil
+	return h.Names, nil
 }
 
 // Return gives machines back. After nil they, and everything on them, are gone.
 func (c *Client) Return(ctx context.Context, hosts []string) error {
-	if err := c.call(ctx, http.MethodPost, wire.PathReturn, wire.Hosts{Hosts: hosts}, nil); err != nil {
+	if err := c.call(ctx, http.MethodPost, wire.PathReturn, wire.MachineNames{Names: hosts}, nil); err != nil {
 		return fmt.Errorf("return %d machines: %w", len(hosts), err)
 	}
 	return nil
--- a/cloud/size.go
+++ b/cloud/size.go
@@ -69,13 +69,13 @@
 }
 
 // Holds tells whether a machine may hold the work.
-func (w *Bound) Holds(b wire.Build, zone string, loaned bool) bool {
+func (w *Bound) Holds(b wire.MachineType, zone string, loaned bool) bool {
 	return (w.Builds == nil || slices.Contains(w.Builds, b.SKU)) && (w.Zone == "" || w.Zone == zone) && (w.Loaned || !loaned) &&
-		w.Task.Cores <= b.Cores && w.Task.RAM <= b.RAM && w.Task.Accel <= b.Accel
+		w.Task.Cores <= b.Cores && w.Task.RAM <= b.RAM && w.Task.Accel <= b.Accelerators
 }
 
 // fits tells whether a machine of that type has room for a task now.
-func (w *Bound) fits(h Held, b wire.Build) bool {
+func (w *Bound) fits(h Held, b wire.MachineType) bool {
 	return !h.Lost && !w.Not[h.Name] && w.Holds(b, h.Zone, h.Loaned) &&
 		w.Task.Cores <= h.Free.Cores && w.Task.RAM <= h.Free.RAM && w.Task.Accel <= h.Free.Accel
 }
@@ -112,12 +112,12 @@
 }
 
 // worth is how many cores' worth of a load a machine type holds.
-func worth(b wire.Build, l Load, maxCores float64) float64 {
+func worth(b wire.MachineType, l Load, maxCores float64) float64 {
 	c := b.Cores
 	if l.Cores > 0 && l.RAM > 0 {
 		c = min(c, b.RAM/(l.RAM/l.Cores))
 	}
-	if l.Accel > 0 && b.Accel == 0 {
+	if l.Accel > 0 && b.Accelerators == 0 {
 		return 0
 	}
 	if maxCores > b.Cores {
@@ -127,9 +127,9 @@
 }
 
 // Size compares what is held with what is needed. It is pure.
-func Size(builds []wire.Build, held []Held, need Need, refused Refused) Verdict {
+func Size(builds []wire.MachineType, held []Held, need Need, refused Refused) Verdict {
 	var v Verdict
-	byName := map[string]wire.Build{}
+	byName := map[string]wire.MachineType{}
 	for _, b := range builds {
 		byName[b.SKU] = b
 	}
@@ -217,7 +217,7 @@
 	for i := range need.Bound {
 		beyond[i] = v.bind(&need.Bound[i], builds, held, refused, need.Machines-len(held))
 	}
-	bindsTo := func(h Held, b wire.Build) bool {
+	bindsTo := func(h Held, b wire.MachineType) bool {
 		for i := range need.Bound {
 			if beyond[i] < b.Cores && need.Bound[i].Holds(b, h.Zone, h.Loaned) {
 				return true
@@ -239,7 +239,7 @@
 			break
 		}
 	}
-	awaited := func(h Held, b wire.Build) bool {
+	awaited := func(h Held, b wire.MachineType) bool {
 		return slices.ContainsFunc(need.Waiting, func(w Bound) bool { return w.fits(h, b) })
 	}
 	taken := map[string]bool{}
@@ -266,9 +266,9 @@
 		}
 		price := func(h Held) float64 {
 			b := byName[h.Build]
-			p := b.Hourly
+			p := b.HourlyPrice
 			if loaned {
-				p = b.Spot
+				p = b.SpotPrice
 			}
 			return p / max(0.01, worth(b, load, 0))
 		}
@@ -338,14 +338,14 @@
 // bind makes sure that there are machines for bound work: cordoned ones come back
 // first, then the cheapest are rented, spot ones if they will do and are to be had. It
 // gives how many more cores they have than are needed.
-func (v *Verdict) bind(w *Bound, builds []wire.Build, held []Held, refused Refused, most int) (beyond float64) {
+func (v *Verdict) bind(w *Bound, builds []wire.MachineType, held []Held, refused Refused, most int) (beyond float64) {
 	need := max(w.Cores, w.Task.Cores)
 	have, some := 0.0, false
-	count := func(b wire.Build, n int) {
+	count := func(b wire.MachineType, n int) {
 		have += float64(n) * b.Cores
 		some = some || n > 0
 	}
-	byName := map[string]wire.Build{}
+	byName := map[string]wire.MachineType{}
 	for _, b := range builds {
 		byName[b.SKU] = b
 	}
@@ -390,13 +390,13 @@
 
 // free makes sure that some machine has room for a task: one that was to go comes
 // back, or one is rented, if that many may be. It tells whether that took a change.
-func (v *Verdict) free(w *Bound, builds []wire.Build, held []Held, refused Refused, most int) bool {
+func (v *Verdict) free(w *Bound, builds []wire.MachineType, held []Held, refused Refused, most int) bool {
 	if w.Together > 1 {
 		return v.together(w, builds, held, refused, most)
 	}
 	back := ""
 	for _, h := range held {
-		i := slices.IndexFunc(builds, func(b wire.Build) bool { return b.SKU == h.Build })
+		i := slices.IndexFunc(builds, func(b wire.MachineType) bool { return b.SKU == h.Build })
 		if i < 0 || !w.fits(h, builds[i]) {
 			continue
 		}
@@ -419,10 +419,10 @@
 
 // together is free for tasks that are to be in one zone, of which none has a place
 // yet: a machine more where most of them would fit, as long as not all do.
-func (v *Verdict) together(w *Bound, builds []wire.Build, held []Held, refused Refused, most int) bool {
+func (v *Verdict) together(w *Bound, builds []wire.MachineType, held []Held, refused Refused, most int) bool {
 	fit := map[string]int{}
 	for _, h := range held {
-		i := slices.IndexFunc(builds, func(b wire.Build) bool { return b.SKU == h.Build })
+		i := slices.IndexFunc(builds, func(b wire.MachineType) bool { return b.SKU == h.Build })
 		if i >= 0 && w.fits(h, builds[i]) && (!h.Cordoned || slices.Contains(v.Uncordon, h.Name)) {
 			fit[h.Zone] += tasks(h.Free, w.Task)
 		}
@@ -441,7 +441,7 @@
 		there.Zone = best
 	}
 	for _, h := range held {
-		i := slices.IndexFunc(builds, func(b wire.Build) bool { return b.SKU == h.Build })
+		i := slices.IndexFunc(builds, func(b wire.MachineType) bool { return b.SKU == h.Build })
 		if i >= 0 && h.Cordoned && there.fits(h, builds[i]) && !slices.Contains(v.Uncordon, h.Name) {
 			v.Uncordon = append(v.Uncordon, h.Name)
 			return true
@@ -468,15 +468,15 @@
 }
 
 // cheapest is the machine that costs least per core of all that may hold the work.
-func cheapest(w *Bound, builds []wire.Build, loaned bool, refused Refused) (best Wish, ok bool) {
+func cheapest(w *Bound, builds []wire.MachineType, loaned bool, refused Refused) (best Wish, ok bool) {
 	least := math.Inf(1)
 	for _, b := range builds {
-		hourly := b.Hourly
+		hourly := b.HourlyPrice
 		if loaned {
-			hourly = b.Spot
+			hourly = b.SpotPrice
 		}
 		price := hourly / max(0.01, b.Cores)
-		for _, y := range b.Yards {
+		for _, y := range b.Zones {
 			if price > 0 && price < least && w.Holds(b, y, loaned) && !refused(b.SKU, y, loaned) {
 				best, least = Wish{Build: b.SKU, Zone: y, Loaned: loaned, Count: 1}, price
 			}
@@ -498,10 +498,10 @@
 
 // roomByZone is the room on ordinary machines beside what only they may hold.
 // Work that spot machines may hold gives way, so it counts as room.
-func roomByZone(held []Held, byName map[string]wire.Build, need Need) map[string]float64 {
+func roomByZone(held []Held, byName map[string]wire.MachineType, need Need) map[string]float64 {
 	free := map[string]float64{}
 	for _, b := range byName {
-		for _, y := range b.Yards {
+		for _, y := range b.Zones {
 			free[y] += 0
 		}
 	}
@@ -550,9 +550,9 @@
 
 // rent fills a shortage with the machines that cost least per core of the
 // load, all of one kind, and gives how many it asked for.
-func rent(v *Verdict, builds []wire.Build, load Load, missing, near float64, loaned bool, zoneHave map[string]float64, apart bool, refused Refused, most int) int {
+func rent(v *Verdict, builds []wire.MachineType, load Load, missing, near float64, loaned bool, zoneHave map[string]float64, apart bool, refused Refused, most int) int {
 	type offer struct {
-		b      wire.Build
+		b      wire.MachineType
 		zone   string
 		loaned bool
 		price  float64
@@ -565,10 +565,10 @@
 		if w <= 0 {
 			continue
 		}
-		for _, y := range b.Yards {
-			price := b.Hourly
+		for _, y := range b.Zones {
+			price := b.HourlyPrice
 			if loaned {
-				price = b.Spot
+				price = b.SpotPrice
 			}
 			if price > 0 && !refused(b.SKU, y, loaned) {
 				offers = append(offers, offer{b: b, zone: y, loaned: loaned, price: price / w, worth: w})
@@ -592,8 +592,8 @@
 			if a.class != b.class {
 				return a.class < b.class
 			}
-			if a.b.ReadyS != b.b.ReadyS {
-				return a.b.ReadyS < b.b.ReadyS
+			if a.b.BootS != b.b.BootS {
+				return a.b.BootS < b.b.BootS
 			}
 			if math.Abs(a.price-b.price) > 1e-9 {
 				return a.price < b.price
--- a/cloud/size_test.go
+++ b/cloud/size_test.go
@@ -9,9 +9,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var builds = []wire.Build{
-	{SKU: "s", Cores: 8, RAM: 32, Hourly: 0.48, Spot: 0.2, Yards: []string{"x", "y"}},
-	{SKU: "l", Cores: 32, RAM: 128, Hourly: 2.4, Spot: 0.96, Yards: []string{"x", "y"}},
+var builds = []wire.MachineType{
+	{SKU: "s", Cores: 8, RAM: 32, HourlyPrice: 0.48, SpotPrice: 0.2, Zones: []string{"x", "y"}},
+	{SKU: "l", Cores: 32, RAM: 128, HourlyPrice: 2.4, SpotPrice: 0.96, Zones: []string{"x", "y"}},
 }
 
 func none(string, string, bool) bool { return false }
@@ -135,14 +135,14 @@
 // Room for the fullest zone's replicas is kept where it is little beside the
 // whole fleet, and no more than that share where it is not.
 func TestRoomForAZone(t *testing.T) {
-	big := wire.Build{SKU: "g", Cores: 32, RAM: 128, Hourly: 2, Spot: 0.7, ReadyS: 30, Yards: []string{"x", "y", "z"}}
+	big := wire.MachineType{SKU: "g", Cores: 32, RAM: 128, HourlyPrice: 2, SpotPrice: 0.7, BootS: 30, Zones: []string{"x", "y", "z"}}
 	var held []Held
 	for i := range 9 {
 		held = append(held, Held{Name: string(rune('a' + i)), Build: "g", Zone: []string{"x", "y", "z"}[i%3], Up: true, Live: 20, Standing: 20, Firm: 30})
 	}
 	rented := func(loaned float64) (n int) {
 		need := Need{Ordinary: Load{Cores: 270, RAM: 500}, Loaned: Load{Cores: loaned, RAM: loaned}, ReserveZone: 0.05, Apart: true, Machines: 1000}
-		for _, w := range Size([]wire.Build{big}, held, need, func(string, string, bool) bool { return false }).Rent {
+		for _, w := range Size([]wire.MachineType{big}, held, need, func(string, string, bool) bool { return false }).Rent {
 			if !w.Loaned {
 				n += w.Count
 			}
@@ -160,25 +160,25 @@
 
 // Loaned work counts on the room that is kept for replicas.
 func TestLoanedWorkFillsTheReserve(t *testing.T) {
-	b := wire.Build{SKU: "g", Cores: 32, RAM: 128, Hourly: 2, Spot: 0.7, ReadyS: 30, Yards: []string{"x"}}
+	b := wire.MachineType{SKU: "g", Cores: 32, RAM: 128, HourlyPrice: 2, SpotPrice: 0.7, BootS: 30, Zones: []string{"x"}}
 	held := []Held{{Name: "a", Build: "g", Zone: "x", Up: true}, {Name: "b", Build: "g", Zone: "x", Up: true}}
 	need := Need{Ordinary: Load{Cores: 30, RAM: 60}, Loaned: Load{Cores: 30, RAM: 60}, Reserve: 1, Machines: 10}
-	if v := Size([]wire.Build{b}, held, need, func(string, string, bool) bool { return false }); len(v.Rent) != 0 {
+	if v := Size([]wire.MachineType{b}, held, need, func(string, string, bool) bool { return false }); len(v.Rent) != 0 {
 		t.Errorf("rented %v though the reserve has room", v.Rent)
 	}
 }
 
 // While replicas wait for room, a sooner boot is worth a higher price.
 func TestSoonestBootWhileReplicasWait(t *testing.T) {
-	slow := wire.Build{SKU: "s", Cores: 16, RAM: 64, Hourly: 0.92, ReadyS: 50, Yards: []string{"x"}}
-	fast := wire.Build{SKU: "f", Cores: 16, RAM: 64, Hourly: 1.1, ReadyS: 15, Yards: []string{"x"}}
+	slow := wire.MachineType{SKU: "s", Cores: 16, RAM: 64, HourlyPrice: 0.92, BootS: 50, Zones: []string{"x"}}
+	fast := wire.MachineType{SKU: "f", Cores: 16, RAM: 64, HourlyPrice: 1.1, BootS: 15, Zones: []string{"x"}}
 	rent := func(have float64) string {
 		held := []Held{}
 		for have > 0 {
 			held = append(held, Held{Name: string(rune('a' + len(held))), Build: "s", Zone: "x", Up: true})
 			have -= 16
 		}
-		v := Size([]wire.Build{slow, fast}, held, Need{Ordinary: Load{Cores: 64, RAM: 200}, Reserve: 0.5, Machines: 50}, func(string, string, bool) bool { return false })
+		v := Size([]wire.MachineType{slow, fast}, held, Need{Ordinary: Load{Cores: 64, RAM: 200}, Reserve: 0.5, Machines: 50}, func(string, string, bool) bool { return false })
 		if len(v.Rent) == 0 {
 			return ""
 		}
--- a/connlimit/listener_test.go
+++ b/connlimit/listener_test.go
@@ -37,8 +37,10 @@
 // nobodyLeads answers no heartbeat.
 type nobodyLeads struct{}
 
-func (nobodyLeads) Heartbeat(*wire.Beat) (wire.BeatAnswer, bool) { return wire.BeatAnswer{}, false }
-func (nobodyLeads) Leader() string                               { return "" }
+func (nobodyLeads) Heartbeat(*wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+	return wire.HeartbeatResponse{}, false
+}
+func (nobodyLeads) Leader() string { return "" }
 
 // When connections run short, heartbeats are still answered: their answers ask for
 // a close, idle connections make way, and what has no room is turned away at
@@ -60,7 +62,7 @@
 	heartbeat := func() *httptest.ResponseRecorder {
 		rec := httptest.NewRecorder()
 		body, _ := wire.Marshal(map[string]any{"host": "n-1", "tenure": 1, "tally": 1, "warrant": 0, "pieces": []any{}})
-		agent.ServeHeartbeat(nobodyLeads{}, limited.Short)(rec, httptest.NewRequest(http.MethodPost, wire.PathBeat, bytes.NewReader(body[:len(body)-1])))
+		agent.ServeHeartbeat(nobodyLeads{}, limited.Short)(rec, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, bytes.NewReader(body[:len(body)-1])))
 		return rec
 	}
 	var far []net.Conn
@@ -123,7 +125,7 @@
 		in := scripted{make(chan net.Conn, most)}
 		limited := New(in, most, Outgoing{Workers: workers, InUse: 2, KeepIdle: 1}, clock.New(clockwork.NewFakeClock()), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		workers.Short = limited.Full
-		body, err := wire.Marshal(wire.Beat{Host: "n-1", Endpoint: "n-1:1", Build: "b", Yard: "x", Tenure: 1, Tally: 1})
+		body, err := wire.Marshal(wire.Heartbeat{Machine: "n-1", Endpoint: "n-1:1", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/engine.go
+++ b/engine.go
@@ -62,7 +62,7 @@
 type job struct {
 	uid       string
 	spec      wire.Spec
-	priority  wire.Rank
+	priority  wire.Priority
 	stamp     uint64
 	at        int64 // wall clock of its acceptance, in microseconds
 	seen      clock.Micros
@@ -102,13 +102,13 @@
 	return r.sum / clock.Micros(r.n)
 }
 
-func (j *job) standing() bool { return j.spec.Shape == wire.ShapeStanding }
+func (j *job) standing() bool { return j.spec.Kind == wire.KindService }
 
 // unhurried tells whether the job is work that runs when there is room.
-func (j *job) unhurried() bool { return j.priority == wire.RankLow && !j.standing() && !j.group() }
+func (j *job) unhurried() bool { return j.priority == wire.PriorityLow && !j.standing() && !j.group() }
 
 // group tells whether the job's tasks run only all together.
-func (j *job) group() bool { return j.spec.Shape == wire.ShapeGroup }
+func (j *job) group() bool { return j.spec.Kind == wire.KindGang }
 
 func (j *job) touch(index int) *chunk {
 	if j.shared != nil {
@@ -299,13 +299,13 @@
 
 func (g *term) booking(j *job, index int, attempt uint64) *fleet.Booking {
 	s := &j.spec
-	return &fleet.Booking{Tag: j, Task: fleet.TaskID{Job: j.uid, Index: index}, Attempt: attempt, Team: s.Owner, Cores: s.Cores, Accel: s.Accel, RAM: s.RAM,
-		Bundle: s.Bundle, Priority: j.priority, Loaned: s.Loaned, Stow: s.StowS, Saves: s.BookmarkS > 0, WithHeartbeat: j.unhurried()}
+	return &fleet.Booking{Tag: j, Task: fleet.TaskID{Job: j.uid, Index: index}, Attempt: attempt, Team: s.Team, Cores: s.Cores, Accel: s.Accelerators, RAM: s.RAM,
+		Bundle: s.Image, Priority: j.priority, Loaned: s.Preemptible, Stow: s.CheckpointGraceS, Saves: s.CheckpointIntervalS > 0, WithHeartbeat: j.unhurried()}
 }
 
 // addJob takes an accepted job in. The caller holds mu.
 func (g *term) addJob(key string, value []byte, stamp uint64, now clock.Micros) error {
-	record, err := recovery.DecodeJob(wire.Row{Path: key, Value: value, Stamp: stamp})
+	record, err := recovery.DecodeJob(wire.Row{Key: key, Value: value, ModRevision: stamp})
 	if err != nil {
 		return err
 	}
@@ -326,10 +326,10 @@
 		return
 	}
 	delete(g.lookups, s.UID)
-	priority, _ := wire.RankOf(s.Rank)
+	priority, _ := wire.ParsePriority(s.Priority)
 	j := &job{uid: s.UID, spec: s, priority: priority, stamp: stamp, at: record.AtUS, seen: now, order: record.AtUS,
-		tasks: make([]task, s.Pieces), waiting: make([]int, s.Pieces),
-		chunks: make([]chunk, (s.Pieces+store.ChunkTasks-1)/store.ChunkTasks)}
+		tasks: make([]task, s.Tasks), waiting: make([]int, s.Tasks),
+		chunks: make([]chunk, (s.Tasks+store.ChunkTasks-1)/store.ChunkTasks)}
 	for i := range j.waiting {
 		j.waiting[i] = i
 		j.tasks[i].listed = true
@@ -344,13 +344,13 @@
 func (g *term) planJob(j *job) *plan.Job {
 	s := &j.spec
 	j.begin = noSlack
-	if s.DueS != nil {
-		j.due = clock.FromSeconds(*s.DueS)
+	if s.DeadlineS != nil {
+		j.due = clock.FromSeconds(*s.DeadlineS)
 	}
 	// Starts within a moment are a matter of free room, not of order.
 	const moment = 3
 	for _, o := range g.cfg.Facts.Objectives {
-		if o.Class != s.Lane || j.standing() {
+		if o.Class != s.Class || j.standing() {
 			continue
 		}
 		switch at := clock.FromSeconds(o.WithinS); {
@@ -362,13 +362,13 @@
 	}
 	within := 0.0
 	for _, o := range g.cfg.Facts.Objectives {
-		if o.Kind == "wait" && o.Class == s.Lane && (within == 0 || o.WithinS < within) {
+		if o.Kind == "wait" && o.Class == s.Class && (within == 0 || o.WithinS < within) {
 			within = o.WithinS
 		}
 	}
-	return &plan.Job{ImageGB: s.ImageGB, Within: clock.FromSeconds(within), UID: j.uid, Team: s.Owner, Priority: j.priority, Standing: j.standing(), Tasks: s.Pieces,
-		Cores: s.Cores, Accel: s.Accel, RAM: s.RAM, Builds: s.Builds, Zone: s.Yard, SamePlace: s.SamePlace,
-		Apart: s.Apart, Loaned: s.Loaned, Bundle: s.Bundle, Order: j.order, Group: j.group(), Slack: noSlack,
+	return &plan.Job{ImageGB: s.ImageGB, Within: clock.FromSeconds(within), UID: j.uid, Team: s.Team, Priority: j.priority, Standing: j.standing(), Tasks: s.Tasks,
+		Cores: s.Cores, Accel: s.Accelerators, RAM: s.RAM, Builds: s.MachineTypes, Zone: s.Zone, SamePlace: s.SameZone,
+		Apart: s.Spread, Loaned: s.Preemptible, Bundle: s.Image, Order: j.order, Group: j.group(), Slack: noSlack,
 		Zones: map[string]int{}, Machines: map[string]int{}}
 }
 
@@ -446,7 +446,7 @@
 			j.started = true
 			j.running++
 			g.met.Start(now - j.seen)
-			g.log.Debug("task started", "task", b.Task.String(), "class", j.spec.Lane, "host", b.Machine.Name, "after", (now - j.seen).Seconds(),
+			g.log.Debug("task started", "task", b.Task.String(), "class", j.spec.Class, "host", b.Machine.Name, "after", (now - j.seen).Seconds(),
 				"placed", (b.Since - j.seen).Seconds(), "fetch", (now - b.Since).Seconds())
 			continue
 		}
@@ -558,34 +558,34 @@
 	j.ran.n++
 	j.ran.sum += took
 	// The last few dozen count: classes change over a day.
-	st := g.classes[j.spec.Lane]
+	st := g.classes[j.spec.Class]
 	if st.n >= 100 {
 		st = runStat{n: 50, sum: 50 * st.mean()}
 	}
 	st.n++
 	st.sum += took
-	g.classes[j.spec.Lane] = st
+	g.classes[j.spec.Class] = st
 }
 
 // Heartbeat takes in a worker's report and says what to answer. A report without
 // news costs a look-up and the comparison of its task list with the last one.
-func (g *term) Heartbeat(rep *wire.Beat) (wire.BeatAnswer, bool) {
+func (g *term) Heartbeat(rep *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
 	now := g.ck.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.heard = now
 	token, may := g.el.MayAnswer()
 	if !may || !g.loaded {
-		return wire.BeatAnswer{}, false
+		return wire.HeartbeatResponse{}, false
 	}
-	ans := wire.BeatAnswer{Warrant: token, Orders: []wire.Order{}}
-	if _, gone := g.gone[rep.Host]; gone {
+	ans := wire.HeartbeatResponse{Token: token, Commands: []wire.Command{}}
+	if _, gone := g.gone[rep.Machine]; gone {
 		// The cloud has said that this machine and all on it are gone, and names
 		// are not given twice: a copy that was under way all this time.
 		return ans, true
 	}
 	news, fresh := g.fl.Report(now, rep, true)
-	m := g.fl.Machine(rep.Host)
+	m := g.fl.Machine(rep.Machine)
 	if !fresh {
 		// A late copy, or a new process that counts from the start again: its lease
 		// is counted as renewed, and the worker itself is asked which it is.
@@ -613,7 +613,7 @@
 	if scope == fleet.Everything && g.busy[m.Name] {
 		scope = fleet.NoRuns
 	}
-	ans.Orders = g.fl.Orders(m, now, true, scope)
+	ans.Commands = g.fl.Orders(m, now, true, scope)
 	return ans, true
 }
 
--- a/engine_test.go
+++ b/engine_test.go
@@ -39,7 +39,7 @@
 	first *Service                // that led first, where a test needs it
 }
 
-var bigBuild = wire.Build{SKU: "b", Cores: 8, RAM: 32, Hourly: 1, Spot: 0.4, ReadyS: 30, Yards: []string{"x", "y"}}
+var bigBuild = wire.MachineType{SKU: "b", Cores: 8, RAM: 32, HourlyPrice: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"x", "y"}}
 
 func newSite(t testing.TB) *site {
 	clk := clockwork.NewFakeClock()
@@ -108,7 +108,7 @@
 	if _, err := g.load(s.t.Context()); err != nil {
 		s.t.Fatal(err)
 	}
-	g.catalog = wire.Catalog{Builds: s.cloud.Builds}
+	g.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
 	g.fl.SetCatalog(g.catalog)
 	return g, stop
 }
@@ -135,7 +135,7 @@
 }
 
 // users serves a node's users' interface and answers one request.
-func (s *site) ask(n *Service, method, path string, body any) (int, wire.View, http.Header) {
+func (s *site) ask(n *Service, method, path string, body any) (int, wire.JobStatus, http.Header) {
 	s.t.Helper()
 	r := chi.NewRouter()
 	n.users.Routes(r)
@@ -154,7 +154,7 @@
 	}
 	rec := httptest.NewRecorder()
 	r.ServeHTTP(rec, httptest.NewRequestWithContext(s.t.Context(), method, path, bytes.NewReader(raw)))
-	var v wire.View
+	var v wire.JobStatus
 	_ = wire.Unmarshal(rec.Body.Bytes(), &v)
 	return rec.Code, v, rec.Header()
 }
@@ -171,8 +171,8 @@
 }
 
 func spec(uid string, mod func(*wire.Spec)) wire.Spec {
-	sp := wire.Spec{UID: uid, Lane: "lane", Owner: "team", Shape: wire.ShapeBatch, Rank: "standard", Pieces: 1, Cores: 2, RAM: 4,
-		Bundle: "img", ImageGB: 1, Loaned: true, ExpectS: 10}
+	sp := wire.Spec{UID: uid, Class: "lane", Team: "team", Kind: wire.KindBatch, Priority: "standard", Tasks: 1, Cores: 2, RAM: 4,
+		Image: "img", ImageGB: 1, Preemptible: true, ExpectedS: 10}
 	if mod != nil {
 		mod(&sp)
 	}
@@ -190,7 +190,7 @@
 	if err := wire.Unmarshal(raw, &m); err != nil {
 		t.Fatal(err)
 	}
-	if sp.Yard == "" {
+	if sp.Zone == "" {
 		m["yard"] = nil
 	}
 	if mod != nil {
@@ -204,7 +204,7 @@
 
 func (s *site) submit(n *Service, sp wire.Spec) {
 	s.t.Helper()
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathRuns, sp); code != http.StatusCreated {
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, sp); code != http.StatusCreated {
 		s.t.Fatalf("submit %s: status %d", sp.UID, code)
 	}
 }
@@ -217,11 +217,11 @@
 		rep := w.Report()
 		ans, ok := g.Heartbeat(&rep)
 		if !ok {
-			t.Fatalf("beat of %s not answered", rep.Host)
+			t.Fatalf("beat of %s not answered", rep.Machine)
 		}
 		w.Take(ans)
 		g.mu.Lock()
-		m := g.fl.Machine(rep.Host)
+		m := g.fl.Machine(rep.Machine)
 		trusted := m == nil || m.Reported
 		g.mu.Unlock()
 		if trusted {
@@ -260,7 +260,7 @@
 
 func TestJobRunsToDone(t *testing.T) {
 	s, n, g, w := alone(t)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Pieces = 2 }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(g)
 	s.settle(g)
 	if got := w.Live(); !cmp.Equal(got, []string{"j-1/0", "j-1/1"}) {
@@ -269,17 +269,17 @@
 	w.End("j-1/0", wire.CauseDone)
 	heartbeat(t, g, w)
 	s.settle(g)
-	if _, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/j-1", nil); v.Status == wire.JobDone {
+	if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status == wire.JobDone {
 		t.Fatal("done before all its tasks are")
 	}
 	w.End("j-1/1", wire.CauseDone)
 	heartbeat(t, g, w)
 	// Done is told only when it is durable: until the pass records it, it is not.
-	if _, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/j-1", nil); v.Status == wire.JobDone {
+	if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status == wire.JobDone {
 		t.Fatal("done before it was recorded")
 	}
 	s.settle(g)
-	if _, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/j-1", nil); v.Status != wire.JobDone || v.Done != 2 {
+	if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobDone || v.Done != 2 {
 		t.Fatalf("state %+v, want done", v)
 	}
 	// The run may come again until the worker has shown a higher token.
@@ -295,8 +295,8 @@
 		heartbeat(t, g, w)
 		w.Repeat()
 	}
-	if rep := w.Report(); len(rep.Pieces) != 0 {
-		t.Errorf("not forgotten: %v", rep.Pieces)
+	if rep := w.Report(); len(rep.Tasks) != 0 {
+		t.Errorf("not forgotten: %v", rep.Tasks)
 	}
 	if got := w.Starts(); len(got) != 2 {
 		t.Errorf("started %v, want each task once", got)
@@ -308,14 +308,14 @@
 
 func TestResultDurableBeforeForget(t *testing.T) {
 	s, n, g, w := alone(t)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Pieces = 2 }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(g)
 	s.settle(g)
 	w.End("j-1/0", wire.CauseDone)
 	heartbeat(t, g, w)
 	heartbeat(t, g, w)
-	if rep := w.Report(); len(rep.Pieces) != 2 {
-		t.Fatalf("result forgotten before it was recorded: %v", rep.Pieces)
+	if rep := w.Report(); len(rep.Tasks) != 2 {
+		t.Fatalf("result forgotten before it was recorded: %v", rep.Tasks)
 	}
 }
 
@@ -374,13 +374,13 @@
 	rep := w.Report()
 	ans, _ := g.Heartbeat(&rep) // carries the run again
 	low := ans
-	low.Warrant = 1
+	low.Token = 1
 	w.Take(low) // as if answered before the token was raised
 	w.End("j-1/0", wire.CauseDone)
 	rep = w.Report()
 	ans, _ = g.Heartbeat(&rep)
 	s.settle(g)
-	for _, o := range ans.Orders {
+	for _, o := range ans.Commands {
 		if o.Verb == wire.VerbForget {
 			t.Fatal("forget sent while a run was still out")
 		}
@@ -397,8 +397,8 @@
 	if got := w.Starts(); len(got) != 1 {
 		t.Fatalf("started %v", got)
 	}
-	if rep := w.Report(); len(rep.Pieces) != 0 {
-		t.Fatalf("never forgotten: %v", rep.Pieces)
+	if rep := w.Report(); len(rep.Tasks) != 0 {
+		t.Fatalf("never forgotten: %v", rep.Tasks)
 	}
 }
 
@@ -504,7 +504,7 @@
 	heartbeat(t, g, w)
 	s.submit(b, spec("j-1", nil))
 	s.resync(g)
-	if code, v, _ := s.ask(b, http.MethodPost, wire.PathRuns+"/j-1/abort", nil); code != 200 || v.Status != wire.JobCancelled {
+	if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || v.Status != wire.JobCancelled {
 		t.Fatalf("abort: %d %+v", code, v)
 	}
 	s.settle(g)
@@ -513,7 +513,7 @@
 	if got := w.Starts(); len(got) != 0 {
 		t.Fatalf("started after the cancel: %v", got)
 	}
-	if _, v, _ := s.ask(a, http.MethodGet, wire.PathRuns+"/j-1", nil); v.Status != wire.JobCancelled {
+	if _, v, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobCancelled {
 		t.Fatalf("state %+v", v)
 	}
 }
@@ -523,7 +523,7 @@
 	s.submit(n, spec("j-1", nil))
 	s.resync(g)
 	s.settle(g)
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathRuns+"/j-1/abort", nil); code != 200 {
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
 	s.resync(g)
@@ -544,7 +544,7 @@
 	ga, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Pieces = 4 }))
+	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 4 }))
 	s.resync(ga)
 	s.settle(ga)
 	if got := w.Live(); len(got) != 2 {
@@ -567,7 +567,7 @@
 	w := s.worker("n-1", "x", false)
 	heartbeat(t, ga, w)
 	s.submit(a, spec("j-1", func(sp *wire.Spec) {
-		sp.Shape, sp.Rank, sp.Loaned, sp.Apart, sp.Pieces = wire.ShapeStanding, "critical", false, true, 2
+		sp.Kind, sp.Priority, sp.Preemptible, sp.Spread, sp.Tasks = wire.KindService, "critical", false, true, 2
 	}))
 	s.resync(ga)
 	s.settle(ga)
@@ -625,33 +625,33 @@
 		{"fits no type", edit(func(m map[string]any) { m["cores"] = 9.0 }), 422},
 		{"type not in the catalogue", edit(func(m map[string]any) { m["builds"] = []string{"zz"} }), 422},
 		{"over the limit", edit(func(m map[string]any) {
-			m["owner"], m["shape"], m["pieces"] = "small", wire.ShapeStanding, 2
+			m["owner"], m["shape"], m["pieces"] = "small", wire.KindService, 2
 		}), 422},
 		{"array over the limit only in sum", edit(func(m map[string]any) { m["uid"], m["owner"], m["pieces"] = "j-3", "small", 9 }), 201},
 		{"unknown field", edit(func(m map[string]any) { m["uid"], m["new"] = "j-4", []int{1} }), 201},
 	}
 	for _, tt := range tests {
-		if got, _, _ := s.ask(n, http.MethodPost, wire.PathRuns, tt.body); got != tt.want {
+		if got, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, tt.body); got != tt.want {
 			t.Errorf("%s: status %d, want %d", tt.name, got, tt.want)
 		}
 	}
 	for path, want := range map[string]int{"/j-1": 200, "/j-999": 404, "/nonsense": 404} {
-		if got, _, _ := s.ask(n, http.MethodGet, wire.PathRuns+path, nil); got != want {
+		if got, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+path, nil); got != want {
 			t.Errorf("GET %s: status %d, want %d", path, got, want)
 		}
 	}
-	if got, _, _ := s.ask(n, http.MethodDelete, wire.PathRuns+"/j-1", nil); got != 405 {
+	if got, _, _ := s.ask(n, http.MethodDelete, wire.PathJobs+"/j-1", nil); got != 405 {
 		t.Errorf("wrong method: status %d", got)
 	}
 	// A store that can't be read is 503 with a time to come back, never 404.
 	s.state.Refuse("", true)
 	for _, q := range []struct{ method, path string }{{"GET", "/j-999"}, {"GET", "/j-1"}, {"POST", "/j-1/abort"}} {
-		got, _, h := s.ask(n, q.method, wire.PathRuns+q.path, nil)
+		got, _, h := s.ask(n, q.method, wire.PathJobs+q.path, nil)
 		if got != 503 || h.Get("Retry-After") == "" {
 			t.Errorf("%s %s in an outage: status %d, Retry-After %q", q.method, q.path, got, h.Get("Retry-After"))
 		}
 	}
-	if got, _, _ := s.ask(n, http.MethodPost, wire.PathRuns, edit(func(m map[string]any) { m["uid"] = "j-9" })); got != 503 {
+	if got, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, edit(func(m map[string]any) { m["uid"] = "j-9" })); got != 503 {
 		t.Errorf("submit in an outage: status %d", got)
 	}
 }
@@ -662,7 +662,7 @@
 	n := s.node(nil)
 	g, _ := s.elect(n)
 	s.cloud.LoseNext = true
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Loaned = false }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Preemptible = false }))
 	s.resync(g)
 	if err := g.readList(t.Context()); err != nil {
 		t.Fatal(err)
@@ -677,7 +677,7 @@
 	g.resize(t.Context())
 	cancel()
 	asked := s.cloud.Asked()
-	if len(asked) != 2 || asked[0].Hire != asked[1].Hire || len(s.cloud.Hosts()) != 1 {
+	if len(asked) != 2 || asked[0].RequestID != asked[1].RequestID || len(s.cloud.Hosts()) != 1 {
 		t.Fatalf("asked %v, rented %v", asked, s.cloud.Hosts())
 	}
 }
@@ -733,23 +733,23 @@
 	s.submit(a, spec("j-1", nil))
 	s.state.Refuse(a.cfg.Node, true)
 	for range 2 { // the first refusals show that it is not a single one
-		s.ask(a, http.MethodGet, wire.PathRuns+"/j-1", nil)
+		s.ask(a, http.MethodGet, wire.PathJobs+"/j-1", nil)
 	}
-	if code, v, _ := s.ask(a, http.MethodGet, wire.PathRuns+"/j-1", nil); code != 200 || v.UID != "j-1" {
+	if code, v, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || v.UID != "j-1" {
 		t.Errorf("query: %d %+v", code, v)
 	}
-	if code, _, _ := s.ask(a, http.MethodPost, wire.PathRuns, spec("j-2", nil)); code != 201 {
+	if code, _, _ := s.ask(a, http.MethodPost, wire.PathJobs, spec("j-2", nil)); code != 201 {
 		t.Errorf("submit: %d", code)
 	}
-	if code, _, _ := s.ask(a, http.MethodGet, wire.PathRuns+"/j-3", nil); code != 404 {
+	if code, _, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-3", nil); code != 404 {
 		t.Errorf("unknown job: %d", code)
 	}
-	if code, v, _ := s.ask(a, http.MethodPost, wire.PathRuns+"/j-1/abort", nil); code != 200 || v.Status != wire.JobCancelled {
+	if code, v, _ := s.ask(a, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || v.Status != wire.JobCancelled {
 		t.Errorf("abort: %d %+v", code, v)
 	}
 	// In an outage nobody can serve: the answer is 503, at once.
 	s.state.Refuse("", true)
-	if code, _, h := s.ask(a, http.MethodGet, wire.PathRuns+"/j-2", nil); code != 503 || h.Get("Retry-After") == "" {
+	if code, _, h := s.ask(a, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("in an outage: %d %v", code, h)
 	}
 }
@@ -804,11 +804,11 @@
 	ga, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Pieces = 2 }))
+	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(ga)
 	s.settle(ga)
 	stop()
-	if code, _, _ := s.ask(b, http.MethodPost, wire.PathRuns+"/j-1/abort", nil); code != 200 {
+	if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
 	s.submit(b, spec("j-2", nil))
@@ -836,7 +836,7 @@
 	ga, stop := s.elect(a)
 	w := s.worker("n-1", "x", false)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Shape, sp.Rank, sp.Loaned = wire.ShapeStanding, "critical", false }))
+	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Kind, sp.Priority, sp.Preemptible = wire.KindService, "critical", false }))
 	s.resync(ga)
 	s.settle(ga)
 	stop()
@@ -847,7 +847,7 @@
 	g.fl.Machine("n-1").Endpoint = "127.0.0.1:1" // nobody answers there
 	for i := range 5 {                           // booting machines are not silent ones
 		m := g.fl.Ensure(fmt.Sprintf("n-9%d", i), g.ck.Now()+8*clock.Second)
-		m.Endpoint, m.Build, m.Zone, m.Listed = "127.0.0.1:1", "b", "x", wire.HostBooting
+		m.Endpoint, m.Build, m.Zone, m.Listed = "127.0.0.1:1", "b", "x", wire.MachineBooting
 	}
 	g.mu.Unlock()
 	for range 3 {
@@ -885,7 +885,7 @@
 	ga, stop := s.elect(a)
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Pieces = 3 }))
+	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 3 }))
 	s.resync(ga)
 	s.settle(ga)
 	w.End("j-1/0", wire.CauseDone)
@@ -954,7 +954,7 @@
 		{"other", due(310), 100, 210 * clock.Second},
 		{"other", nil, 100, noSlack},
 	} {
-		j := &job{priority: wire.RankStandard, spec: spec("j-1", func(sp *wire.Spec) { sp.Lane, sp.DueS, sp.ExpectS = tt.class, tt.due, tt.expect })}
+		j := &job{priority: wire.PriorityStandard, spec: spec("j-1", func(sp *wire.Spec) { sp.Class, sp.DeadlineS, sp.ExpectedS = tt.class, tt.due, tt.expect })}
 		g.planJob(j)
 		if got := j.slack(0); got != tt.want {
 			t.Errorf("%s due %v, expected to run %v s: slack %v, want %v", tt.class, tt.due, tt.expect, got, tt.want)
@@ -971,7 +971,7 @@
 	sp := spec("j-1", nil)
 	over := store.Over(&sp, wire.JobDone, "earlier")
 	rec := store.JobRecord{Spec: wire.Spec{UID: "j-1"}, Over: &over}
-	if _, err := n.st.Commit(t.Context(), store.Urgent, wire.Txn{Apply: []wire.Apply{{Set: store.JobKey("j-1"), Value: rec}}}); err != nil {
+	if _, err := n.st.Commit(t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey("j-1"), Value: rec}}}); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
@@ -1021,21 +1021,21 @@
 	s.clk.Advance(100 * time.Second)
 	s.submit(n, spec("j-2", nil))
 	s.clk.Advance(30 * time.Second)
-	if code, _, head := s.ask(n, http.MethodPost, wire.PathRuns, spec("j-3", nil)); code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
+	if code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-3", nil)); code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 		t.Errorf("judged by an old catalogue: %d, Retry-After %q", code, head.Get("Retry-After"))
 	}
 	// A node that has just started and knows no types at all.
-	if code, _, _ := s.ask(s.node(nil), http.MethodPost, wire.PathRuns, spec("j-4", nil)); code != http.StatusServiceUnavailable {
+	if code, _, _ := s.ask(s.node(nil), http.MethodPost, wire.PathJobs, spec("j-4", nil)); code != http.StatusServiceUnavailable {
 		t.Errorf("judged by no catalogue: %d", code)
 	}
 	s.cloud.Trouble = false
 	small := bigBuild
 	small.Cores = 1
-	s.cloud.Builds = []wire.Build{small}
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathRuns, spec("j-5", nil)); code != http.StatusUnprocessableEntity {
+	s.cloud.Builds = []wire.MachineType{small}
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-5", nil)); code != http.StatusUnprocessableEntity {
 		t.Errorf("a job that fits no machine of now: %d", code)
 	}
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathRuns, spec("j-1", nil)); code != http.StatusOK {
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-1", nil)); code != http.StatusOK {
 		t.Errorf("a known job: %d", code)
 	}
 }
--- a/failures.go
+++ b/failures.go
@@ -140,7 +140,7 @@
 	}
 	lasting, young := false, false
 	m.Each(func(b *fleet.Booking) {
-		if b.Live() && b.Status == wire.PieceRunning && b.Running >= s.first {
+		if b.Live() && b.Status == wire.TaskRunning && b.Running >= s.first {
 			lasts := m.LastHeartbeat-b.Running > lastsFor
 			lasting, young = lasting || lasts, young || !lasts
 		}
@@ -188,7 +188,7 @@
 	enough := max(lastsFor, 2*j.failures.ranFor+clock.Second)
 	for i := range j.tasks {
 		b := j.tasks[i].booking
-		if b != nil && b.Status == wire.PieceRunning && b.Running > 0 && !b.Ended && b.Machine.Reported && b.Machine.LastHeartbeat-b.Running > enough {
+		if b != nil && b.Status == wire.TaskRunning && b.Running > 0 && !b.Ended && b.Machine.Reported && b.Machine.LastHeartbeat-b.Running > enough {
 			return true
 		}
 	}
--- a/failures_test.go
+++ b/failures_test.go
@@ -43,7 +43,7 @@
 
 func banned(g *term, ws []*standin.Worker) (out []string) {
 	for _, w := range ws {
-		if m := g.fl.Machine(w.Beats.Host); m.Banned != "" {
+		if m := g.fl.Machine(w.Beats.Machine); m.Banned != "" {
 			out = append(out, m.Name+" "+m.Banned)
 		}
 	}
@@ -71,13 +71,13 @@
 		ws[0].Fail(true)
 		bad := func() {
 			for _, uid := range []string{"j-1", "j-2"} {
-				s.submit(n, spec(uid, func(sp *wire.Spec) { sp.Pieces, sp.Cores, sp.RAM = 100, 1, 1 }))
+				s.submit(n, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 100, 1, 1 }))
 			}
 			s.resync(g)
 			s.pass(g, ws, 8)
 		}
 		good := func() {
-			s.submit(n, spec("j-3", func(sp *wire.Spec) { sp.Pieces, sp.Cores, sp.RAM, sp.Rank = 12, 1, 1, "high" }))
+			s.submit(n, spec("j-3", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM, sp.Priority = 12, 1, 1, "high" }))
 			s.resync(g)
 			s.pass(g, ws, 8)
 		}
@@ -108,10 +108,10 @@
 		}
 		// They are known and can be cancelled.
 		for _, uid := range []string{"j-1", "j-2"} {
-			if _, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/"+uid, nil); v.Status != wire.JobQueued {
+			if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); v.Status != wire.JobQueued {
 				t.Errorf("%s: %+v, want queued", uid, v)
 			}
-			if code, v, _ := s.ask(n, http.MethodPost, wire.PathRuns+"/"+uid+"/"+wire.SuffixAbort, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
+			if code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
 				t.Errorf("abort of %s: %d %+v", uid, code, v)
 			}
 		}
@@ -121,7 +121,7 @@
 // Nothing is rented for a job that fails everywhere, and no room kept.
 func TestBadJobsRentNothing(t *testing.T) {
 	s, n, g, ws := crew(t, 4, "j-1")
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Pieces, sp.Cores, sp.RAM = 200, 4, 4 }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 200, 4, 4 }))
 	s.resync(g)
 	s.pass(g, ws, 90)
 	g.mu.Lock()
@@ -150,7 +150,7 @@
 		heartbeat(t, ga, w)
 		ws = append(ws, w)
 	}
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Pieces, sp.Cores, sp.RAM = 100, 1, 1 }))
+	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 100, 1, 1 }))
 	s.resync(ga)
 	s.pass(ga, ws, 10)
 	stop()
@@ -166,7 +166,7 @@
 // bad, its other tasks run, and machines are not banned for those that fail.
 func TestTasksThatFailInAGoodJob(t *testing.T) {
 	s, n, g, ws := crew(t, 6, "j-1/3", "j-1/7", "j-1/11", "j-1/12", "j-1/13", "j-1/14")
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Pieces, sp.Cores, sp.RAM = 40, 1, 1 }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 40, 1, 1 }))
 	s.resync(g)
 	s.pass(g, ws, 6)
 	for _, w := range ws {
@@ -190,7 +190,7 @@
 // whatever their class's run times.
 func TestLoanedReplicasAreSizedFor(t *testing.T) {
 	s, n, g, ws := crew(t, 1)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Shape, sp.Pieces, sp.ExpectS = wire.ShapeStanding, 12, 0 }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Kind, sp.Tasks, sp.ExpectedS = wire.KindService, 12, 0 }))
 	s.resync(g)
 	s.pass(g, ws, 30)
 	g.mu.Lock()
@@ -205,7 +205,7 @@
 // more seldom.
 func TestTaskThatFailsOnOneMachineIsNotSlowedDown(t *testing.T) {
 	s, n, g, ws := crew(t, 1)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Pieces, sp.Cores = 2, 2 }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 2, 2 }))
 	s.resync(g)
 	s.pass(g, ws, 6)
 	ws[0].End("j-1/0", wire.CauseDone)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -52,7 +52,7 @@
 	Accel    float64
 	RAM      float64
 	Bundle   string
-	Priority wire.Rank
+	Priority wire.Priority
 	Loaned   bool
 	Stow     float64
 	Saves    bool
@@ -145,16 +145,16 @@
 
 	list         []*Booking // in the order of their reservation
 	byKey        map[key]*Booking
-	live         int              // bookings that may be on it
-	unbooked     map[key]unbooked // tasks that the last report shows and that are not on the books
-	unbookedLive int              // of those, tasks that have not ended
-	past         wire.Mark        // as far as copies of an earlier process's reports may go, where the worker began to count anew
-	mixed        bool             // it adopted bookings of several sessions: those before the one that reports are over
-	missed       bool             // a direct command did not get through since the last heartbeat
-	told         uint64           // the token in the last answer
-	seen         []byte           // the task list of the last report, as it came
-	shown        uint64           // the token that it came with
-	steady       bool             // that list holds no news and asks for no orders
+	live         int                // bookings that may be on it
+	unbooked     map[key]unbooked   // tasks that the last report shows and that are not on the books
+	unbookedLive int                // of those, tasks that have not ended
+	past         wire.ReportVersion // as far as copies of an earlier process's reports may go, where the worker began to count anew
+	mixed        bool               // it adopted bookings of several sessions: those before the one that reports are over
+	missed       bool               // a direct command did not get through since the last heartbeat
+	told         uint64             // the token in the last answer
+	seen         []byte             // the task list of the last report, as it came
+	shown        uint64             // the token that it came with
+	steady       bool               // that list holds no news and asks for no orders
 	dueAt        clock.Micros
 	due          int // its index in the fleet's order of lease ends, plus one
 	heartbeat    *list.Element
@@ -170,7 +170,7 @@
 type unbooked struct{ status string }
 
 func (u unbooked) sign() recovery.Sign {
-	if u.status == wire.PieceEnded {
+	if u.status == wire.TaskEnded {
 		return recovery.SignEnded
 	}
 	return recovery.SignRunning
@@ -205,7 +205,7 @@
 	report     clock.Micros
 	quota      *quota.Ledger // what teams use: every booking has its part of it
 	machines   map[string]*Machine
-	builds     map[string]wire.Build
+	builds     map[string]wire.MachineType
 	first      uint64 // the term's first token
 	due        leases // machines with bookings, by when their lease may run out
 	heartbeats *list.List
@@ -250,7 +250,7 @@
 // their room from the ledger.
 func New(lease, report clock.Micros, first uint64, ledger *quota.Ledger) *Fleet {
 	return &Fleet{quota: ledger, first: first, lease: lease.Stretch(clock.Drift) + leaseMargin, report: report, machines: map[string]*Machine{},
-		builds: map[string]wire.Build{}, heartbeats: list.New(), doubts: map[*Booking]bool{}, repeats: map[*Booking]bool{},
+		builds: map[string]wire.MachineType{}, heartbeats: list.New(), doubts: map[*Booking]bool{}, repeats: map[*Booking]bool{},
 		unbooked: map[TaskID]map[*Machine]bool{}}
 }
 
@@ -275,7 +275,7 @@
 
 // SetCatalog tells the machine types, and gives machines seen before their size.
 func (f *Fleet) SetCatalog(c wire.Catalog) {
-	for _, b := range c.Builds {
+	for _, b := range c.MachineTypes {
 		f.builds[b.SKU] = b
 	}
 	for _, m := range f.machines {
@@ -284,8 +284,8 @@
 }
 
 func (f *Fleet) size(m *Machine) {
-	if b, ok := f.builds[m.Build]; ok && (m.Cores != b.Cores || m.Accel != b.Accel || m.RAM != b.RAM) {
-		m.Cores, m.Accel, m.RAM = b.Cores, b.Accel, b.RAM
+	if b, ok := f.builds[m.Build]; ok && (m.Cores != b.Cores || m.Accel != b.Accelerators || m.RAM != b.RAM) {
+		m.Cores, m.Accel, m.RAM = b.Cores, b.Accelerators, b.RAM
 		f.touch(m)
 	}
 }
@@ -312,7 +312,7 @@
 }
 
 // Build looks a machine type up.
-func (f *Fleet) Build(sku string) (wire.Build, bool) { b, ok := f.builds[sku]; return b, ok }
+func (f *Fleet) Build(sku string) (wire.MachineType, bool) { b, ok := f.builds[sku]; return b, ok }
 
 // Machine looks a machine up.
 func (f *Fleet) Machine(name string) *Machine { return f.machines[name] }
@@ -498,14 +498,14 @@
 // CountsAnew tells whether the worker is a process that began to count from the
 // start. Its heartbeats may prove nothing for long, and get no orders then: what it is
 // told goes to it directly.
-func (m *Machine) CountsAnew() bool { return m.past.Tenure > 0 }
+func (m *Machine) CountsAnew() bool { return m.past.Incarnation > 0 }
 
 // ambiguous tells whether a heartbeat may be a copy of what an earlier process of the
 // worker reported, though it counts higher than the present one has: that began
 // to count anew, so its sessions say nothing, and its tallies only once they are
 // beyond all that the earlier one can have reached. A question tells.
-func (m *Machine) ambiguous(rep *wire.Beat) bool {
-	return m.CountsAnew() && (rep.Tenure != m.Session || rep.Tenure == m.past.Tenure && rep.Tally <= m.past.Tally)
+func (m *Machine) ambiguous(rep *wire.Heartbeat) bool {
+	return m.CountsAnew() && (rep.Incarnation != m.Session || rep.Incarnation == m.past.Incarnation && rep.Sequence <= m.past.Sequence)
 }
 
 // Report takes in a worker's report. viaBeat tells a heartbeat from the body of a
@@ -516,39 +516,39 @@
 // A copy of a report may come long after it was made. What it can prove stays
 // true however late it is: an end, a newer session, and an absence only under
 // the conditions below. That the machine is there now, it cannot prove: see Trusted.
-func (f *Fleet) Report(now clock.Micros, rep *wire.Beat, viaHeartbeat bool) (news []News, fresh bool) {
-	m := f.Ensure(rep.Host, now)
-	if !m.Newer(rep.Tenure, rep.Tally) || viaHeartbeat && m.ambiguous(rep) {
+func (f *Fleet) Report(now clock.Micros, rep *wire.Heartbeat, viaHeartbeat bool) (news []News, fresh bool) {
+	m := f.Ensure(rep.Machine, now)
+	if !m.Newer(rep.Incarnation, rep.Sequence) || viaHeartbeat && m.ambiguous(rep) {
 		return nil, false
 	}
 	f.Visits++
-	f.Place(m, rep.Endpoint, rep.Build, rep.Yard, rep.Loaned)
-	if rep.Tenure > m.Session {
+	f.Place(m, rep.Endpoint, rep.MachineType, rep.Zone, rep.Preemptible)
+	if rep.Incarnation > m.Session {
 		// A new session: the worker has killed all that ran in the ones before.
 		// One that ended although it went on reporting, and was answered, either
 		// began anew or did not hear the answers: that alone does not tell which.
 		if m.Reported && !m.Suspect && viaHeartbeat && m.Session > 0 && now-m.LastHeartbeat < 2*f.report {
 			m.Unheard = max(m.Unheard, deafSigns-1)
 		}
-		news = append(news, f.dropSessions(m, rep.Tenure, now)...)
+		news = append(news, f.dropSessions(m, rep.Incarnation, now)...)
 		m.LeaseEnd = max(m.LeaseEnd, now+f.lease)
 		m.Images = map[string]bool{}
 		m.steady = false
 	}
-	if m.mixed && rep.Warrant >= f.first {
+	if m.mixed && rep.Token >= f.first {
 		// What a predecessor recorded in sessions before this one is gone, too. No
 		// copy from before the term shows its token.
 		m.mixed = false
-		news = append(news, f.dropSessions(m, rep.Tenure, now)...)
+		news = append(news, f.dropSessions(m, rep.Incarnation, now)...)
 	}
-	m.Session, m.Tally = rep.Tenure, rep.Tally
+	m.Session, m.Tally = rep.Incarnation, rep.Sequence
 	// A report made after an answer shows its token, if the answer was heard.
-	unheard := viaHeartbeat && (rep.Warrant < m.told || m.missed)
+	unheard := viaHeartbeat && (rep.Token < m.told || m.missed)
 	if viaHeartbeat {
 		m.missed = false
 	}
-	if rep.Warrant > m.Token {
-		m.Token = rep.Warrant
+	if rep.Token > m.Token {
+		m.Token = rep.Token
 		f.Obeyed(m)
 	}
 	warned := clock.Micros(0)
@@ -562,26 +562,26 @@
 	if viaHeartbeat {
 		f.heard(m, now)
 	}
-	if m.steady && !unheard && rep.Warrant == m.shown && bytes.Equal(m.seen, rep.Raw) && len(rep.Raw) > 0 {
+	if m.steady && !unheard && rep.Token == m.shown && bytes.Equal(m.seen, rep.RawTasks) && len(rep.RawTasks) > 0 {
 		return news, true
 	}
-	if err := rep.DecodePieces(); err != nil {
+	if err := rep.DecodeTasks(); err != nil {
 		return news, true // its task list is not readable: it proves nothing
 	}
-	shown := make(map[*Booking]bool, len(rep.Pieces))
+	shown := make(map[*Booking]bool, len(rep.Tasks))
 	before := m.unbookedLive
 	f.clearUnbooked(m)
 	held := len(m.Images)
-	for i := range rep.Pieces {
+	for i := range rep.Tasks {
 		f.Visits++
-		p := &rep.Pieces[i]
-		id, ok := ParseTask(p.Piece)
-		k := key{id, p.Try}
+		p := &rep.Tasks[i]
+		id, ok := ParseTask(p.Task)
+		k := key{id, p.Attempt}
 		var b *Booking
 		if ok {
 			b = m.byKey[k]
 		}
-		if b == nil || b.Session != rep.Tenure {
+		if b == nil || b.Session != rep.Incarnation {
 			if ok {
 				f.addUnbooked(m, k, p.Status)
 			}
@@ -592,21 +592,21 @@
 			f.Obeyed(m)
 		}
 		b.Status = p.Status
-		if p.Status != wire.PieceEnded {
+		if p.Status != wire.TaskEnded {
 			b.reservation.Shown()
 		}
-		if p.Status == wire.PieceRunning && !m.Images[b.Bundle] {
+		if p.Status == wire.TaskRunning && !m.Images[b.Bundle] {
 			m.Images[b.Bundle] = true
 			f.touch(m)
 		} else if _, known := m.Images[b.Bundle]; !known {
 			m.Images[b.Bundle] = false
 		}
-		if p.Status == wire.PieceRunning && b.Running == 0 {
+		if p.Status == wire.TaskRunning && b.Running == 0 {
 			b.Running = now
 			f.touch(m)
 			news = append(news, News{Booking: b, Started: true})
 		}
-		if p.Status == wire.PieceEnded && !b.Ended {
+		if p.Status == wire.TaskEnded && !b.Ended {
 			f.release(b, now)
 			b.Cause = p.Cause
 			news = append(news, News{Booking: b})
@@ -620,15 +620,15 @@
 		f.Visits++
 		// A higher token voids the copies of a /do that are on their way, of
 		// attempts that are shown as well.
-		if b.doubt > 0 && rep.Warrant > b.doubt {
+		if b.doubt > 0 && rep.Token > b.doubt {
 			f.setDoubt(b, 0, false)
 		}
 		// What has ended is steady too while only a higher token lets it be forgotten.
-		steady = steady && shown[b] && (b.Live() && !b.Halt || b.Status == wire.PieceEnded && b.doubt > 0)
-		if b.Session != rep.Tenure || shown[b] {
+		steady = steady && shown[b] && (b.Live() && !b.Halt || b.Status == wire.TaskEnded && b.doubt > 0)
+		if b.Session != rep.Incarnation || shown[b] {
 			return
 		}
-		unheard = unheard || viaHeartbeat && b.heartbeatTally > 0 && rep.Tally > b.heartbeatTally && b.Status == "" && !b.Ended
+		unheard = unheard || viaHeartbeat && b.heartbeatTally > 0 && rep.Sequence > b.heartbeatTally && b.Status == "" && !b.Ended
 		// Not in the report. A /do is dead once the worker has seen a higher token; the answer to a heartbeat is dead once a
 		// later heartbeat has come.
 		if b.copiesOut() {
@@ -640,7 +640,7 @@
 			}
 			return
 		}
-		if b.firstSent == 0 || !viaHeartbeat || rep.Tally <= b.heartbeatTally {
+		if b.firstSent == 0 || !viaHeartbeat || rep.Sequence <= b.heartbeatTally {
 			return
 		}
 		if b.Status == "" && !b.Halt {
@@ -651,7 +651,7 @@
 		news = append(news, News{Booking: b, Gone: true})
 	})
 	m.steady = steady
-	m.seen, m.shown = append(m.seen[:0], rep.Raw...), rep.Warrant
+	m.seen, m.shown = append(m.seen[:0], rep.RawTasks...), rep.Token
 	if unheard {
 		m.Unheard++
 		f.touch(m)
@@ -724,12 +724,12 @@
 // older session or tally than it did before the question is a new process:
 // its predecessor's tasks are gone with it, except those that a copy of a run,
 // still on its way, might start in the new one.
-func (f *Fleet) Answers(now clock.Micros, known wire.Mark, rep *wire.Beat) (news []News) {
-	m := f.machines[rep.Host]
+func (f *Fleet) Answers(now clock.Micros, known wire.ReportVersion, rep *wire.Heartbeat) (news []News) {
+	m := f.machines[rep.Machine]
 	if m == nil {
 		return nil
 	}
-	anew := rep.Tenure < known.Tenure || rep.Tenure == known.Tenure && rep.Tally <= known.Tally
+	anew := rep.Incarnation < known.Incarnation || rep.Incarnation == known.Incarnation && rep.Sequence <= known.Sequence
 	if anew {
 		m.Each(func(b *Booking) {
 			if b.copiesOut() {
@@ -741,16 +741,16 @@
 			}
 			f.Remove(b, now)
 		})
-		if reached := (wire.Mark{Tenure: m.Session, Tally: m.Tally + f.unseen()}); reached.Tenure >= m.past.Tenure {
+		if reached := (wire.ReportVersion{Incarnation: m.Session, Sequence: m.Tally + f.unseen()}); reached.Incarnation >= m.past.Incarnation {
 			m.past = reached
 		}
-		m.Session, m.Tally, m.Token = rep.Tenure, 0, rep.Warrant
+		m.Session, m.Tally, m.Token = rep.Incarnation, 0, rep.Token
 		m.Images, m.steady = map[string]bool{}, false
-		m.Reported = m.Reported && rep.Warrant >= f.first
+		m.Reported = m.Reported && rep.Token >= f.first
 		m.LeaseEnd = max(m.LeaseEnd, now+f.lease)
 		// What is in doubt may yet be started by the new process, under its session.
 		m.Each(func(b *Booking) {
-			b.Session, b.Status = rep.Tenure, ""
+			b.Session, b.Status = rep.Incarnation, ""
 			b.reservation.Doubt()
 		})
 		f.touch(m)
@@ -775,7 +775,9 @@
 func (f *Fleet) unseen() uint64 { return uint64(4 * f.lease / clock.Second) }
 
 // Mark is how far a machine's reports have come.
-func (m *Machine) Mark() wire.Mark { return wire.Mark{Tenure: m.Session, Tally: m.Tally} }
+func (m *Machine) Mark() wire.ReportVersion {
+	return wire.ReportVersion{Incarnation: m.Session, Sequence: m.Tally}
+}
 
 // Hush lists the machines whose last heartbeat is older than after, longest silent first.
 func (f *Fleet) Hush(now, after clock.Micros) (silent []*Machine) {
@@ -889,15 +891,15 @@
 
 // Orders lists what a worker should be told. For a heartbeat, the runs in it are
 // noted as carried by the answer to the heartbeat of this tally.
-func (f *Fleet) Orders(m *Machine, now clock.Micros, viaHeartbeat bool, scope Scope) []wire.Order {
-	orders := []wire.Order{}
+func (f *Fleet) Orders(m *Machine, now clock.Micros, viaHeartbeat bool, scope Scope) []wire.Command {
+	orders := []wire.Command{}
 	if m.steady {
 		return orders
 	}
 	if scope == OnlyHalts {
 		return f.halts(m, now)
 	}
-	var runs []wire.Order
+	var runs []wire.Command
 	for _, k := range sorted(m.unbooked) {
 		if len(orders) >= maxOrders {
 			break
@@ -906,10 +908,10 @@
 		case recovery.Stop:
 			// It is stopped, then forgotten.
 			zero := 0.0
-			orders = append(orders, wire.Order{Verb: wire.VerbHalt, Piece: k.task.String(), Try: k.attempt, LeewayS: &zero})
+			orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: k.task.String(), Attempt: k.attempt, GraceS: &zero})
 		case recovery.Release:
 			if viaHeartbeat && m.Token >= f.first {
-				orders = append(orders, wire.Order{Verb: wire.VerbForget, Piece: k.task.String(), Try: k.attempt})
+				orders = append(orders, wire.Command{Verb: wire.VerbForget, Task: k.task.String(), Attempt: k.attempt})
 			}
 		}
 	}
@@ -923,19 +925,19 @@
 		}
 		switch {
 		case b.Ended:
-			if b.Settled && !b.copiesOut() && b.Status == wire.PieceEnded {
-				orders = append(orders, wire.Order{Verb: wire.VerbForget, Piece: b.Task.String(), Try: b.Attempt})
-			} else if b.Status != "" && b.Status != wire.PieceEnded {
+			if b.Settled && !b.copiesOut() && b.Status == wire.TaskEnded {
+				orders = append(orders, wire.Command{Verb: wire.VerbForget, Task: b.Task.String(), Attempt: b.Attempt})
+			} else if b.Status != "" && b.Status != wire.TaskEnded {
 				// Started once more by a copy, in a new process.
 				zero := 0.0
-				orders = append(orders, wire.Order{Verb: wire.VerbHalt, Piece: b.Task.String(), Try: b.Attempt, LeewayS: &zero})
+				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: b.Task.String(), Attempt: b.Attempt, GraceS: &zero})
 			}
 		case b.Halt:
-			if b.Status != "" && b.Status != wire.PieceEnded {
+			if b.Status != "" && b.Status != wire.TaskEnded {
 				orders = append(orders, b.halt(now))
 			}
 		case b.Recorded && scope == Everything && b.Status == "" && b.flying == 0 && (viaHeartbeat || !b.WithHeartbeat || m.CountsAnew()):
-			runs = append(runs, wire.Order{Verb: wire.VerbRun, Piece: b.Task.String(), Try: b.Attempt})
+			runs = append(runs, wire.Command{Verb: wire.VerbRun, Task: b.Task.String(), Attempt: b.Attempt})
 			if viaHeartbeat {
 				b.heartbeatTally = m.Tally
 			}
@@ -949,11 +951,11 @@
 }
 
 // halts lists the stops of attempts that are on the machine.
-func (f *Fleet) halts(m *Machine, now clock.Micros) []wire.Order {
-	orders := []wire.Order{}
+func (f *Fleet) halts(m *Machine, now clock.Micros) []wire.Command {
+	orders := []wire.Command{}
 	for _, b := range m.list {
 		f.Visits++
-		if b.Halt && b.Live() && b.Session == m.Session && b.Status != "" && b.Status != wire.PieceEnded && len(orders) < maxOrders {
+		if b.Halt && b.Live() && b.Session == m.Session && b.Status != "" && b.Status != wire.TaskEnded && len(orders) < maxOrders {
 			orders = append(orders, b.halt(now))
 		}
 	}
@@ -961,9 +963,9 @@
 }
 
 // halt is the command that stops an attempt, with what is left of its leeway.
-func (b *Booking) halt(now clock.Micros) wire.Order {
+func (b *Booking) halt(now clock.Micros) wire.Command {
 	left := max(0, b.Leeway-(now-b.HaltAt).Seconds())
-	return wire.Order{Verb: wire.VerbHalt, Piece: b.Task.String(), Try: b.Attempt, LeewayS: &left}
+	return wire.Command{Verb: wire.VerbStop, Task: b.Task.String(), Attempt: b.Attempt, GraceS: &left}
 }
 
 func sorted(in map[key]unbooked) []key {
@@ -1000,13 +1002,13 @@
 	Machine *Machine
 	Session uint64
 	Token   uint64
-	Orders  []wire.Order
+	Orders  []wire.Command
 	runs    []*Booking
 }
 
 // Stops tells whether a flight carries nothing but stops.
 func (fl *Flight) Stops() bool {
-	return !slices.ContainsFunc(fl.Orders, func(o wire.Order) bool { return o.Verb != wire.VerbHalt })
+	return !slices.ContainsFunc(fl.Orders, func(o wire.Command) bool { return o.Verb != wire.VerbStop })
 }
 
 // Runs tells whether a flight carries runs.
@@ -1025,8 +1027,8 @@
 		if o.Verb != wire.VerbRun {
 			continue
 		}
-		if id, ok := ParseTask(o.Piece); ok {
-			b := m.byKey[key{id, o.Try}]
+		if id, ok := ParseTask(o.Task); ok {
+			b := m.byKey[key{id, o.Attempt}]
 			b.flying++
 			fl.runs = append(fl.runs, b)
 		}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -25,19 +25,19 @@
 	}
 }
 
-func rep(session, tally, token uint64, pieces ...wire.PieceReport) *wire.Beat {
-	return &wire.Beat{Host: "n-1", Endpoint: "e", Build: "b", Yard: "x", Tenure: session, Tally: tally, Warrant: token, Pieces: pieces}
+func rep(session, tally, token uint64, pieces ...wire.TaskReport) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "n-1", Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: session, Sequence: tally, Token: token, Tasks: pieces}
 }
 
-func shown(status, cause string) wire.PieceReport {
-	return wire.PieceReport{Piece: "j-1/0", Try: 1, Status: status, Cause: cause}
+func shown(status, cause string) wire.TaskReport {
+	return wire.TaskReport{Task: "j-1/0", Attempt: 1, Status: status, Cause: cause}
 }
 
 // booked is a fleet with one machine that has reported, and one recorded booking.
 func booked(t *testing.T) (*Fleet, *Machine, *Booking) {
 	t.Helper()
 	f := New(lease, report, 5, quota.NewLedger(nil))
-	f.SetCatalog(wire.Catalog{Builds: []wire.Build{{SKU: "b", Cores: 8, RAM: 32}}})
+	f.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8, RAM: 32}}})
 	f.Report(1, rep(1, 1, 0), true)
 	m := f.Machine("n-1")
 	f.Answered(m, 1, 5)
@@ -101,7 +101,7 @@
 	}{{Open, false}, {Executed, false}, {Void, true}} {
 		f, m, b := booked(t)
 		f.Landed(f.Launch(m, 2, 5, Everything), tt.out)
-		f.Report(3, rep(1, 2, 5, shown(wire.PieceEnded, wire.CauseDone)), false)
+		f.Report(3, rep(1, 2, 5, shown(wire.TaskEnded, wire.CauseDone)), false)
 		if !b.Ended || m.LiveCount() != 0 {
 			t.Fatal("end not taken in")
 		}
@@ -112,7 +112,7 @@
 		if waits := f.Repeats(5); waits != (tt.out == Executed) {
 			t.Errorf("outcome %v: waits for a higher token: %t", tt.out, waits)
 		}
-		f.Report(5, rep(1, 3, 6, shown(wire.PieceEnded, wire.CauseDone)), true)
+		f.Report(5, rep(1, 3, 6, shown(wire.TaskEnded, wire.CauseDone)), true)
 		if o := f.Orders(m, 6, true, Everything); len(o) != 1 || o[0].Verb != wire.VerbForget {
 			t.Errorf("outcome %v: orders %v under a higher token, want forget", tt.out, o)
 		}
@@ -147,13 +147,13 @@
 	seen := 0
 	for tally := uint64(2); tally < 4; tally++ {
 		o := f.Orders(m, 3, true, Everything)
-		if raw, err := wire.Marshal(wire.BeatAnswer{Warrant: 5, Orders: o}); err != nil || len(raw) > wire.MaxBody {
+		if raw, err := wire.Marshal(wire.HeartbeatResponse{Token: 5, Commands: o}); err != nil || len(raw) > wire.MaxBody {
 			t.Fatalf("%d orders take %d bytes", len(o), len(raw))
 		}
 		seen += len(o)
 		r := rep(1, tally, 5)
 		for _, run := range o {
-			r.Pieces = append(r.Pieces, wire.PieceReport{Piece: run.Piece, Try: run.Try, Status: wire.PieceRunning})
+			r.Tasks = append(r.Tasks, wire.TaskReport{Task: run.Task, Attempt: run.Attempt, Status: wire.TaskRunning})
 		}
 		f.Report(4, r, true)
 	}
@@ -166,20 +166,20 @@
 func TestOldReportsChangeNothing(t *testing.T) {
 	f, m, b := booked(t)
 	f.Orders(m, 2, true, Everything)
-	f.Report(3, rep(1, 9, 5, shown(wire.PieceRunning, "")), true)
-	for _, old := range []*wire.Beat{rep(1, 8, 5), rep(1, 9, 5)} {
+	f.Report(3, rep(1, 9, 5, shown(wire.TaskRunning, "")), true)
+	for _, old := range []*wire.Heartbeat{rep(1, 8, 5), rep(1, 9, 5)} {
 		if news, fresh := f.Report(4, old, true); fresh || len(news) > 0 {
-			t.Fatalf("report %d/%d taken in: %v", old.Tenure, old.Tally, news)
+			t.Fatalf("report %d/%d taken in: %v", old.Incarnation, old.Sequence, news)
 		}
 	}
-	if b.Status != wire.PieceRunning {
+	if b.Status != wire.TaskRunning {
 		t.Error("state overwritten")
 	}
 	// A newer session ends it; then reports of the old one are stale whatever their tally.
 	if news, _ := f.Report(5, rep(2, 1, 5), true); !gone(news) {
 		t.Fatal("a new session did not free it")
 	}
-	if _, fresh := f.Report(6, rep(1, 50, 5, shown(wire.PieceRunning, "")), true); fresh {
+	if _, fresh := f.Report(6, rep(1, 50, 5, shown(wire.TaskRunning, "")), true); fresh {
 		t.Error("report of an old session taken in")
 	}
 }
@@ -207,12 +207,12 @@
 
 func TestStrangers(t *testing.T) {
 	f, m, _ := booked(t)
-	other := wire.PieceReport{Piece: "j-9/4", Try: 3, Status: wire.PieceRunning}
+	other := wire.TaskReport{Task: "j-9/4", Attempt: 3, Status: wire.TaskRunning}
 	f.Report(2, rep(1, 2, 0, other), true)
-	if o := f.Orders(m, 2, true, NoRuns); len(o) != 1 || o[0].Verb != wire.VerbHalt {
+	if o := f.Orders(m, 2, true, NoRuns); len(o) != 1 || o[0].Verb != wire.VerbStop {
 		t.Fatalf("orders %v, want a halt", o)
 	}
-	other.Status = wire.PieceEnded
+	other.Status = wire.TaskEnded
 	// Ended, but a predecessor's run may still be out until this term's token was seen.
 	f.Report(3, rep(1, 3, 4, other), true)
 	if o := f.Orders(m, 3, true, NoRuns); len(o) != 0 {
@@ -276,13 +276,13 @@
 	}
 	tests := []struct {
 		name string
-		copy *wire.Beat
+		copy *wire.Heartbeat
 		run  func(f *Fleet, m *Machine, b *Booking)
 	}{
 		{"run in a heartbeat's answer, then shown", rep(1, 3, 5), func(f *Fleet, m *Machine, _ *Booking) {
 			heard(f, 4)
 			f.Orders(m, 3, true, Everything)
-			f.Report(4, rep(1, 5, 5, shown(wire.PieceRunning, "")), true)
+			f.Report(4, rep(1, 5, 5, shown(wire.TaskRunning, "")), true)
 		}},
 		{"run in a heartbeat's answer, stopped before it was shown", rep(1, 3, 5), func(f *Fleet, m *Machine, b *Booking) {
 			heard(f, 4)
@@ -303,7 +303,7 @@
 			heard(f, 2)
 			fl := f.Launch(m, 3, 5, Everything)
 			f.Landed(fl, Executed)
-			f.Report(4, rep(1, 4, 5, shown(wire.PieceRunning, "")), false)
+			f.Report(4, rep(1, 4, 5, shown(wire.TaskRunning, "")), false)
 		}},
 		{"an older session", rep(1, 9, 5), func(f *Fleet, m *Machine, _ *Booking) {
 			f.Report(3, rep(2, 1, 5), true)
@@ -330,7 +330,7 @@
 // it frees nothing that the record holds and does not make the machine trusted.
 func TestCopyAtNewLeader(t *testing.T) {
 	f := New(lease, report, 5, quota.NewLedger(nil))
-	f.SetCatalog(wire.Catalog{Builds: []wire.Build{{SKU: "b", Cores: 8, RAM: 32}}})
+	f.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8, RAM: 32}}})
 	m := f.Ensure("n-1", 1)
 	b := &Booking{Task: task0, Attempt: 1, Session: 1, Cores: 2}
 	f.Adopt(m, b, 1)
@@ -340,8 +340,8 @@
 	if m.Reported {
 		t.Error("a copy from before the term made the machine trusted")
 	}
-	f.Report(3, rep(1, 8, 5, shown(wire.PieceRunning, "")), true)
-	if !m.Reported || b.Status != wire.PieceRunning {
+	f.Report(3, rep(1, 8, 5, shown(wire.TaskRunning, "")), true)
+	if !m.Reported || b.Status != wire.TaskRunning {
 		t.Error("a report under this term's token was not believed")
 	}
 }
@@ -436,7 +436,7 @@
 			} else {
 				f.Landed(fl, Void)
 			}
-			runs := wire.PieceReport{Piece: "j-2/0", Try: 1, Status: wire.PieceRunning}
+			runs := wire.TaskReport{Task: "j-2/0", Attempt: 1, Status: wire.TaskRunning}
 			f.Answers(5, m.Mark(), rep(1, 3, 5, runs))
 			if b.Running == 0 {
 				t.Fatal("the answer of the new process is not believed")
@@ -479,7 +479,7 @@
 	if !b.Live() {
 		t.Error("its task was freed without proof")
 	}
-	f.Report(5, rep(1, 20, 5, shown(wire.PieceRunning, "")), true)
+	f.Report(5, rep(1, 20, 5, shown(wire.TaskRunning, "")), true)
 	if m.Deaf() {
 		t.Error("still deaf after it obeyed")
 	}
@@ -490,17 +490,17 @@
 func TestWorkOfReports(t *testing.T) {
 	visits := func(machines, tasks int) (plain, expiry int) {
 		f := New(lease, report, 5, quota.NewLedger(nil))
-		f.SetCatalog(wire.Catalog{Builds: []wire.Build{{SKU: "b", Cores: 1000, RAM: 4000}}})
-		var list []wire.PieceReport
+		f.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 1000, RAM: 4000}}})
+		var list []wire.TaskReport
 		for i := range machines {
 			name := fmt.Sprintf("n-%d", i)
-			f.Report(1, &wire.Beat{Host: name, Endpoint: "e", Build: "b", Yard: "x", Tenure: 1, Tally: 1, Warrant: 5}, true)
+			f.Report(1, &wire.Heartbeat{Machine: name, Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 1, Token: 5}, true)
 			for k := range tasks {
 				b := &Booking{Task: TaskID{Job: "j-1", Index: i*tasks + k}, Attempt: 1, Session: 1, Cores: 1}
 				reserve(t, f, f.Machine(name), b, 1)
 				b.Recorded = true
 				if i == 0 {
-					list = append(list, wire.PieceReport{Piece: b.Task.String(), Try: 1, Status: wire.PieceRunning})
+					list = append(list, wire.TaskReport{Task: b.Task.String(), Attempt: 1, Status: wire.TaskRunning})
 				}
 			}
 		}
@@ -510,9 +510,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Report(2, &wire.Beat{Host: "n-0", Endpoint: "e", Build: "b", Yard: "x", Tenure: 1, Tally: 2, Warrant: 5, Raw: raw}, true)
+		f.Report(2, &wire.Heartbeat{Machine: "n-0", Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 2, Token: 5, RawTasks: raw}, true)
 		f.Visits = 0
-		f.Report(3, &wire.Beat{Host: "n-0", Endpoint: "e", Build: "b", Yard: "x", Tenure: 1, Tally: 3, Warrant: 5, Raw: raw}, true)
+		f.Report(3, &wire.Heartbeat{Machine: "n-0", Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 3, Token: 5, RawTasks: raw}, true)
 		f.Orders(m, 3, true, Everything)
 		plain = f.Visits
 		f.Visits = 0
@@ -535,15 +535,15 @@
 // and direct commands that fail while reports come. Silence alone is no sign.
 func TestSignsOfDeafness(t *testing.T) {
 	f, m, _ := booked(t)
-	f.Report(2, rep(1, 2, 5, shown(wire.PieceRunning, "")), true)
+	f.Report(2, rep(1, 2, 5, shown(wire.TaskRunning, "")), true)
 	for tally := uint64(3); tally < 3+deafSigns; tally++ {
 		f.Answered(m, 2, 6)
-		f.Report(3, rep(1, tally, 5, shown(wire.PieceRunning, "")), true)
+		f.Report(3, rep(1, tally, 5, shown(wire.TaskRunning, "")), true)
 	}
 	if !m.Deaf() {
 		t.Error("not deaf though it never showed the token it was told")
 	}
-	f.Report(4, rep(1, 20, 6, shown(wire.PieceRunning, "")), true)
+	f.Report(4, rep(1, 20, 6, shown(wire.TaskRunning, "")), true)
 	if m.Deaf() {
 		t.Error("still deaf after it showed the token")
 	}
@@ -555,7 +555,7 @@
 	}
 	for tally := uint64(21); tally < 21+deafSigns; tally++ {
 		f.Missed(m)
-		f.Report(5, rep(1, tally, 6, shown(wire.PieceRunning, "")), true)
+		f.Report(5, rep(1, tally, 6, shown(wire.TaskRunning, "")), true)
 	}
 	if !m.Deaf() {
 		t.Error("not deaf though commands fail while its reports come")
--- a/fleet/order_test.go
+++ b/fleet/order_test.go
@@ -16,7 +16,7 @@
 // history is what one worker reports after a change of leader.
 type history struct {
 	recorded int // tasks that a predecessor recorded there, in session 1
-	reports  []*wire.Beat
+	reports  []*wire.Heartbeat
 }
 
 const termToken = 9
@@ -41,24 +41,24 @@
 		if r >= knows {
 			token = termToken
 		}
-		var tasks []wire.PieceReport
+		var tasks []wire.TaskReport
 		for i, end := range ends {
-			report := wire.PieceReport{Piece: fmt.Sprintf("j-1/%d", i), Try: 1, Status: wire.PieceRunning}
+			report := wire.TaskReport{Task: fmt.Sprintf("j-1/%d", i), Attempt: 1, Status: wire.TaskRunning}
 			if end >= 0 && r >= end {
-				report.Status, report.Cause = wire.PieceEnded, wire.CauseDone
+				report.Status, report.Cause = wire.TaskEnded, wire.CauseDone
 			}
 			if end >= 0 && session == 1 {
 				tasks = append(tasks, report)
 			}
 		}
 		if stranger {
-			tasks = append(tasks, wire.PieceReport{Piece: "j-9/0", Try: 7, Status: wire.PieceRunning})
+			tasks = append(tasks, wire.TaskReport{Task: "j-9/0", Attempt: 7, Status: wire.TaskRunning})
 		}
 		h.reports = append(h.reports, rep(session, uint64(r+1), token, tasks...))
 	}
 	// The worker knows the token in the end, and says so: what is in doubt before is not after.
 	last := *h.reports[n-1]
-	last.Tally, last.Warrant = uint64(n+1), termToken
+	last.Sequence, last.Token = uint64(n+1), termToken
 	h.reports = append(h.reports, &last)
 	return h
 }
@@ -74,7 +74,7 @@
 // play lets the reports come in the given order, each with the answer that it gets.
 func (h history) play(order []int) (o outcome) {
 	f := New(lease, report, termToken, quota.NewLedger(nil))
-	f.SetCatalog(wire.Catalog{Builds: []wire.Build{{SKU: "b", Cores: 8, RAM: 32}}})
+	f.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8, RAM: 32}}})
 	f.Decide = func(_ TaskID, sign recovery.Sign) recovery.Decision {
 		return recovery.Decide(recovery.Case{Job: recovery.JobUnrecorded, Attempt: recovery.AttemptOther, Sign: sign})
 	}
@@ -92,8 +92,8 @@
 		f.Report(now, &copied, true)
 		f.Answered(m, now, termToken)
 		for _, order := range f.Orders(m, now, true, Everything) {
-			if order.Verb == wire.VerbHalt {
-				o.Stopped = append(o.Stopped, order.Piece)
+			if order.Verb == wire.VerbStop {
+				o.Stopped = append(o.Stopped, order.Task)
 			}
 		}
 	}
--- a/fleet/unbooked.go
+++ b/fleet/unbooked.go
@@ -123,7 +123,7 @@
 		return
 	}
 	b.Status = shown.status
-	if b.Status == wire.PieceRunning {
+	if b.Status == wire.TaskRunning {
 		b.Running = now
 	}
 	delete(m.unbooked, k)
--- a/fleetsize.go
+++ b/fleetsize.go
@@ -89,8 +89,8 @@
 	// Kept durably, so that any node and any later leader can judge submissions
 	// while the cloud does not answer.
 	epoch, err := g.st.Commit(ctx, store.Urgent, wire.Txn{
-		When:  []wire.When{{Path: store.KeyLead, Stamp: g.r.Stamp}},
-		Apply: []wire.Apply{{Set: store.KeyCatalog, Value: cat}},
+		Conditions: []wire.Condition{{Key: store.KeyLead, ModRevision: g.r.Stamp}},
+		Operations: []wire.Operation{{Set: store.KeyCatalog, Value: cat}},
 	})
 	if err != nil {
 		g.log.Debug("keep catalogue", "error", err)
@@ -106,8 +106,8 @@
 // guaranteed. The caller holds mu.
 func (g *term) checkGuarantees(cat wire.Catalog) {
 	var most quota.Amount
-	for _, b := range cat.Builds {
-		machine := quota.NewAmount(b.Cores, b.Accel)
+	for _, b := range cat.MachineTypes {
+		machine := quota.NewAmount(b.Cores, b.Accelerators)
 		most.Cores, most.Accelerators = max(most.Cores, machine.Cores), max(most.Accelerators, machine.Accelerators)
 	}
 	most = most.Times(g.op.Fleet.MaxMachines)
@@ -117,12 +117,12 @@
 }
 
 func sameSizes(a, b wire.Catalog) bool {
-	if len(a.Builds) != len(b.Builds) {
+	if len(a.MachineTypes) != len(b.MachineTypes) {
 		return false
 	}
-	for i := range a.Builds {
-		x, y := a.Builds[i], b.Builds[i]
-		if x.SKU != y.SKU || x.Cores != y.Cores || x.RAM != y.RAM || x.Accel != y.Accel || fmt.Sprint(x.Yards) != fmt.Sprint(y.Yards) {
+	for i := range a.MachineTypes {
+		x, y := a.MachineTypes[i], b.MachineTypes[i]
+		if x.SKU != y.SKU || x.Cores != y.Cores || x.RAM != y.RAM || x.Accelerators != y.Accelerators || fmt.Sprint(x.Zones) != fmt.Sprint(y.Zones) {
 			return false
 		}
 	}
@@ -161,7 +161,7 @@
 			m.FirstSeen = now - clock.FromSeconds(h.HeldS)
 		}
 		if m.Zone == "" {
-			g.fl.Place(m, h.Endpoint, h.Build, h.Yard, h.Loaned)
+			g.fl.Place(m, h.Endpoint, h.Type, h.Zone, h.Preemptible)
 		}
 		m.Listed, m.ListedAt = h.Status, now
 	}
@@ -190,10 +190,10 @@
 
 // classRun is how long tasks of a class have run, which owners' estimates miss by half or more.
 func (g *term) classRun(j *job) clock.Micros {
-	if st := g.classes[j.spec.Lane]; st.n >= 8 {
+	if st := g.classes[j.spec.Class]; st.n >= 8 {
 		return st.mean()
 	}
-	return clock.FromSeconds(max(1, j.spec.ExpectS))
+	return clock.FromSeconds(max(1, j.spec.ExpectedS))
 }
 
 // drains says how fast a job's class should be worked off: in how many seconds
@@ -203,19 +203,19 @@
 func (g *term) drains(j *job, run float64) (drain, patient float64) {
 	f := &g.op.Fleet
 	drain = f.QueueS
-	if j.priority >= wire.RankHigh {
+	if j.priority >= wire.PriorityHigh {
 		drain = f.UrgentS
 	}
 	patient = drain * f.Patience
 	ready := 0.0
-	for i, b := range g.catalog.Builds {
-		if i == 0 || b.ReadyS < ready {
-			ready = b.ReadyS
+	for i, b := range g.catalog.MachineTypes {
+		if i == 0 || b.BootS < ready {
+			ready = b.BootS
 		}
 	}
 	within := 0.0
 	for _, o := range g.cfg.Facts.Objectives {
-		if o.Kind == "finished" && o.Class == j.spec.Lane && (within == 0 || o.WithinS < within) {
+		if o.Kind == "finished" && o.Class == j.spec.Class && (within == 0 || o.WithinS < within) {
 			within = o.WithinS
 		}
 	}
@@ -233,7 +233,7 @@
 	const soonest, latest = 30, 300
 	within := 0.0
 	for _, o := range g.cfg.Facts.Objectives {
-		if o.Kind == "finished" && o.Class == j.spec.Lane && (within == 0 || o.WithinS < within) {
+		if o.Kind == "finished" && o.Class == j.spec.Class && (within == 0 || o.WithinS < within) {
 			within = o.WithinS
 		}
 	}
@@ -263,11 +263,11 @@
 func (g *term) grantable() parts {
 	waiting := map[string]quota.Amount{}
 	for j := range g.queue {
-		if j.cancelled || j.failures.bad || !g.quota.Limits(j.spec.Owner).Limited() || !g.mayGrow(j) {
+		if j.cancelled || j.failures.bad || !g.quota.Limits(j.spec.Team).Limited() || !g.mayGrow(j) {
 			continue
 		}
 		_, left := j.unfinished()
-		waiting[j.spec.Owner] = waiting[j.spec.Owner].Plus(j.task().Times(left))
+		waiting[j.spec.Team] = waiting[j.spec.Team].Plus(j.task().Times(left))
 	}
 	out := make(parts, len(waiting))
 	for team, amount := range waiting {
@@ -278,7 +278,7 @@
 
 // mayRun is how many of a job's waiting tasks its team's limit lets run. The caller holds mu.
 func (g *term) mayRun(j *job, waiting int, grantable parts) float64 {
-	part, limited := grantable[j.spec.Owner]
+	part, limited := grantable[j.spec.Team]
 	switch {
 	case !g.mayGrow(j):
 		return 0
@@ -313,12 +313,12 @@
 		add := func(l *cloud.Load, n float64) {
 			l.Cores += n * s.Cores
 			l.RAM += n * s.RAM
-			l.Accel += n * s.Accel
+			l.Accel += n * s.Accelerators
 		}
-		if !s.Loaned {
+		if !s.Preemptible {
 			add(&need.Ordinary, running+waiting)
 			need.MaxCores = max(need.MaxCores, s.Cores)
-			need.Apart = need.Apart || s.Apart
+			need.Apart = need.Apart || s.Spread
 			continue
 		}
 		if j.standing() {
@@ -413,8 +413,8 @@
 		if j.running == 0 && !g.mayGrow(j) {
 			continue // its team is at its limit: no machine would help it
 		}
-		w := cloud.Bound{Builds: s.Builds, Zone: s.Yard, Loaned: s.Loaned, Task: cloud.Load{Cores: s.Cores, RAM: s.RAM, Accel: s.Accel}}
-		k := key{zone: s.Yard, builds: strings.Join(s.Builds, " "), loaned: s.Loaned}
+		w := cloud.Bound{Builds: s.MachineTypes, Zone: s.Zone, Loaned: s.Preemptible, Task: cloud.Load{Cores: s.Cores, RAM: s.RAM, Accel: s.Accelerators}}
+		k := key{zone: s.Zone, builds: strings.Join(s.MachineTypes, " "), loaned: s.Preemptible}
 		fits := false
 		for h := range kinds {
 			if b, known := g.fl.Build(h.build); known && w.Holds(b, h.zone, h.loaned) {
@@ -427,7 +427,7 @@
 		}
 		if w.Zone != "" || w.Builds != nil {
 			at := float64(left)
-			if !j.standing() && s.Loaned {
+			if !j.standing() && s.Preemptible {
 				run := g.classRun(j).Seconds()
 				drain, _ := g.drains(j, run)
 				at = min(at, at*run/drain)
@@ -493,16 +493,16 @@
 		}
 	}
 	var zones []string
-	for _, b := range g.catalog.Builds {
-		zones = append(zones, b.Yards...)
+	for _, b := range g.catalog.MachineTypes {
+		zones = append(zones, b.Zones...)
 	}
 	for _, j := range jobs {
 		s := &j.spec
-		w := cloud.Bound{Builds: s.Builds, Zone: s.Yard, Loaned: s.Loaned, Task: cloud.Load{Cores: s.Cores, RAM: s.RAM, Accel: s.Accel}}
-		if w.Zone == "" && (s.SamePlace || s.Apart) {
+		w := cloud.Bound{Builds: s.MachineTypes, Zone: s.Zone, Loaned: s.Preemptible, Task: cloud.Load{Cores: s.Cores, RAM: s.RAM, Accel: s.Accelerators}}
+		if w.Zone == "" && (s.SameZone || s.Spread) {
 			w.Zone = j.leftZone(zones)
 		}
-		if s.SamePlace && len(j.pj.Zones) == 0 {
+		if s.SameZone && len(j.pj.Zones) == 0 {
 			w.Together = len(j.waiting)
 		}
 		w.Not = map[string]bool{}
@@ -528,7 +528,7 @@
 	}
 	for _, z := range zones {
 		n, best := j.pj.Zones[z], j.pj.Zones[zone]
-		if zone == "" || j.spec.SamePlace && n > best || j.spec.Apart && n < best {
+		if zone == "" || j.spec.SameZone && n > best || j.spec.Spread && n < best {
 			zone = z
 		}
 	}
@@ -558,8 +558,8 @@
 		return
 	}
 	if _, err := g.st.Commit(ctx, store.Normal, wire.Txn{
-		When:  []wire.When{{Path: store.KeyLead, Stamp: g.r.Stamp}},
-		Apply: []wire.Apply{{Set: store.KeyDemand, Value: rec}},
+		Conditions: []wire.Condition{{Key: store.KeyLead, ModRevision: g.r.Stamp}},
+		Operations: []wire.Operation{{Set: store.KeyDemand, Value: rec}},
 	}); err != nil {
 		g.log.Debug("keep demand", "error", err)
 	}
@@ -568,7 +568,7 @@
 // resize decides and carries out one sizing pass.
 func (g *term) resize(ctx context.Context) {
 	g.mu.Lock()
-	if _, may := g.el.MayOrder(); !may || len(g.catalog.Builds) == 0 {
+	if _, may := g.el.MayOrder(); !may || len(g.catalog.MachineTypes) == 0 {
 		g.mu.Unlock()
 		return
 	}
@@ -603,7 +603,7 @@
 		if g.usable(m, now) {
 			h.Free.Cores, h.Free.Accel, h.Free.RAM = m.Free()
 		} else if b, known := g.fl.Build(m.Build); known && !h.Up {
-			h.Free = cloud.Load{Cores: b.Cores, RAM: b.RAM, Accel: b.Accel}
+			h.Free = cloud.Load{Cores: b.Cores, RAM: b.RAM, Accel: b.Accelerators}
 		}
 		h.Live += m.Unbooked()
 		if m.IdleFrom > 0 && m.Unbooked() == 0 {
@@ -611,8 +611,8 @@
 		}
 		// What was up and has been silent for two reports is replaced at once: a
 		// machine takes longer to boot than a lease to run out.
-		h.Lost = m.Banned != "" || m.Returning || m.Listed == wire.HostFailed || m.Reported && (m.Hushed || m.Suspect) ||
-			!m.Reported && m.ListedAt > 0 && m.Listed != wire.HostBooting && now-m.FirstSeen > silent ||
+		h.Lost = m.Banned != "" || m.Returning || m.Listed == wire.MachineFailed || m.Reported && (m.Hushed || m.Suspect) ||
+			!m.Reported && m.ListedAt > 0 && m.Listed != wire.MachineBooting && now-m.FirstSeen > silent ||
 			g.unheard[m] && !m.Reported && now-g.r.Since > 2*report+2*clock.Second && !reconnecting || overdue.CountedOut[m.Name]
 		held = append(held, h)
 		if g.unheard[m] && !m.Reported && now-g.r.Since > 2*report || m.Reported && (m.Hushed || m.Suspect) {
@@ -621,10 +621,10 @@
 		} else if m.Reported {
 			known[m.Zone]++
 		}
-		dead := m.Listed == wire.HostFailed ||
+		dead := m.Listed == wire.MachineFailed ||
 			overdue.GivenUp[m.Name] ||
 			m.Reported && now-max(m.LastHeartbeat, g.awake) > silent ||
-			!m.Reported && m.Listed == wire.HostRunning && now-max(m.FirstSeen, g.r.Since, g.awake) > silent ||
+			!m.Reported && m.Listed == wire.MachineRunning && now-max(m.FirstSeen, g.r.Since, g.awake) > silent ||
 			(m.Banned == "sick" || m.Banned == "slow") && h.Live == 0 ||
 			m.Returning
 		if dead && !m.Returning {
@@ -638,9 +638,9 @@
 	for _, p := range g.pending {
 		for h := range p.hosts {
 			if m := g.fl.Machine(h); m == nil || m.Build == "" {
-				b, _ := g.fl.Build(p.req.Build)
-				held = append(held, cloud.Held{Name: h, Build: p.req.Build, Zone: p.req.Yard, Loaned: p.req.Loaned,
-					Free: cloud.Load{Cores: b.Cores, RAM: b.RAM, Accel: b.Accel}})
+				b, _ := g.fl.Build(p.req.MachineType)
+				held = append(held, cloud.Held{Name: h, Build: p.req.MachineType, Zone: p.req.Zone, Loaned: p.req.Preemptible,
+					Free: cloud.Load{Cores: b.Cores, RAM: b.RAM, Accel: b.Accelerators}})
 			}
 		}
 	}
@@ -674,7 +674,7 @@
 	need := g.demand(now)
 	need.Bound, need.Stuck = g.bound(held), g.stuck(now, stuckAfter)
 	need.Waiting = g.stuck(now, waitsAfter)
-	v := cloud.Size(g.catalog.Builds, held, need, refused)
+	v := cloud.Size(g.catalog.MachineTypes, held, need, refused)
 	for _, name := range v.Cordon {
 		g.fl.Machine(name).Cordoned = true
 		g.touched[g.fl.Machine(name)] = true
@@ -695,7 +695,7 @@
 		"up", fmt.Sprint(cores), "unused", fmt.Sprint(idle), "rent", fmt.Sprint(v.Rent), "cordon", len(v.Cordon), "uncordon", len(v.Uncordon), "return", fmt.Sprint(giveUp))
 	g.mu.Unlock()
 	if len(giveUp) > 0 {
-		g.giveBack(ctx, giveUp[:min(len(giveUp), wire.MaxReturn)])
+		g.giveBack(ctx, giveUp[:min(len(giveUp), wire.MaxReturnPerRequest)])
 	}
 	if v.Capped && now-g.capped > 10*clock.Second {
 		g.capped = now
@@ -716,8 +716,8 @@
 // batches splits rentals into what one request may ask for, at most so many requests.
 func batches(wishes []cloud.Wish, most int) (out []cloud.Wish) {
 	for _, w := range wishes {
-		for left := w.Count; left > 0 && len(out) < max(4, most); left -= wire.MaxRentCount {
-			w.Count = min(left, wire.MaxRentCount)
+		for left := w.Count; left > 0 && len(out) < max(4, most); left -= wire.MaxRentPerRequest {
+			w.Count = min(left, wire.MaxRentPerRequest)
 			out = append(out, w)
 		}
 	}
@@ -775,7 +775,7 @@
 func (g *term) rent(ctx context.Context, w cloud.Wish) {
 	g.mu.Lock()
 	g.hireSeq++
-	req := wire.RentRequest{Hire: fmt.Sprintf("r-%d-%d", g.r.Token, g.hireSeq), Build: w.Build, Yard: w.Zone, Loaned: w.Loaned, Count: min(w.Count, wire.MaxRentCount)}
+	req := wire.RentRequest{RequestID: fmt.Sprintf("r-%d-%d", g.r.Token, g.hireSeq), MachineType: w.Build, Zone: w.Zone, Preemptible: w.Loaned, Count: min(w.Count, wire.MaxRentPerRequest)}
 	g.mu.Unlock()
 	asked := g.ck.Now()
 	var hosts []string
@@ -811,7 +811,7 @@
 			g.cameUp(m, now) // before the cloud had answered
 		}
 	}
-	g.pending[req.Hire] = h
+	g.pending[req.RequestID] = h
 	g.log.Info("machines rented", "build", w.Build, "zone", w.Zone, "loaned", w.Loaned, "hosts", fmt.Sprint(hosts))
 }
 
@@ -827,8 +827,8 @@
 
 // ready is how long a type takes to boot, by the catalogue.
 func (g *term) ready(build string) clock.Micros {
-	if b, ok := g.fl.Build(build); ok && b.ReadyS > 0 {
-		return clock.FromSeconds(b.ReadyS)
+	if b, ok := g.fl.Build(build); ok && b.BootS > 0 {
+		return clock.FromSeconds(b.BootS)
 	}
 	return 60 * clock.Second
 }
@@ -840,7 +840,7 @@
 	settled := now-max(g.awake, g.r.Since) > 3*clock.FromSeconds(g.cfg.Facts.Cloud.ListLagS)
 	var booting []cloud.Booting
 	g.fl.All(func(m *fleet.Machine) {
-		if m.Reported || m.Listed != wire.HostBooting || m.Returning || m.AnsweredAt > 0 {
+		if m.Reported || m.Listed != wire.MachineBooting || m.Returning || m.AnsweredAt > 0 {
 			return
 		}
 		from, rented := g.asked[m.Name]
--- a/gap_test.go
+++ b/gap_test.go
@@ -71,14 +71,14 @@
 
 func (s *site) status(n *Service, uid, want string) {
 	s.t.Helper()
-	if code, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/"+uid, nil); code != http.StatusOK || v.Status != want {
+	if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); code != http.StatusOK || v.Status != want {
 		s.t.Fatalf("%s at %s: %d %q, want %q", uid, n.cfg.Node, code, v.Status, want)
 	}
 }
 
 func (s *site) abort(n *Service, uid string) {
 	s.t.Helper()
-	if code, v, _ := s.ask(n, http.MethodPost, wire.PathRuns+"/"+uid+"/abort", nil); code != http.StatusOK || v.Status != wire.JobCancelled {
+	if code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/"+uid+"/abort", nil); code != http.StatusOK || v.Status != wire.JobCancelled {
 		s.t.Fatalf("abort of %s at %s: %d %q", uid, n.cfg.Node, code, v.Status)
 	}
 }
@@ -214,7 +214,7 @@
 	}
 	// The answer to the change is lost, and it may be done any time.
 	s.state.DelayNext()
-	if code, _, _ := s.ask(nodes[1], http.MethodPost, wire.PathRuns+"/j-2/abort", nil); code != http.StatusServiceUnavailable {
+	if code, _, _ := s.ask(nodes[1], http.MethodPost, wire.PathJobs+"/j-2/abort", nil); code != http.StatusServiceUnavailable {
 		t.Fatalf("an abort of unknown outcome: %d", code)
 	}
 	// j-3 may be there, too: it was asked of both other nodes, and one of them did it.
--- a/internal/standin/events.go
+++ b/internal/standin/events.go
@@ -41,14 +41,14 @@
 // tell tells of a task. The caller holds mu.
 func (m *Machine) tell(kind EventKind, t *task, cause string) {
 	if m.Watch != nil {
-		m.Watch(Event{At: time.Now(), Machine: m.Host.UID, Kind: kind, Task: t.Piece, Attempt: t.Try, Cause: cause})
+		m.Watch(Event{At: time.Now(), Machine: m.Host.UID, Kind: kind, Task: t.Task, Attempt: t.Attempt, Cause: cause})
 	}
 }
 
 // tellOrder tells of a command. The caller holds mu.
-func (m *Machine) tellOrder(o wire.Order, live bool) {
+func (m *Machine) tellOrder(o wire.Command, live bool) {
 	if m.Watch != nil {
-		m.Watch(Event{At: time.Now(), Machine: m.Host.UID, Kind: EventOrdered, Task: o.Piece, Attempt: o.Try, Verb: o.Verb, Live: live})
+		m.Watch(Event{At: time.Now(), Machine: m.Host.UID, Kind: EventOrdered, Task: o.Task, Attempt: o.Attempt, Verb: o.Verb, Live: live})
 	}
 }
 
@@ -68,13 +68,13 @@
 }
 
 // answered notes that a report that was sent then was. The caller holds mu.
-func (m *Machine) answered(rep wire.Beat, sent time.Time) {
-	for _, p := range rep.Pieces {
-		if p.Status != wire.PieceEnded {
+func (m *Machine) answered(rep wire.Heartbeat, sent time.Time) {
+	for _, p := range rep.Tasks {
+		if p.Status != wire.TaskEnded {
 			continue
 		}
 		for _, t := range m.tasks {
-			if t.told.IsZero() && t.Piece == p.Piece && t.Try == p.Try {
+			if t.told.IsZero() && t.Task == p.Task && t.Attempt == p.Attempt {
 				t.told = sent
 			}
 		}
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -36,13 +36,13 @@
 // Machine is a machine with its worker, which follows the protocol by itself:
 // it reports, keeps its lease, runs tasks and carries commands out.
 type Machine struct {
-	Host   wire.Host
-	Build  wire.Build
+	Host   wire.Machine
+	Build  wire.MachineType
 	Report time.Duration
 	Lease  time.Duration
 	Nodes  []string // names of the controllers
 	// Beat carries a report to a controller and gives its answer.
-	Beat func(ctx context.Context, m *Machine, node string, rep wire.Beat) (status int, body []byte, err error)
+	Beat func(ctx context.Context, m *Machine, node string, rep wire.Heartbeat) (status int, body []byte, err error)
 	// Held tells for how long the network holds a direct command up that comes now.
 	Held func() time.Duration
 	// Again tells how long after it was executed a copy of a direct command
@@ -76,13 +76,13 @@
 }
 
 type task struct {
-	wire.PieceReport
+	wire.TaskReport
 	spec wire.Spec
 	due  time.Time // of the image, then of the end
 	told time.Time // when the first answered report of its end was sent
 }
 
-func (t *task) live() bool { return t.Status != wire.PieceEnded }
+func (t *task) live() bool { return t.Status != wire.TaskEnded }
 
 // Begin boots the machine, which is there until ctx ends.
 func (m *Machine) Begin(ctx context.Context) {
@@ -137,31 +137,31 @@
 	m.lapse(now)
 	until := m.told.Add(m.Lease)
 	for _, t := range m.tasks {
-		if t.Status == wire.PieceFlushing && !now.Before(t.due) {
-			t.Status, t.Cause, t.Kept = wire.PieceEnded, wire.CauseStopped, true
+		if t.Status == wire.TaskFlushing && !now.Before(t.due) {
+			t.Status, t.Cause, t.Checkpointed = wire.TaskEnded, wire.CauseStopped, true
 			m.changed = true
 			m.tell(EventEnded, t, wire.CauseStopped)
 		}
-		if t.Status == wire.PieceFetching && !now.Before(t.due) {
-			t.Status = wire.PieceRunning
-			if m.Ledger.Fails(m, t.Piece) {
-				t.Status, t.Cause = wire.PieceEnded, wire.CauseError
+		if t.Status == wire.TaskFetching && !now.Before(t.due) {
+			t.Status = wire.TaskRunning
+			if m.Ledger.Fails(m, t.Task) {
+				t.Status, t.Cause = wire.TaskEnded, wire.CauseError
 				m.changed = true
 				m.tell(EventEnded, t, wire.CauseError)
 				continue
 			}
-			t.due = now.Add(m.Ledger.RunTime(t.Piece))
+			t.due = now.Add(m.Ledger.RunTime(t.Task))
 			m.changed = true
 			m.tell(EventStarted, t, "")
-			started = append(started, t.Piece)
+			started = append(started, t.Task)
 		}
-		if t.Status == wire.PieceRunning && t.spec.Shape == wire.ShapeBatch && !now.Before(t.due) {
-			t.Status, t.Cause = wire.PieceEnded, wire.CauseDone
+		if t.Status == wire.TaskRunning && t.spec.Kind == wire.KindBatch && !now.Before(t.due) {
+			t.Status, t.Cause = wire.TaskEnded, wire.CauseDone
 			m.changed = true
 			m.tell(EventEnded, t, wire.CauseDone)
-			completed = append(completed, t.Piece)
+			completed = append(completed, t.Task)
 		}
-		if t.live() && !(t.Status == wire.PieceRunning && t.spec.Shape != wire.ShapeBatch) && t.due.Before(until) {
+		if t.live() && !(t.Status == wire.TaskRunning && t.spec.Kind != wire.KindBatch) && t.due.Before(until) {
 			until = t.due
 		}
 	}
@@ -191,17 +191,17 @@
 }
 
 // report builds the current report. The caller holds mu.
-func (m *Machine) report() wire.Beat {
+func (m *Machine) report() wire.Heartbeat {
 	m.tally++
 	h := m.Host
-	b := wire.Beat{Host: h.UID, Endpoint: h.Endpoint, Build: h.Build, Yard: h.Yard, Loaned: h.Loaned,
-		Tenure: m.session, Tally: m.tally, Warrant: m.token, Pieces: []wire.PieceReport{}}
+	b := wire.Heartbeat{Machine: h.UID, Endpoint: h.Endpoint, MachineType: h.Type, Zone: h.Zone, Preemptible: h.Preemptible,
+		Incarnation: m.session, Sequence: m.tally, Token: m.token, Tasks: []wire.TaskReport{}}
 	if !m.takenAt.IsZero() {
 		left := max(0, time.Until(m.takenAt).Seconds())
 		b.WarningS = &left
 	}
 	for _, t := range m.tasks {
-		b.Pieces = append(b.Pieces, t.PieceReport)
+		b.Tasks = append(b.Tasks, t.TaskReport)
 	}
 	return b
 }
@@ -238,21 +238,21 @@
 		m.lapse(time.Now())
 		switch status {
 		case http.StatusOK:
-			var a wire.BeatAnswer
-			if msgpack.Unmarshal(body, &a) != nil || rep.Tenure != m.session || a.Warrant < m.token {
+			var a wire.HeartbeatResponse
+			if msgpack.Unmarshal(body, &a) != nil || rep.Incarnation != m.session || a.Token < m.token {
 				return // it stays here while its lease runs out
 			}
 			if now.After(m.told) {
 				m.told = now
 			}
-			m.see(a.Warrant)
+			m.see(a.Token)
 			m.answered(rep, now)
-			m.execute(a.Orders)
+			m.execute(a.Commands)
 			return
 		case http.StatusMisdirectedRequest:
 			var r wire.Redirect
 			_ = msgpack.Unmarshal(body, &r)
-			if i := slices.Index(m.Nodes, r.Steward); i >= 0 && i != m.node {
+			if i := slices.Index(m.Nodes, r.Leader); i >= 0 && i != m.node {
 				m.node = i
 				m.next = time.Now().Add(time.Duration(m.tally*89%500) * time.Millisecond)
 				return
@@ -274,26 +274,26 @@
 }
 
 // execute runs commands in order. The caller holds mu.
-func (m *Machine) execute(orders []wire.Order) {
+func (m *Machine) execute(orders []wire.Command) {
 	for _, o := range orders {
-		i := slices.IndexFunc(m.tasks, func(t *task) bool { return t.Piece == o.Piece && t.Try == o.Try })
+		i := slices.IndexFunc(m.tasks, func(t *task) bool { return t.Task == o.Task && t.Attempt == o.Attempt })
 		m.tellOrder(o, i >= 0 && m.tasks[i].live())
 		switch {
 		case o.Verb == wire.VerbRun && i < 0:
 			m.start(o)
 			m.changed = true
-		case o.Verb == wire.VerbHalt && i >= 0 && m.tasks[i].live():
+		case o.Verb == wire.VerbStop && i >= 0 && m.tasks[i].live():
 			t, leeway := m.tasks[i], 0.0
-			if o.LeewayS != nil {
-				leeway = *o.LeewayS
+			if o.GraceS != nil {
+				leeway = *o.GraceS
 			}
 			switch {
-			case t.Status == wire.PieceRunning && t.spec.BookmarkS > 0 && leeway >= t.spec.StowS:
-				t.Status, t.due = wire.PieceFlushing, time.Now().Add(time.Duration(t.spec.StowS*float64(time.Second)))
-			case t.Status == wire.PieceFlushing && leeway > 0:
+			case t.Status == wire.TaskRunning && t.spec.CheckpointIntervalS > 0 && leeway >= t.spec.CheckpointGraceS:
+				t.Status, t.due = wire.TaskFlushing, time.Now().Add(time.Duration(t.spec.CheckpointGraceS*float64(time.Second)))
+			case t.Status == wire.TaskFlushing && leeway > 0:
 				continue // it saves already
 			default:
-				t.Status, t.Cause = wire.PieceEnded, wire.CauseStopped
+				t.Status, t.Cause = wire.TaskEnded, wire.CauseStopped
 				m.tell(EventEnded, t, wire.CauseStopped)
 			}
 			m.changed = true
@@ -304,14 +304,14 @@
 	}
 }
 
-func (m *Machine) start(o wire.Order) {
-	uid, _, _ := strings.Cut(o.Piece, "/")
+func (m *Machine) start(o wire.Command) {
+	uid, _, _ := strings.Cut(o.Task, "/")
 	spec, known := m.Ledger.Job(uid)
-	t := &task{PieceReport: wire.PieceReport{Piece: o.Piece, Try: o.Try, Status: wire.PieceEnded}, spec: spec}
+	t := &task{TaskReport: wire.TaskReport{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskEnded}, spec: spec}
 	cores, ram, same := spec.Cores, spec.RAM, false
 	for _, other := range m.tasks {
 		if other.live() {
-			cores, ram, same = cores+other.spec.Cores, ram+other.spec.RAM, same || other.Piece == o.Piece
+			cores, ram, same = cores+other.spec.Cores, ram+other.spec.RAM, same || other.Task == o.Task
 		}
 	}
 	switch {
@@ -322,8 +322,8 @@
 	case cores > m.Build.Cores || ram > m.Build.RAM:
 		t.Cause = wire.CauseFull
 	default:
-		t.Status, t.due = wire.PieceFetching, time.Now().Add(300*time.Millisecond)
-		m.Ledger.Accepted(m, o.Piece)
+		t.Status, t.due = wire.TaskFetching, time.Now().Add(300*time.Millisecond)
+		m.Ledger.Accepted(m, o.Task)
 	}
 	m.tasks = append(m.tasks, t)
 }
@@ -339,8 +339,8 @@
 	}
 	var out []string
 	for _, t := range m.tasks {
-		if t.Status == wire.PieceRunning || t.Status == wire.PieceFlushing {
-			out = append(out, t.Piece)
+		if t.Status == wire.TaskRunning || t.Status == wire.TaskFlushing {
+			out = append(out, t.Task)
 		}
 	}
 	return out
@@ -460,7 +460,7 @@
 	}
 	done := make(chan answer, 1)
 	go func() {
-		if r.URL.Path == wire.PathDo {
+		if r.URL.Path == wire.PathCommand {
 			select {
 			case <-time.After(m.Held()):
 			case <-m.ctx.Done():
@@ -473,11 +473,11 @@
 			return
 		}
 		m.lapse(time.Now())
-		if r.URL.Path == wire.PathShow {
+		if r.URL.Path == wire.PathReport {
 			done <- answer{http.StatusOK, m.report()}
 			return
 		}
-		var d wire.Do
+		var d wire.CommandRequest
 		if err := msgpack.Unmarshal(body, &d); err != nil {
 			done <- answer{http.StatusBadRequest, wire.Error{Error: err.Error()}}
 			return
@@ -510,19 +510,19 @@
 }
 
 // direct executes a direct command, if token and session match. The caller holds mu.
-func (m *Machine) direct(d wire.Do) bool {
-	if d.Warrant < m.token || d.Tenure != m.session {
+func (m *Machine) direct(d wire.CommandRequest) bool {
+	if d.Token < m.token || d.Incarnation != m.session {
 		return false
 	}
-	m.see(d.Warrant)
-	m.execute(d.Orders)
+	m.see(d.Token)
+	m.execute(d.Commands)
 	m.kick()
 	return true
 }
 
 // Fleet is a cloud whose machines boot by themselves.
 type Fleet struct {
-	Builds []wire.Build
+	Builds []wire.MachineType
 	Most   int
 	// Lag is how old a list of the machines is that is asked for now. Nil: not at all.
 	Lag func() time.Duration
@@ -537,11 +537,11 @@
 	// Told is told of each rental and return.
 	Told func(what string)
 	// Boot brings a machine up; it is called when the machine is rented.
-	Boot func(h wire.Host, b wire.Build) *Machine
+	Boot func(h wire.Machine, b wire.MachineType) *Machine
 
 	mu    sync.Mutex // guards all below
 	hires map[string][]string
-	hosts []wire.Host
+	hosts []wire.Machine
 	past  []listing // what the list was, oldest first
 	all   map[string]*Machine
 	named int
@@ -550,7 +550,7 @@
 // listing is what the cloud's list was from a moment on.
 type listing struct {
 	from  time.Time
-	hosts []wire.Host
+	hosts []wire.Machine
 }
 
 // changed notes that the machines have changed. The caller holds mu.
@@ -562,14 +562,14 @@
 func (f *Fleet) Take(m *Machine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hosts = slices.DeleteFunc(f.hosts, func(h wire.Host) bool { return h.UID == m.Host.UID })
+	f.hosts = slices.DeleteFunc(f.hosts, func(h wire.Machine) bool { return h.UID == m.Host.UID })
 	f.changed()
 	m.Go()
 	f.Told("took " + m.Host.UID)
 }
 
 // list is what the list was a while ago. The caller holds mu.
-func (f *Fleet) list() (at time.Time, hosts []wire.Host) {
+func (f *Fleet) list() (at time.Time, hosts []wire.Machine) {
 	at = time.Now()
 	if f.Lag == nil {
 		return at, f.hosts
@@ -647,12 +647,12 @@
 	defer f.mu.Unlock()
 	switch {
 	case r.URL.Path == wire.PathCatalog:
-		return http.StatusOK, wire.Catalog{Builds: f.Builds}
+		return http.StatusOK, wire.Catalog{MachineTypes: f.Builds}
 	case r.URL.Path == wire.PathReturn:
-		var q wire.Hosts
+		var q wire.MachineNames
 		_ = msgpack.Unmarshal(body, &q)
-		f.hosts = slices.DeleteFunc(f.hosts, func(h wire.Host) bool {
-			if !slices.Contains(q.Hosts, h.UID) {
+		f.hosts = slices.DeleteFunc(f.hosts, func(h wire.Machine) bool {
+			if !slices.Contains(q.Names, h.UID) {
 				return false
 			}
 			f.all[h.UID].Go()
@@ -669,11 +669,11 @@
 	if f.Asked != nil {
 		f.Asked(Caller(r), q)
 	}
-	names, known := f.hires[q.Hire]
+	names, known := f.hires[q.RequestID]
 	if known {
-		return http.StatusOK, wire.Hosts{Hosts: names}
+		return http.StatusOK, wire.MachineNames{Names: names}
 	}
-	b := slices.IndexFunc(f.Builds, func(b wire.Build) bool { return b.SKU == q.Build })
+	b := slices.IndexFunc(f.Builds, func(b wire.MachineType) bool { return b.SKU == q.MachineType })
 	room := min(q.Count, f.Most-len(f.hosts))
 	f.Told(fmt.Sprintf("asked for %+v, room for %d", q, room))
 	if b < 0 || room <= 0 {
@@ -685,32 +685,32 @@
 	for range room {
 		f.named++
 		name := fmt.Sprintf("n-%06d", f.named)
-		h := wire.Host{UID: name, Endpoint: name + ":9000", Build: q.Build, Yard: q.Yard, Loaned: q.Loaned, Status: wire.HostBooting}
+		h := wire.Machine{UID: name, Endpoint: name + ":9000", Type: q.MachineType, Zone: q.Zone, Preemptible: q.Preemptible, Status: wire.MachineBooting}
 		f.hosts = append(f.hosts, h)
 		f.all[name] = f.Boot(h, f.Builds[b])
 		names = append(names, name)
 	}
-	f.hires[q.Hire] = names
+	f.hires[q.RequestID] = names
 	f.changed()
-	return http.StatusOK, wire.Hosts{Hosts: names}
+	return http.StatusOK, wire.MachineNames{Names: names}
 }
 
 // page is one page of the list. The caller holds mu.
-func (f *Fleet) page(q url.Values) (page wire.HostPage) {
+func (f *Fleet) page(q url.Values) (page wire.MachinePage) {
 	most, _ := strconv.Atoi(q.Get("limit"))
 	at, hosts := f.list()
 	for _, h := range hosts {
 		if h.UID <= q.Get("since") {
 			continue
 		}
-		if len(page.Hosts) == most {
+		if len(page.Machines) == most {
 			page.HasNext = true
 			break
 		}
 		if m := f.all[h.UID]; m.upBy(at) {
-			h.Status = wire.HostRunning
+			h.Status = wire.MachineRunning
 		}
-		page.Hosts = append(page.Hosts, h)
+		page.Machines = append(page.Machines, h)
 	}
 	return page
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -177,7 +177,7 @@
 	delete(s.holds, id)
 	var keys []string
 	for k, r := range s.rows {
-		if r.Hold == id {
+		if r.Lease == id {
 			keys = append(keys, k)
 		}
 	}
@@ -187,7 +187,7 @@
 	s.epoch++
 	for _, k := range keys {
 		delete(s.rows, k)
-		s.note(wire.Event{Delete: k, Stamp: s.epoch})
+		s.note(wire.Event{Delete: k, ModRevision: s.epoch})
 	}
 }
 
@@ -200,35 +200,35 @@
 // commit executes a transaction. The caller holds mu.
 func (s *State) commit(t wire.Txn) (status int, body any) {
 	s.lapse()
-	if len(t.Apply) > maxOps || len(t.When) > 4*maxOps {
+	if len(t.Operations) > maxOps || len(t.Conditions) > 4*maxOps {
 		s.tooMany++
 		return http.StatusBadRequest, wire.Error{Error: "too many operations"}
 	}
 	var failed []string
-	for _, w := range t.When {
-		if s.rows[w.Path].Stamp != w.Stamp {
-			failed = append(failed, w.Path)
+	for _, w := range t.Conditions {
+		if s.rows[w.Key].ModRevision != w.ModRevision {
+			failed = append(failed, w.Key)
 		}
 	}
-	for _, a := range t.Apply {
-		if a.Set != "" && a.Hold != 0 && s.holds[a.Hold] == nil {
+	for _, a := range t.Operations {
+		if a.Set != "" && a.Lease != 0 && s.holds[a.Lease] == nil {
 			return http.StatusBadRequest, wire.Error{Error: "no such lease"}
 		}
 	}
 	if len(failed) > 0 {
-		return http.StatusConflict, wire.TxnAnswer{Epoch: s.epoch, Failed: failed}
+		return http.StatusConflict, wire.TxnResponse{Revision: s.epoch, Failed: failed}
 	}
-	if len(t.Apply) == 0 {
-		return http.StatusOK, wire.TxnAnswer{Epoch: s.epoch}
+	if len(t.Operations) == 0 {
+		return http.StatusOK, wire.TxnResponse{Revision: s.epoch}
 	}
 	s.epoch++
 	s.past = append(s.past, t)
-	for _, a := range t.Apply {
+	for _, a := range t.Operations {
 		s.puts++
 		if a.Set == "" {
 			if _, ok := s.rows[a.Delete]; ok {
 				delete(s.rows, a.Delete)
-				s.note(wire.Event{Delete: a.Delete, Stamp: s.epoch})
+				s.note(wire.Event{Delete: a.Delete, ModRevision: s.epoch})
 			}
 			continue
 		}
@@ -236,10 +236,10 @@
 		if err != nil {
 			return http.StatusBadRequest, wire.Error{Error: err.Error()}
 		}
-		s.rows[a.Set] = wire.Row{Path: a.Set, Value: raw, Stamp: s.epoch, Hold: a.Hold}
-		s.note(wire.Event{Set: a.Set, Value: raw, Stamp: s.epoch})
+		s.rows[a.Set] = wire.Row{Key: a.Set, Value: raw, ModRevision: s.epoch, Lease: a.Lease}
+		s.note(wire.Event{Set: a.Set, Value: raw, ModRevision: s.epoch})
 	}
-	return http.StatusOK, wire.TxnAnswer{Epoch: s.epoch}
+	return http.StatusOK, wire.TxnResponse{Revision: s.epoch}
 }
 
 func reply(w http.ResponseWriter, status int, v any) {
@@ -298,14 +298,14 @@
 				panic(http.ErrAbortHandler)
 			}
 			reply(w, status, ans)
-		case r.URL.Path == wire.PathHolds:
-			var q wire.HoldRequest
+		case r.URL.Path == wire.PathLeases:
+			var q wire.LeaseRequest
 			_ = msgpack.Unmarshal(body, &q)
 			s.epoch++
-			ttl := time.Duration(q.TTLms) * time.Millisecond
+			ttl := time.Duration(q.TTLMillis) * time.Millisecond
 			s.holds[s.epoch] = &hold{ttl: ttl, end: s.clk.Now().Add(ttl)}
-			reply(w, http.StatusOK, wire.HoldAnswer{Hold: s.epoch})
-		case strings.HasPrefix(r.URL.Path, wire.PathHolds+"/"):
+			reply(w, http.StatusOK, wire.LeaseResponse{Lease: s.epoch})
+		case strings.HasPrefix(r.URL.Path, wire.PathLeases+"/"):
 			parts := strings.Split(r.URL.Path, "/")
 			id, _ := strconv.ParseUint(parts[2], 10, 64)
 			h := s.holds[id]
@@ -331,7 +331,7 @@
 				}
 			}
 			slices.Sort(keys)
-			out := wire.Rows{Rows: []wire.Row{}, Epoch: s.epoch}
+			out := wire.Rows{Rows: []wire.Row{}, Revision: s.epoch}
 			for i, k := range keys {
 				if i == limit {
 					out.HasNext = true
@@ -377,7 +377,7 @@
 			reply(w, http.StatusGone, wire.Error{Error: "too old"})
 			return
 		}
-		out := wire.Changes{Epoch: s.epoch, Events: []wire.Event{}}
+		out := wire.WatchResponse{Revision: s.epoch, Events: []wire.Event{}}
 		for _, e := range s.log {
 			if key := e.ev.Set + e.ev.Delete; e.epoch > since && strings.HasPrefix(key, q.Get("starts")) {
 				out.Events = append(out.Events, e.ev)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -16,17 +16,17 @@
 // Worker is a machine's worker that keeps the protocol's rules for tokens,
 // sessions and repeated commands. Tests end its tasks by hand.
 type Worker struct {
-	Beats wire.Beat // identity: host, endpoint, build, zone, loaned
+	Beats wire.Heartbeat // identity: host, endpoint, build, zone, loaned
 
 	mu      sync.Mutex // guards all below
 	session uint64
 	tally   uint64
 	token   uint64
-	pieces  map[string]*wire.PieceReport
+	pieces  map[string]*wire.TaskReport
 	lose    bool
 	keep    bool
-	late    []wire.Do
-	past    []wire.Do
+	late    []wire.CommandRequest
+	past    []wire.CommandRequest
 	starts  []string
 	warning *float64
 	fail    bool
@@ -36,60 +36,60 @@
 
 // NewWorker makes a worker without tasks in its first session.
 func NewWorker(host, endpoint, build, zone string, loaned bool) *Worker {
-	return &Worker{Beats: wire.Beat{Host: host, Endpoint: endpoint, Build: build, Yard: zone, Loaned: loaned},
-		session: 1, pieces: map[string]*wire.PieceReport{}}
+	return &Worker{Beats: wire.Heartbeat{Machine: host, Endpoint: endpoint, MachineType: build, Zone: zone, Preemptible: loaned},
+		session: 1, pieces: map[string]*wire.TaskReport{}}
 }
 
 func key(piece string, try uint64) string { return fmt.Sprintf("%s#%d", piece, try) }
 
 // report builds the current report. The caller holds mu.
-func (w *Worker) report() wire.Beat {
+func (w *Worker) report() wire.Heartbeat {
 	w.tally++
 	b := w.Beats
-	b.Tenure, b.Tally, b.Warrant, b.WarningS = w.session, w.tally, w.token, w.warning
-	b.Pieces = []wire.PieceReport{}
+	b.Incarnation, b.Sequence, b.Token, b.WarningS = w.session, w.tally, w.token, w.warning
+	b.Tasks = []wire.TaskReport{}
 	keys := make([]string, 0, len(w.pieces))
 	for k := range w.pieces {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
 	for _, k := range keys {
-		b.Pieces = append(b.Pieces, *w.pieces[k])
+		b.Tasks = append(b.Tasks, *w.pieces[k])
 	}
 	return b
 }
 
 // Report is the worker's next heartbeat.
-func (w *Worker) Report() wire.Beat { w.mu.Lock(); defer w.mu.Unlock(); return w.report() }
+func (w *Worker) Report() wire.Heartbeat { w.mu.Lock(); defer w.mu.Unlock(); return w.report() }
 
 // Take executes the answer to a heartbeat, unless its token is too low.
-func (w *Worker) Take(a wire.BeatAnswer) bool {
+func (w *Worker) Take(a wire.HeartbeatResponse) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if a.Warrant < w.token {
+	if a.Token < w.token {
 		return false
 	}
-	w.token = a.Warrant
-	w.execute(a.Orders)
+	w.token = a.Token
+	w.execute(a.Commands)
 	return true
 }
 
 // execute runs commands in order. The caller holds mu.
-func (w *Worker) execute(orders []wire.Order) {
+func (w *Worker) execute(orders []wire.Command) {
 	for _, o := range orders {
-		k := key(o.Piece, o.Try)
+		k := key(o.Task, o.Attempt)
 		p := w.pieces[k]
 		switch {
 		case o.Verb == wire.VerbRun && p == nil:
 			w.starts = append(w.starts, k)
-			st := &wire.PieceReport{Piece: o.Piece, Try: o.Try, Status: wire.PieceRunning}
-			if job, _, _ := strings.Cut(o.Piece, "/"); w.fail || w.bad[job] || w.bad[o.Piece] {
-				st.Status, st.Cause = wire.PieceEnded, wire.CauseError
+			st := &wire.TaskReport{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskRunning}
+			if job, _, _ := strings.Cut(o.Task, "/"); w.fail || w.bad[job] || w.bad[o.Task] {
+				st.Status, st.Cause = wire.TaskEnded, wire.CauseError
 			}
 			w.pieces[k] = st
-		case o.Verb == wire.VerbHalt && p != nil && p.Status != wire.PieceEnded:
-			p.Status, p.Cause = wire.PieceEnded, wire.CauseStopped
-		case o.Verb == wire.VerbForget && p != nil && p.Status == wire.PieceEnded:
+		case o.Verb == wire.VerbStop && p != nil && p.Status != wire.TaskEnded:
+			p.Status, p.Cause = wire.TaskEnded, wire.CauseStopped
+		case o.Verb == wire.VerbForget && p != nil && p.Status == wire.TaskEnded:
 			delete(w.pieces, k)
 		}
 	}
@@ -100,8 +100,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, p := range w.pieces {
-		if p.Piece == piece && p.Status != wire.PieceEnded {
-			p.Status, p.Cause = wire.PieceEnded, cause
+		if p.Task == piece && p.Status != wire.TaskEnded {
+			p.Status, p.Cause = wire.TaskEnded, cause
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.session++
-	w.pieces = map[string]*wire.PieceReport{}
+	w.pieces = map[string]*wire.TaskReport{}
 }
 
 // LoseNext makes the next /do be executed without an answer.
@@ -159,20 +159,20 @@
 	defer w.mu.Unlock()
 	var out []string
 	for _, p := range w.pieces {
-		if p.Status != wire.PieceEnded {
-			out = append(out, p.Piece)
+		if p.Status != wire.TaskEnded {
+			out = append(out, p.Task)
 		}
 	}
 	sort.Strings(out)
 	return out
 }
 
-func (w *Worker) direct(d wire.Do) bool {
-	if d.Warrant < w.token || d.Tenure != w.session {
+func (w *Worker) direct(d wire.CommandRequest) bool {
+	if d.Token < w.token || d.Incarnation != w.session {
 		return false
 	}
-	w.token = d.Warrant
-	w.execute(d.Orders)
+	w.token = d.Token
+	w.execute(d.Commands)
 	w.past = append(w.past, d)
 	return true
 }
@@ -195,7 +195,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.session, w.tally, w.token = 1, 0, 0
-	w.pieces = map[string]*wire.PieceReport{}
+	w.pieces = map[string]*wire.TaskReport{}
 }
 
 // ServeHTTP is the worker's /do and /show.
@@ -207,11 +207,11 @@
 	if cut {
 		panic(http.ErrAbortHandler)
 	}
-	if r.URL.Path == wire.PathShow {
+	if r.URL.Path == wire.PathReport {
 		reply(rw, http.StatusOK, w.Report())
 		return
 	}
-	var d wire.Do
+	var d wire.CommandRequest
 	if err := msgpack.Unmarshal(body, &d); err != nil {
 		reply(rw, http.StatusBadRequest, wire.Error{Error: err.Error()})
 		return
--- a/large_test.go
+++ b/large_test.go
@@ -30,11 +30,11 @@
 	}
 	for range sceneFleet / 5 / largeArray {
 		n++
-		users = append(users, user(n, 3, 60, wholeMachine(func(sp *wire.Spec) { sp.Pieces, sp.Loaned = largeArray, true })))
+		users = append(users, user(n, 3, 60, wholeMachine(func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = largeArray, true })))
 	}
 	for range 4 {
 		n++
-		users = append(users, user(n, 5, 8, func(sp *wire.Spec) { sp.Owner, sp.Pieces = "tight", 12 }))
+		users = append(users, user(n, 5, 8, func(sp *wire.Spec) { sp.Team, sp.Tasks = "tight", 12 }))
 	}
 	return users
 }
@@ -42,9 +42,9 @@
 // useSmallMachines lets the cloud have machines for one large task each only.
 func (w *world) useSmallMachines() {
 	small := bigBuild
-	small.SKU, small.Cores, small.RAM, small.Hourly, small.Spot = "s", 4, 16, 0.5, 0.2
-	small.ReadyS, small.FetchGBs, small.CacheGB = 2, 4, 100
-	w.cloud.Builds = []wire.Build{small}
+	small.SKU, small.Cores, small.RAM, small.HourlyPrice, small.SpotPrice = "s", 4, 16, 0.5, 0.2
+	small.BootS, small.FetchGBs, small.CacheGB = 2, 4, 100
+	w.cloud.Builds = []wire.MachineType{small}
 }
 
 // up is how many machines have booted.
@@ -92,15 +92,15 @@
 		w.mu.Lock()
 		asked := w.facts[u.spec.UID].asked
 		w.mu.Unlock()
-		if u.spec.Shape != wire.ShapeStanding || asked {
+		if u.spec.Kind != wire.KindService || asked {
 			continue
 		}
 		running := 0
 		for _, n := range w.on(u.spec.UID) {
 			running += n
 		}
-		if running < u.spec.Pieces {
-			w.t.Errorf("%s has %d of %d replicas %s", u.spec.UID, running, u.spec.Pieces, when)
+		if running < u.spec.Tasks {
+			w.t.Errorf("%s has %d of %d replicas %s", u.spec.UID, running, u.spec.Tasks, when)
 		}
 	}
 }
--- a/lead/lead.go
+++ b/lead/lead.go
@@ -233,19 +233,19 @@
 		}
 		e.mu.Lock()
 		e.leader, e.seenAt, e.freeFrom = rec.Node, e.ck.Now(), 0
-		e.newest = max(e.newest, row.Stamp)
+		e.newest = max(e.newest, row.ModRevision)
 		if rec.Node == e.node {
 			e.leader = ""
 		}
 		e.mu.Unlock()
-		if rec.Node == e.node && row.Hold != 0 {
+		if rec.Node == e.node && row.Lease != 0 {
 			// An earlier process of this node holds the key. It has ended, or this one
 			// would not run, so nobody need wait for its lease to lapse.
-			if err := e.st.Drop(ctx, row.Hold); err == nil {
+			if err := e.st.Drop(ctx, row.Lease); err == nil {
 				continue
 			}
 		}
-		ch, err := e.st.Changes(ctx, store.KeyLead, row.Stamp, watchSpan)
+		ch, err := e.st.Changes(ctx, store.KeyLead, row.ModRevision, watchSpan)
 		if err != nil && !errors.Is(err, store.ErrTooOld) {
 			e.mu.Lock()
 			e.leader = ""
@@ -284,9 +284,9 @@
 	}
 	nonce := fmt.Sprintf("%s.%d.%d", e.node, e.ck.Wall(), rand.Uint32())
 	epoch, err := e.st.Commit(ctx, store.Vital, wire.Txn{
-		When: []wire.When{{Path: store.KeyLead}, {Path: store.KeyToken, Stamp: row.Stamp}},
-		Apply: []wire.Apply{
-			{Set: store.KeyLead, Value: store.LeadRecord{Node: e.node, Nonce: nonce}, Hold: lease},
+		Conditions: []wire.Condition{{Key: store.KeyLead}, {Key: store.KeyToken, ModRevision: row.ModRevision}},
+		Operations: []wire.Operation{
+			{Set: store.KeyLead, Value: store.LeadRecord{Node: e.node, Nonce: nonce}, Lease: lease},
 			{Set: store.KeyToken, Value: store.TokenRecord{Token: last.Token + 1, Nonce: nonce}},
 		},
 	})
@@ -358,8 +358,8 @@
 	nonce := fmt.Sprintf("%s.%d.%d", e.node, lead, e.seq)
 	e.mu.Unlock()
 	epoch, err := e.st.Commit(ctx, store.Urgent, wire.Txn{
-		When:  []wire.When{{Path: store.KeyLead, Stamp: lead}, {Path: store.KeyToken, Stamp: stamp}},
-		Apply: []wire.Apply{{Set: store.KeyToken, Value: store.TokenRecord{Token: next, Nonce: nonce}}},
+		Conditions: []wire.Condition{{Key: store.KeyLead, ModRevision: lead}, {Key: store.KeyToken, ModRevision: stamp}},
+		Operations: []wire.Operation{{Set: store.KeyToken, Value: store.TokenRecord{Token: next, Nonce: nonce}}},
 	})
 	if err != nil {
 		// The write may have been done all the same: read what is there before trying again.
@@ -371,12 +371,12 @@
 		if uerr := wire.Unmarshal(row.Value, &rec); uerr != nil || rec.Nonce != nonce {
 			e.mu.Lock()
 			if e.leading && e.term.Stamp == lead && rec.Token >= e.token && rec.Token <= next {
-				e.vStamp = row.Stamp
+				e.vStamp = row.ModRevision
 			}
 			e.mu.Unlock()
 			return 0, fmt.Errorf("raise token: %w", err)
 		}
-		epoch = row.Stamp
+		epoch = row.ModRevision
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/lean_test.go
+++ b/lean_test.go
@@ -18,14 +18,14 @@
 		heartbeat := func() {
 			tally++
 			setTally(t, raw, tally)
-			rep, err := wire.DecodeBeat(raw)
+			rep, err := wire.DecodeHeartbeat(raw)
 			if err != nil {
 				t.Fatal(err)
 			}
 			ans, ok := g.Heartbeat(&rep)
 			// The first list that comes as bytes is new.
-			if !ok || len(ans.Orders) != 0 || rep.Pieces != nil && tally > 101 {
-				t.Fatalf("answered %t with %d orders, %d tasks decoded", ok, len(ans.Orders), len(rep.Pieces))
+			if !ok || len(ans.Commands) != 0 || rep.Tasks != nil && tally > 101 {
+				t.Fatalf("answered %t with %d orders, %d tasks decoded", ok, len(ans.Commands), len(rep.Tasks))
 			}
 		}
 		heartbeat()
--- a/loopback_loss_test.go
+++ b/loopback_loss_test.go
@@ -54,17 +54,17 @@
 	for range 5 {
 		add(&l.fixed, 0, wholeMachine(standing(workers/8)))
 	}
-	add(&l.fixed, 0, func(sp *wire.Spec) { standing(4)(sp); sp.Owner = "tight" })
+	add(&l.fixed, 0, func(sp *wire.Spec) { standing(4)(sp); sp.Team = "tight" })
 	for range lossScenes {
 		var jobs []submission
 		for range 2 {
-			add(&jobs, 100, wholeMachine(func(sp *wire.Spec) { sp.Pieces, sp.Loaned = workers/8, true }))
+			add(&jobs, 100, wholeMachine(func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = workers/8, true }))
 		}
 		for range 12 {
-			add(&jobs, 90, func(sp *wire.Spec) { sp.Loaned = true })
+			add(&jobs, 90, func(sp *wire.Spec) { sp.Preemptible = true })
 		}
 		for range 3 { // cancelled right before the loss
-			add(&jobs, 300, func(sp *wire.Spec) { sp.Pieces, sp.Loaned = 4, true })
+			add(&jobs, 300, func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = 4, true })
 		}
 		l.jobs = append(l.jobs, jobs)
 	}
@@ -79,7 +79,7 @@
 	for _, u := range jobs {
 		raw := bodyOf(l.t, u.spec, nil)
 		for n := 0; ctx.Err() == nil; n++ {
-			status, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathRuns, raw)
+			status, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathJobs, raw)
 			if err == nil && (status == http.StatusCreated || status == http.StatusOK) {
 				l.mu.Lock()
 				l.facts[u.spec.UID].accepted, l.facts[u.spec.UID].moved = true, time.Now()
@@ -97,7 +97,7 @@
 	l.facts[uid].asked = true
 	l.mu.Unlock()
 	for n := 0; ctx.Err() == nil; n++ {
-		status, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathRuns+"/"+uid+"/"+wire.SuffixAbort, nil)
+		status, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
 		if err == nil && status == http.StatusOK {
 			l.mu.Lock()
 			l.facts[uid].cancelled, l.facts[uid].cancelledAt = true, time.Now()
@@ -111,7 +111,7 @@
 // running counts the tasks of jobs that are on machines, and all that they have.
 func (l *loopbackLoss) runningOf(jobs []submission) (run, want int) {
 	for _, u := range jobs {
-		want += u.spec.Pieces
+		want += u.spec.Tasks
 		for _, n := range l.on(u.spec.UID) {
 			run += n
 		}
--- a/loopback_test.go
+++ b/loopback_test.go
@@ -94,7 +94,7 @@
 			return
 		}
 		var txn wire.Txn
-		if r.URL.Path == wire.PathCommit && wire.Unmarshal(body, &txn) == nil && !writes.AllowN(time.Now(), len(txn.Apply)) {
+		if r.URL.Path == wire.PathCommit && wire.Unmarshal(body, &txn) == nil && !writes.AllowN(time.Now(), len(txn.Operations)) {
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
@@ -109,7 +109,7 @@
 		floors: map[string]float64{"orders": 8, "batch": 4}, timing: timing{report: 2 * time.Second, lease: 10 * time.Second, cancel: 25 * time.Second}}
 	for team, n := range map[string]int{"flood": loopbackJobs, "orders": loopbackJobs / 10, "ledger": loopbackJobs / 10, "batch": loopbackJobs / 10} {
 		for range n {
-			u := user(len(s.users)+1, 0, 1.5, func(sp *wire.Spec) { sp.Owner, sp.Rank, sp.Cores, sp.Loaned = team, "standard", 1, true })
+			u := user(len(s.users)+1, 0, 1.5, func(sp *wire.Spec) { sp.Team, sp.Priority, sp.Cores, sp.Preemptible = team, "standard", 1, true })
 			s.users = append(s.users, u)
 		}
 	}
@@ -191,11 +191,11 @@
 }
 
 // bootLoopback plays a rented machine whose worker talks over loopback.
-func (l *loopback) bootLoopback(h wire.Host, b wire.Build) *standin.Machine {
+func (l *loopback) bootLoopback(h wire.Machine, b wire.MachineType) *standin.Machine {
 	m := &standin.Machine{Host: h, Build: b, Report: l.s.timing.report, Lease: l.s.timing.lease, Nodes: l.names, Ledger: l.world, Watch: l.s.watch,
 		Held: func() time.Duration { return 0 },
-		Beat: func(ctx context.Context, _ *standin.Machine, node string, rep wire.Beat) (int, []byte, error) {
-			return l.post(ctx, node, wire.PathBeat, rep)
+		Beat: func(ctx context.Context, _ *standin.Machine, node string, rep wire.Heartbeat) (int, []byte, error) {
+			return l.post(ctx, node, wire.PathHeartbeat, rep)
 		}}
 	server := httptest.NewServer(m)
 	m.Host.Endpoint = strings.TrimPrefix(server.URL, "http://")
@@ -239,7 +239,7 @@
 		raw := bodyOf(l.t, spec, nil)
 		for ctx.Err() == nil {
 			began := time.Now()
-			status, _, err := l.send(ctx, l.names[rand.IntN(len(l.names))], wire.PathRuns, raw)
+			status, _, err := l.send(ctx, l.names[rand.IntN(len(l.names))], wire.PathJobs, raw)
 			took := time.Since(began)
 			if err != nil {
 				status = 0
@@ -320,7 +320,7 @@
 		all[team] = figures
 		jobs := make(chan string, loopbackJobs)
 		for _, u := range l.s.users {
-			if u.spec.Owner == team {
+			if u.spec.Team == team {
 				jobs <- u.spec.UID
 			}
 		}
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -35,15 +35,15 @@
 		body         any
 	}
 	questions := []question{
-		{http.MethodGet, wire.PathRuns + "/" + uid, nil},
-		{http.MethodPost, wire.PathRuns, spec(uid, nil)},
-		{http.MethodPost, wire.PathRuns, spec(uid, func(sp *wire.Spec) { sp.Pieces, sp.Rank = 7, "low" })},
-		{http.MethodPost, wire.PathRuns, spec(uid, func(sp *wire.Spec) { sp.Owner = "nobody" })},
-		{http.MethodPost, wire.PathRuns, bodyOf(s.t, spec(uid, nil), func(m map[string]any) { delete(m, "rank") })},
-		{http.MethodPost, wire.PathRuns, bodyOf(s.t, spec(uid, nil), func(m map[string]any) { m["pieces"] = "many" })},
+		{http.MethodGet, wire.PathJobs + "/" + uid, nil},
+		{http.MethodPost, wire.PathJobs, spec(uid, nil)},
+		{http.MethodPost, wire.PathJobs, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Priority = 7, "low" })},
+		{http.MethodPost, wire.PathJobs, spec(uid, func(sp *wire.Spec) { sp.Team = "nobody" })},
+		{http.MethodPost, wire.PathJobs, bodyOf(s.t, spec(uid, nil), func(m map[string]any) { delete(m, "rank") })},
+		{http.MethodPost, wire.PathJobs, bodyOf(s.t, spec(uid, nil), func(m map[string]any) { m["pieces"] = "many" })},
 	}
 	if abort {
-		questions = append(questions, question{http.MethodPost, wire.PathRuns + "/" + uid + "/" + wire.SuffixAbort, nil})
+		questions = append(questions, question{http.MethodPost, wire.PathJobs + "/" + uid + "/" + wire.SuffixCancel, nil})
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -88,7 +88,7 @@
 }
 
 // until repeats a user's request, at one node after another, until it gets an answer.
-func (s *site) until(nodes []*Service, method, path string, body any) (code int, v wire.View) {
+func (s *site) until(nodes []*Service, method, path string, body any) (code int, v wire.JobStatus) {
 	s.t.Helper()
 	for i := range 6 {
 		if code, v, _ = s.ask(nodes[i%len(nodes)], method, path, body); code != http.StatusServiceUnavailable {
@@ -113,13 +113,13 @@
 			heartbeat(t, g, w)
 			// Every node knows the time before, so that it could answer from it.
 			for _, n := range nodes {
-				if code, _, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/j-1", nil); code != http.StatusNotFound {
+				if code, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusNotFound {
 					t.Fatalf("not submitted yet: %d", code)
 				}
 			}
 			for _, uid := range []string{"j-1", "j-2"} {
 				tr.set(s.state)
-				if code, _ := s.until(nodes[1:], http.MethodPost, wire.PathRuns, spec(uid, nil)); code != http.StatusCreated && code != http.StatusOK {
+				if code, _ := s.until(nodes[1:], http.MethodPost, wire.PathJobs, spec(uid, nil)); code != http.StatusCreated && code != http.StatusOK {
 					t.Fatalf("submit: %d", code)
 				}
 				s.told("accepted", s.asks(nodes, uid, false), wire.JobQueued, wire.JobRunning, "503")
@@ -127,7 +127,7 @@
 			s.resync(g)
 			s.settle(g)
 			tr.set(s.state)
-			if _, v := s.until(nodes[1:], http.MethodPost, wire.PathRuns+"/j-2/"+wire.SuffixAbort, nil); v.Status != wire.JobCancelled {
+			if _, v := s.until(nodes[1:], http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
 				t.Fatalf("abort: %+v", v)
 			}
 			s.told("cancelled", s.asks(nodes, "j-2", true), wire.JobCancelled, "503")
@@ -135,7 +135,7 @@
 			w.End("j-1/0", wire.CauseDone)
 			heartbeat(t, g, w)
 			s.settle(g)
-			if _, v := s.until(nodes, http.MethodGet, wire.PathRuns+"/j-1", nil); v.Status != wire.JobDone {
+			if _, v := s.until(nodes, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobDone {
 				t.Fatalf("ended: %+v", v)
 			}
 			s.told("done", s.asks(nodes, "j-1", true), wire.JobDone, "503")
@@ -166,9 +166,9 @@
 		release := s.state.Stall()
 		var wg sync.WaitGroup
 		for _, n := range nodes {
-			wg.Go(func() { s.ask(n, http.MethodPost, wire.PathRuns, spec(uid, nil)) })
+			wg.Go(func() { s.ask(n, http.MethodPost, wire.PathJobs, spec(uid, nil)) })
 			wg.Go(func() {
-				code, v, _ := s.ask(n, http.MethodPost, wire.PathRuns+"/"+uid+"/"+wire.SuffixAbort, nil)
+				code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
 				if code == http.StatusOK && v.Status == wire.JobCancelled {
 					s.told("told to be cancelled", s.asks(nodes, uid, true), wire.JobCancelled, "503")
 				} else if code != http.StatusNotFound {
@@ -181,7 +181,7 @@
 		}
 		release()
 		wg.Wait()
-		if _, v, _ := s.ask(nodes[k%3], http.MethodPost, wire.PathRuns+"/"+uid+"/"+wire.SuffixAbort, nil); v.Status != wire.JobCancelled {
+		if _, v, _ := s.ask(nodes[k%3], http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
 			t.Fatalf("abort: %+v", v)
 		}
 		s.told("cancelled", s.asks(nodes, uid, true), wire.JobCancelled)
@@ -226,13 +226,13 @@
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, g, w)
 	s.submit(b, spec("j-1", nil))
-	s.submit(b, spec("j-2", func(sp *wire.Spec) { sp.Pieces = 2 }))
+	s.submit(b, spec("j-2", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.submit(b, spec("j-3", nil))
 	s.resync(g)
 	is := func(uid string, allowed ...string) {
 		t.Helper()
 		for _, n := range []*Service{a, b} {
-			_, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/"+uid, nil)
+			_, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil)
 			s.told(uid, []string{v.Status}, allowed...)
 		}
 	}
@@ -241,7 +241,7 @@
 		if len(w.Starts()) != 0 {
 			t.Errorf("started before the leader knows that it is recorded: %v", w.Starts())
 		}
-		if code, v, _ := s.ask(b, http.MethodPost, wire.PathRuns+"/j-3/"+wire.SuffixAbort, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
+		if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
 			t.Errorf("abort: %d %+v", code, v)
 		}
 	})
@@ -259,7 +259,7 @@
 	s.meanwhile(func() { g.step(t.Context()) }, func() {
 		for _, uid := range []string{"j-1", "j-2"} {
 			is(uid, wire.JobDone)
-			_, v, _ := s.ask(b, http.MethodPost, wire.PathRuns+"/"+uid+"/"+wire.SuffixAbort, nil)
+			_, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
 			s.told("abort after the end", []string{v.Status}, wire.JobDone)
 		}
 	})
@@ -267,7 +267,7 @@
 	s.settle(g)
 	for _, n := range []*Service{a, b, c} {
 		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-2": wire.JobDone, "j-3": wire.JobCancelled} {
-			if _, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/"+uid, nil); v.Status != want {
+			if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); v.Status != want {
 				t.Errorf("%s: %+v, want %s", uid, v, want)
 			}
 		}
@@ -293,7 +293,7 @@
 		heartbeat(t, g, w)
 		uids := []string{"j-1", "j-2"}
 		for _, uid := range uids {
-			s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Pieces, sp.Cores = pieces, 1 }))
+			s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 1 }))
 		}
 		s.resync(g)
 		before := s.state.Puts()
@@ -321,7 +321,7 @@
 				s.meanwhile(record, func() {
 					for _, n := range []*Service{b, s.node(nil)} {
 						for _, uid := range uids {
-							if _, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/"+uid, nil); v.Status != now {
+							if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); v.Status != now {
 								t.Errorf("%s: %+v, want %s", uid, v, now)
 							}
 						}
@@ -343,7 +343,7 @@
 		heartbeat(t, g, w)
 		drain()
 		for _, uid := range uids {
-			if code, v, _ := s.ask(b, http.MethodPost, wire.PathRuns, spec(uid, nil)); code != http.StatusOK || v.Status != wire.JobDone {
+			if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs, spec(uid, nil)); code != http.StatusOK || v.Status != wire.JobDone {
 				t.Errorf("%s submitted again: %d %+v", uid, code, v)
 			}
 		}
@@ -381,7 +381,7 @@
 	g.raisedAt = g.ck.Now() // no raise yet
 	g.mu.Unlock()
 	s.settle(g) // the run is held back and in doubt
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathRuns+"/j-1/"+wire.SuffixAbort, nil); code != http.StatusOK {
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
 	s.resync(g)
@@ -434,7 +434,7 @@
 				heartbeat(t, g, hung)
 				uids := []string{"j-1", "j-2"}[:3-pieces]
 				for _, uid := range uids {
-					s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Pieces = pieces }))
+					s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Tasks = pieces }))
 				}
 				s.resync(g)
 				s.settle(g)
@@ -443,11 +443,11 @@
 				}
 				hung.Unreachable(true)
 				for _, uid := range uids {
-					if code, _, _ := s.ask(b, http.MethodPost, wire.PathRuns+"/"+uid+"/"+wire.SuffixAbort, nil); code != http.StatusOK {
+					if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); code != http.StatusOK {
 						t.Fatalf("abort: %d", code)
 					}
 				}
-				s.submit(b, spec("j-3", func(sp *wire.Spec) { sp.Pieces = 2 }))
+				s.submit(b, spec("j-3", func(sp *wire.Spec) { sp.Tasks = 2 }))
 				nothing := func(when string, g *term) {
 					t.Helper()
 					heartbeat(t, g, other)
@@ -519,7 +519,7 @@
 				w := s.worker("n-1", "x", true)
 				heartbeat(t, g, w)
 				for _, uid := range []string{"j-1", "j-2"} {
-					s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Pieces, sp.Cores = pieces, 4/float64(pieces) }))
+					s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 4/float64(pieces) }))
 				}
 				s.submit(a, spec("j-3", func(sp *wire.Spec) { sp.Cores = 4 }))
 				s.resync(g)
@@ -527,7 +527,7 @@
 				stop()
 				cancelled := false
 				cancel := func() {
-					if code, v, _ := s.ask(c, http.MethodPost, wire.PathRuns+"/j-2/"+wire.SuffixAbort, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
+					if code, v, _ := s.ask(c, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
 						t.Errorf("abort: %d %+v", code, v)
 					}
 					cancelled = true
@@ -550,7 +550,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				g.catalog = wire.Catalog{Builds: s.cloud.Builds}
+				g.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
 				g.fl.SetCatalog(g.catalog)
 				if cancelled == (moment == "watch") {
 					t.Fatalf("cancelled by the end of the load: %t", cancelled)
@@ -621,7 +621,7 @@
 				s := newSite(t)
 				a, b := s.node(nil), s.node(nil)
 				g, stop := s.elect(a)
-				s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Pieces = pieces }))
+				s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = pieces }))
 				s.resync(g)
 				w, other := s.worker("n-000200", "x", true), s.worker("n-000201", "y", true)
 				heartbeat(t, g, w)
@@ -704,7 +704,7 @@
 	g, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, g, w)
-	copies := []wire.Beat{w.Report()} // nothing there yet
+	copies := []wire.Heartbeat{w.Report()} // nothing there yet
 	s.submit(a, spec("j-1", nil))
 	s.resync(g)
 	s.settle(g)
@@ -718,7 +718,7 @@
 	}
 	stop()
 	if cancel {
-		if code, _, _ := s.ask(b, http.MethodPost, wire.PathRuns+"/j-1/"+wire.SuffixAbort, nil); code != http.StatusOK {
+		if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
 			t.Fatalf("abort: %d", code)
 		}
 	}
@@ -732,8 +732,8 @@
 				t.Error("answered by a controller that does not lead")
 			}
 			if ans, ok := b.Heartbeat(&c); ok {
-				for _, o := range ans.Orders {
-					if o.Verb == wire.VerbRun && o.Try != 2 {
+				for _, o := range ans.Commands {
+					if o.Verb == wire.VerbRun && o.Attempt != 2 {
 						t.Errorf("a copy is answered with %+v", o)
 					}
 				}
@@ -773,7 +773,7 @@
 	if got := w.Live(); !slices.Equal(got, []string{"j-1/0"}) {
 		t.Errorf("on the machine %v", got)
 	}
-	if _, v, _ := s.ask(b, http.MethodGet, wire.PathRuns+"/j-1", nil); v.Status == wire.JobDone {
+	if _, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status == wire.JobDone {
 		t.Error("done on the word of a copy")
 	}
 }
@@ -821,7 +821,7 @@
 		}
 		// One of each four is cancelled: at once, or up to three seconds later, some after their end.
 		if k := (at-at%4)*perSecond + at%4; submit {
-			if _, v, _ := s.ask(nodes[at%2], http.MethodPost, wire.PathRuns+"/"+uid(k)+"/"+wire.SuffixAbort, nil); v.Status == wire.JobCancelled {
+			if _, v, _ := s.ask(nodes[at%2], http.MethodPost, wire.PathJobs+"/"+uid(k)+"/"+wire.SuffixCancel, nil); v.Status == wire.JobCancelled {
 				cancelled[uid(k)] = true
 			}
 		}
@@ -835,7 +835,7 @@
 			}
 			heartbeat(t, g, w)
 		}
-		s.ask(nodes[at%2], http.MethodGet, wire.PathRuns+"/"+uid(max(0, 4*at-8)), nil)
+		s.ask(nodes[at%2], http.MethodGet, wire.PathJobs+"/"+uid(max(0, 4*at-8)), nil)
 		s.settle(g)
 		s.advance(time.Second)
 	}
@@ -867,7 +867,7 @@
 	s.resync(g)
 	s.settle(g)
 	for k := perSecond * lasts; k < perSecond*lasts+3; k++ {
-		if _, v, _ := s.ask(nodes[0], http.MethodPost, wire.PathRuns+"/"+uid(k)+"/"+wire.SuffixAbort, nil); v.Status != wire.JobCancelled {
+		if _, v, _ := s.ask(nodes[0], http.MethodPost, wire.PathJobs+"/"+uid(k)+"/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
 			t.Errorf("abort: %+v", v)
 		}
 	}
@@ -887,7 +887,7 @@
 		if cancelled[uid(k)] {
 			want = wire.JobCancelled
 		}
-		if _, v, _ := s.ask(nodes[k%2], http.MethodGet, wire.PathRuns+"/"+uid(k), nil); v.Status != want {
+		if _, v, _ := s.ask(nodes[k%2], http.MethodGet, wire.PathJobs+"/"+uid(k), nil); v.Status != want {
 			t.Fatalf("%s: %+v, want %s", uid(k), v, want)
 		}
 	}
@@ -910,7 +910,7 @@
 		s, n, g, w := alone(t)
 		uids := []string{"j-1", "j-2", "j-3"}
 		for _, uid := range uids {
-			s.submit(n, spec(uid, func(sp *wire.Spec) { sp.Pieces, sp.Cores = pieces, 1 }))
+			s.submit(n, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 1 }))
 		}
 		s.resync(g)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -942,14 +942,14 @@
 		w.End("j-1/0", wire.CauseDone)
 		w.End("j-1/1", wire.CauseDone)
 		w.End("j-2/0", wire.CauseError)
-		if _, v, _ := s.ask(n, http.MethodPost, wire.PathRuns+"/j-3/"+wire.SuffixAbort, nil); v.Status != wire.JobCancelled {
+		if _, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
 			t.Fatalf("abort: %+v", v)
 		}
 		heartbeat(t, g, w)
 		s.resync(g)
 		drain()
 		// One that is recorded twice alone: its first record must not come back over the second.
-		s.submit(n, spec("j-4", func(sp *wire.Spec) { sp.Pieces, sp.Cores = 2, 0.5 }))
+		s.submit(n, spec("j-4", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 2, 0.5 }))
 		s.resync(g)
 		g.mu.Lock()
 		g.plan(g.ck.Now())
@@ -976,7 +976,7 @@
 			t.Errorf("%d tasks a job: %d changes were made late", pieces, got)
 		}
 		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-3": wire.JobCancelled} {
-			if _, v, _ := s.ask(s.node(nil), http.MethodGet, wire.PathRuns+"/"+uid, nil); v.Status != want {
+			if _, v, _ := s.ask(s.node(nil), http.MethodGet, wire.PathJobs+"/"+uid, nil); v.Status != want {
 				t.Errorf("%s: %+v, want %s", uid, v, want)
 			}
 		}
@@ -1012,7 +1012,7 @@
 		}
 	}
 	gb, _ := s.elect(b)
-	if code, v, _ := s.ask(b, http.MethodPost, wire.PathRuns+"/j-1/"+wire.SuffixAbort, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
+	if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
 		t.Fatalf("abort: %d %+v", code, v)
 	}
 	s.resync(gb)
@@ -1046,7 +1046,7 @@
 			g, _ := s.elect(nodes[0])
 			w := s.worker("n-1", "x", true)
 			heartbeat(t, g, w)
-			s.submit(nodes[1], spec("j-1", func(sp *wire.Spec) { sp.Pieces = pieces }))
+			s.submit(nodes[1], spec("j-1", func(sp *wire.Spec) { sp.Tasks = pieces }))
 			s.resync(g)
 			s.settle(g)
 			for _, p := range w.Live() {
@@ -1076,7 +1076,7 @@
 					}
 				})
 			}
-			if _, v, _ := s.ask(nodes[1], http.MethodPost, wire.PathRuns+"/j-1/"+wire.SuffixAbort, nil); v.Status != want {
+			if _, v, _ := s.ask(nodes[1], http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); v.Status != want {
 				t.Errorf("%s first: the cancel is answered %q", first, v.Status)
 			}
 			if first == "cancel" {
@@ -1138,8 +1138,8 @@
 	g, stop := s.elect(nodes[0])
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, g, w)
-	s.submit(nodes[0], spec("j-1", func(sp *wire.Spec) { sp.Pieces = 2 }))
-	s.submit(nodes[0], spec("j-2", func(sp *wire.Spec) { sp.Pieces, sp.Cores = 3, 1 }))
+	s.submit(nodes[0], spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
+	s.submit(nodes[0], spec("j-2", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 3, 1 }))
 	s.resync(g)
 	s.settle(g)
 	ends := map[int]string{1: "j-1/0", 3: "j-2/0", 5: "j-2/1", 7: "j-1/1", 9: "j-2/2"}
@@ -1158,7 +1158,7 @@
 		if k%4 == 0 {
 			s.state.Refuse("", true)
 			s.clk.Advance(9 * time.Second)
-			if rep := w.Report(); len(rep.Pieces) == 0 {
+			if rep := w.Report(); len(rep.Tasks) == 0 {
 				t.Fatal("no tasks")
 			}
 		}
@@ -1181,7 +1181,7 @@
 		}
 		for uid, state := range want {
 			for _, n := range nodes {
-				if _, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/"+uid, nil); (v.Status == wire.JobDone) != (state == wire.JobDone) || v.Status == "" {
+				if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); (v.Status == wire.JobDone) != (state == wire.JobDone) || v.Status == "" {
 					t.Errorf("leader %d: %s is %q, want %q", k, uid, v.Status, state)
 				}
 			}
@@ -1201,7 +1201,7 @@
 	g, stop := s.elect(n)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, g, w)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Pieces = 2 }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(g)
 	s.settle(g)
 	stop()
@@ -1238,7 +1238,7 @@
 		heartbeat(t, g, other)
 		s.settle(g)
 	}
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathRuns+"/j-2/"+wire.SuffixAbort, nil); code != http.StatusOK {
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
 	s.resync(g)
@@ -1280,8 +1280,8 @@
 	for _, w := range here {
 		heartbeat(t, g, w)
 	}
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Pieces, sp.Cores, sp.Yard = 2, 4, "x" }))
-	s.submit(n, spec("j-2", func(sp *wire.Spec) { sp.Pieces, sp.Cores, sp.SamePlace = 4, 4, true }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.Zone = 2, 4, "x" }))
+	s.submit(n, spec("j-2", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.SameZone = 4, 4, true }))
 	s.resync(g)
 	s.settle(g)
 	if startsOf(here, "j-1") != 2 || startsOf(here, "j-2") != 4 {
@@ -1289,7 +1289,7 @@
 	}
 	// One with some of the array is gone, and the zone has no room for that.
 	lost := slices.IndexFunc(here, func(w *standin.Worker) bool { return startsOf([]*standin.Worker{w}, "j-2") > 0 })
-	g.giveBack(t.Context(), []string{here[lost].Beats.Host})
+	g.giveBack(t.Context(), []string{here[lost].Beats.Machine})
 	for _, w := range here {
 		w.Unreachable(true)
 	}
@@ -1335,7 +1335,7 @@
 	l := peer.NewLink(ln.Addr().String())
 	asked := func(after string) {
 		t.Helper()
-		r, err := l.Ask(t.Context(), peer.Ask{Method: http.MethodGet, Path: wire.PathRuns + "/j-1"})
+		r, err := l.Ask(t.Context(), peer.Ask{Method: http.MethodGet, Path: wire.PathJobs + "/j-1"})
 		if err != nil || r.Status != http.StatusOK {
 			t.Errorf("after %s: %+v, %v", after, r.Status, err)
 		}
@@ -1347,8 +1347,8 @@
 		}
 		return buf.Bytes()
 	}
-	whole := encode(peer.Ask{Method: http.MethodGet, Path: wire.PathRuns + "/j-1"})
-	huge := encode(peer.Ask{Method: http.MethodPost, Path: wire.PathRuns, Body: bytes.Repeat([]byte{1}, 100<<10)})
+	whole := encode(peer.Ask{Method: http.MethodGet, Path: wire.PathJobs + "/j-1"})
+	huge := encode(peer.Ask{Method: http.MethodPost, Path: wire.PathJobs, Body: bytes.Repeat([]byte{1}, 100<<10)})
 	asked("nothing")
 	for name, raw := range map[string][]byte{
 		"cut short": whole[:len(whole)-4], "cut in its type": whole[:9], "too large": huge, "a length without end": bytes.Repeat([]byte{0xff}, 64),
@@ -1402,7 +1402,7 @@
 				runtime.Gosched()
 			}
 			before := token()
-			if code, _, _ := s.ask(b, http.MethodGet, wire.PathRuns+"/j-1", nil); code != http.StatusNotFound {
+			if code, _, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusNotFound {
 				t.Errorf("another node answers %d", code)
 			}
 			// The candidate waits before it tries again.
@@ -1448,7 +1448,7 @@
 		g, stop := s.elect(a)
 		w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 		heartbeat(t, g, w)
-		s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Pieces, sp.Cores = pieces, 4/float64(pieces) }))
+		s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 4/float64(pieces) }))
 		s.resync(g)
 		s.settle(g)
 		for _, p := range w.Live() {
--- a/model_test.go
+++ b/model_test.go
@@ -191,23 +191,23 @@
 	for i := range 4 + r.IntN(7) {
 		u := submission{at: seconds(0, s.lasts.Seconds()*0.8), runs: seconds(2, 20), repeats: r.IntN(3) == 0}
 		u.spec = spec(fmt.Sprintf("j-%d", i+1), func(sp *wire.Spec) {
-			sp.Owner = []string{"free", "tight"}[r.IntN(2)]
+			sp.Team = []string{"free", "tight"}[r.IntN(2)]
 			sp.Cores, sp.RAM = float64(1+r.IntN(3)), float64(1+r.IntN(8))
-			sp.Rank = []string{"low", "standard", "high", "critical"}[r.IntN(4)]
-			sp.ExpectS = u.runs.Seconds()
+			sp.Priority = []string{"low", "standard", "high", "critical"}[r.IntN(4)]
+			sp.ExpectedS = u.runs.Seconds()
 			switch r.IntN(3) {
 			case 0:
-				sp.Pieces = 2 + r.IntN(4)
+				sp.Tasks = 2 + r.IntN(4)
 			case 1:
-				sp.Shape, sp.Pieces, sp.ExpectS = wire.ShapeStanding, 1+r.IntN(2), 0
+				sp.Kind, sp.Tasks, sp.ExpectedS = wire.KindService, 1+r.IntN(2), 0
 			}
 			switch r.IntN(5) {
 			case 0:
-				sp.Yard = []string{"x", "y"}[r.IntN(2)]
+				sp.Zone = []string{"x", "y"}[r.IntN(2)]
 			case 1:
-				sp.Builds = []string{"b"}
+				sp.MachineTypes = []string{"b"}
 			case 2:
-				sp.Loaned = false
+				sp.Preemptible = false
 			}
 		})
 		switch r.IntN(6) {
@@ -216,7 +216,7 @@
 		case 1:
 			u.cancelAt = seconds(1, 30)
 		case 2:
-			u.onDone = u.spec.Shape == wire.ShapeBatch
+			u.onDone = u.spec.Kind == wire.KindBatch
 		case 3:
 			u.onKind = s.troubles[r.IntN(len(s.troubles))].kind
 		}
@@ -252,13 +252,13 @@
 		u := &s.users[i]
 		switch sp := &u.spec; r.IntN(8) {
 		case 0, 1:
-			sp.SamePlace = sp.Pieces > 1
+			sp.SameZone = sp.Tasks > 1
 		case 2, 3:
-			sp.Apart = sp.Pieces > 1 && sp.Yard == ""
+			sp.Spread = sp.Tasks > 1 && sp.Zone == ""
 		case 4, 5:
-			sp.BookmarkS, sp.StowS = 3, 1+4*r.Float64()
+			sp.CheckpointIntervalS, sp.CheckpointGraceS = 3, 1+4*r.Float64()
 		case 6:
-			u.fails = u.spec.Shape == wire.ShapeBatch && !u.onDone
+			u.fails = u.spec.Kind == wire.KindBatch && !u.onDone
 		}
 	}
 	return s
@@ -294,8 +294,8 @@
 	}
 	// Replicas run all the time, so that every hold finds some.
 	s.users = append(s.users, submission{spec: spec(fmt.Sprintf("j-%d", len(s.users)+1), func(sp *wire.Spec) {
-		sp.Owner, sp.Shape, sp.Pieces, sp.ExpectS = "free", wire.ShapeStanding, 2+r.IntN(3), 0
-		sp.Cores, sp.RAM, sp.Loaned = 1, 2, false
+		sp.Team, sp.Kind, sp.Tasks, sp.ExpectedS = "free", wire.KindService, 2+r.IntN(3), 0
+		sp.Cores, sp.RAM, sp.Preemptible = 1, 2, false
 	}), at: seconds(0, 3)})
 	return s
 }
@@ -444,12 +444,12 @@
 	w.note("%s starts on %s", piece, m.Host.UID)
 	uid, _, _ := strings.Cut(piece, "/")
 	sp, _ := w.Job(uid)
-	if sp.Yard != "" && sp.Yard != m.Host.Yard || sp.Builds != nil && !slices.Contains(sp.Builds, m.Host.Build) || !sp.Loaned && m.Host.Loaned {
+	if sp.Zone != "" && sp.Zone != m.Host.Zone || sp.MachineTypes != nil && !slices.Contains(sp.MachineTypes, m.Host.Type) || !sp.Preemptible && m.Host.Preemptible {
 		w.breach("wrong_place", "%s on %+v", piece, m.Host)
 	}
 	w.mu.Lock()
 	w.facts[uid].moved = time.Now()
-	w.starts[sp.Owner] = time.Now()
+	w.starts[sp.Team] = time.Now()
 	if _, began := w.first[piece]; !began {
 		w.first[piece] = time.Now()
 	}
@@ -457,22 +457,22 @@
 	zones := map[string]int{} // of this job's tasks
 	for _, other := range w.holders(uid) {
 		for _, p := range liveOf(other, uid) {
-			zones[other.Host.Yard]++
+			zones[other.Host.Zone]++
 			if p == piece && other != m {
 				w.breach("ran_twice", "%s starts on %s while on %s", piece, m.Host.UID, other.Host.UID)
 			}
 		}
 	}
-	if limit := w.limit(sp.Owner); limit > 0 {
-		if used := w.used(sp.Owner); used > limit {
-			w.breach("quota", "%s: team uses %v of %v as %s starts", sp.Owner, used, limit, piece)
+	if limit := w.limit(sp.Team); limit > 0 {
+		if used := w.used(sp.Team); used > limit {
+			w.breach("quota", "%s: team uses %v of %v as %s starts", sp.Team, used, limit, piece)
 		}
 	}
-	if sp.SamePlace && len(zones) > 1 {
-		w.breach("wrong_place", "%s starts in %s, its job is to be in one zone: %v", piece, m.Host.Yard, zones)
+	if sp.SameZone && len(zones) > 1 {
+		w.breach("wrong_place", "%s starts in %s, its job is to be in one zone: %v", piece, m.Host.Zone, zones)
 	}
-	if sp.Apart && zones[m.Host.Yard] > (sp.Pieces+1)/2 {
-		w.breach("wrong_place", "%s starts in %s, its job of %d is to be apart: %v", piece, m.Host.Yard, sp.Pieces, zones)
+	if sp.Spread && zones[m.Host.Zone] > (sp.Tasks+1)/2 {
+		w.breach("wrong_place", "%s starts in %s, its job of %d is to be apart: %v", piece, m.Host.Zone, sp.Tasks, zones)
 	}
 	w.mu.Lock()
 	f := *w.facts[uid]
@@ -532,7 +532,7 @@
 }
 
 // boot plays a rented machine.
-func (w *world) boot(h wire.Host, b wire.Build) *standin.Machine {
+func (w *world) boot(h wire.Machine, b wire.MachineType) *standin.Machine {
 	m := &standin.Machine{Host: h, Build: b, Report: w.s.timing.report, Lease: w.s.timing.lease, Nodes: []string{"node-1", "node-2", "node-3"},
 		Beat: w.heartbeat, Ledger: w, Watch: w.s.watch}
 	m.Held = func() time.Duration {
@@ -548,7 +548,7 @@
 		}
 		return nil
 	}
-	w.net.Place(h.UID, h.Yard)
+	w.net.Place(h.UID, h.Zone)
 	after := time.Second + 400*(w.latency("boot", h.UID)-w.s.slow)
 	if w.s.boot > 0 {
 		after = w.s.boot
@@ -558,7 +558,7 @@
 		if w.ctx.Err() != nil {
 			return
 		}
-		w.note("%s is up (%s, loaned %v)", h.UID, h.Yard, h.Loaned)
+		w.note("%s is up (%s, loaned %v)", h.UID, h.Zone, h.Preemptible)
 		m.Begin(w.ctx)
 		stop := w.net.Serve(h.Endpoint, m)
 		defer stop()
@@ -649,7 +649,7 @@
 	if open != nil && (open.name != node || w.running(node) != open) {
 		open = nil
 	}
-	status, body, err := w.exchange(ctx, open, m.Host.UID, node, http.MethodPost, wire.PathBeat, raw)
+	status, body, err := w.exchange(ctx, open, m.Host.UID, node, http.MethodPost, wire.PathHeartbeat, raw)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.lines, m)
@@ -664,7 +664,7 @@
 }
 
 // heartbeat carries a worker's report to a controller.
-func (w *world) heartbeat(ctx context.Context, m *standin.Machine, node string, rep wire.Beat) (int, []byte, error) {
+func (w *world) heartbeat(ctx context.Context, m *standin.Machine, node string, rep wire.Heartbeat) (int, []byte, error) {
 	raw, err := wire.Marshal(rep)
 	if err != nil {
 		return 0, nil, err
@@ -677,7 +677,7 @@
 				return
 			}
 			for _, n := range m.Nodes { // whoever leads then takes it in; its answer finds nobody
-				_, _, _ = w.serve(w.ctx, n, http.MethodPost, wire.PathBeat, raw)
+				_, _, _ = w.serve(w.ctx, n, http.MethodPost, wire.PathHeartbeat, raw)
 			}
 		})
 	}
@@ -691,7 +691,7 @@
 				}
 			}
 			for _, n := range m.Nodes {
-				_, _, _ = w.serve(w.ctx, n, http.MethodPost, wire.PathBeat, raw)
+				_, _, _ = w.serve(w.ctx, n, http.MethodPost, wire.PathHeartbeat, raw)
 			}
 		})
 	}
@@ -709,7 +709,7 @@
 		}
 		return status, body, err
 	}
-	status, body, err := w.serve(ctx, node, http.MethodPost, wire.PathBeat, raw)
+	status, body, err := w.serve(ctx, node, http.MethodPost, wire.PathHeartbeat, raw)
 	time.Sleep(w.latency(node, m.Host.UID))
 	if m.Deaf() || w.net.Cut(node, m.Host.UID) {
 		return 0, nil, errLost
@@ -825,7 +825,7 @@
 			return records, err
 		}
 	}
-	n.front.Post(wire.PathBeat, agent.ServeHeartbeat(n, func() bool { return false }))
+	n.front.Post(wire.PathHeartbeat, agent.ServeHeartbeat(n, func() bool { return false }))
 	ctx, cancel := context.WithCancel(w.ctx)
 	p := &process{Service: n, name: name}
 	p.stop = func() {
@@ -863,12 +863,12 @@
 	}
 	w.net.Latency = w.latency
 	small := bigBuild
-	small.SKU, small.Cores, small.RAM, small.Hourly, small.Spot = "s", 4, 16, 0.5, 0.2
+	small.SKU, small.Cores, small.RAM, small.HourlyPrice, small.SpotPrice = "s", 4, 16, 0.5, 0.2
 	big := bigBuild
-	big.ReadyS, small.ReadyS = 2, 2
+	big.BootS, small.BootS = 2, 2
 	big.FetchGBs, small.FetchGBs = 4, 4
 	big.CacheGB, small.CacheGB = 100, 100
-	w.cloud = &standin.Fleet{Builds: []wire.Build{big, small}, Most: 12, Boot: w.boot,
+	w.cloud = &standin.Fleet{Builds: []wire.MachineType{big, small}, Most: 12, Boot: w.boot,
 		Told: func(what string) { w.note("cloud: %s", what) }}
 	if s.most > 0 {
 		w.cloud.Most = s.most
@@ -885,7 +885,7 @@
 	}
 	for _, u := range s.users {
 		w.specs[u.spec.UID] = u.spec
-		w.left[u.spec.UID] = u.spec.Pieces
+		w.left[u.spec.UID] = u.spec.Tasks
 		w.ended[u.spec.UID] = make(chan struct{})
 		w.facts[u.spec.UID] = &fact{}
 	}
@@ -1127,7 +1127,7 @@
 		w.mu.Lock()
 		w.faulty[m] = true
 		w.mu.Unlock()
-	case (x.kind == noticeSpot || x.kind == takeSpot) && m != nil && m.Host.Loaned:
+	case (x.kind == noticeSpot || x.kind == takeSpot) && m != nil && m.Host.Preemptible:
 		if x.kind == noticeSpot {
 			m.Warn(x.lasts)
 			end = func() { w.cloud.Take(m) }
@@ -1195,7 +1195,7 @@
 
 // ask sends a user's request to a node and holds its answer against all that
 // was told before it was sent.
-func (w *world) ask(node int, method, path, uid string, body []byte) (int, wire.View) {
+func (w *world) ask(node int, method, path, uid string, body []byte) (int, wire.JobStatus) {
 	name := fmt.Sprintf("node-%d", node%3+1)
 	w.mu.Lock()
 	f := w.facts[uid]
@@ -1204,7 +1204,7 @@
 		w.facts[uid] = f
 	}
 	if method == http.MethodPost {
-		if strings.HasSuffix(path, wire.SuffixAbort) {
+		if strings.HasSuffix(path, wire.SuffixCancel) {
 			f.asked = true
 		} else {
 			f.sent = true
@@ -1216,7 +1216,7 @@
 	defer cancel()
 	time.Sleep(w.latency("user", name))
 	if w.net.Cut("user", name) {
-		return 0, wire.View{}
+		return 0, wire.JobStatus{}
 	}
 	var status int
 	var raw []byte
@@ -1233,12 +1233,12 @@
 		time.Sleep(w.latency(name, "user"))
 	}
 	if w.net.Cut(name, "user") {
-		return 0, wire.View{}
+		return 0, wire.JobStatus{}
 	}
 	if err != nil {
-		return 0, wire.View{}
+		return 0, wire.JobStatus{}
 	}
-	var v wire.View
+	var v wire.JobStatus
 	if status == http.StatusOK || status == http.StatusCreated {
 		_ = wire.Unmarshal(raw, &v)
 	}
@@ -1281,7 +1281,7 @@
 				for _, after := range []time.Duration{time.Millisecond, 40 * time.Millisecond} {
 					w.wg.Go(func() {
 						time.Sleep(after)
-						w.ask(n, http.MethodGet, wire.PathRuns+"/"+uid, uid, nil)
+						w.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil)
 					})
 				}
 			}
@@ -1294,10 +1294,10 @@
 func (w *world) use(u submission) {
 	uid := u.spec.UID
 	body := bodyOf(w.t, u.spec, nil)
-	path := wire.PathRuns + "/" + uid
+	path := wire.PathJobs + "/" + uid
 	over := w.began.Add(w.s.lasts + quietTail - 5*time.Second)
 	for n := 0; ; n++ {
-		status, _ := w.ask(n+u.node+int(w.s.seed), http.MethodPost, wire.PathRuns, uid, body)
+		status, _ := w.ask(n+u.node+int(w.s.seed), http.MethodPost, wire.PathJobs, uid, body)
 		if status == http.StatusCreated || status == http.StatusOK {
 			break
 		}
@@ -1327,7 +1327,7 @@
 				time.Sleep(u.cancelAt)
 			}
 			for n := 0; time.Now().Before(over); n++ {
-				if status, _ := w.ask(n, http.MethodPost, path+"/"+wire.SuffixAbort, uid, nil); status == http.StatusOK {
+				if status, _ := w.ask(n, http.MethodPost, path+"/"+wire.SuffixCancel, uid, nil); status == http.StatusOK {
 					return
 				}
 				time.Sleep(time.Second)
@@ -1344,10 +1344,10 @@
 			continue
 		}
 		if u.repeats && n%4 == 1 {
-			w.ask(n+1, http.MethodPost, wire.PathRuns, uid, body)
-			w.ask(n+2, http.MethodPost, wire.PathRuns, uid, bodyOf(w.t, u.spec, func(m map[string]any) { m["cores"] = -1 }))
+			w.ask(n+1, http.MethodPost, wire.PathJobs, uid, body)
+			w.ask(n+2, http.MethodPost, wire.PathJobs, uid, bodyOf(w.t, u.spec, func(m map[string]any) { m["cores"] = -1 }))
 		}
-		w.ask(n+2, http.MethodGet, wire.PathRuns+"/j-999", "j-999", nil)
+		w.ask(n+2, http.MethodGet, wire.PathJobs+"/j-999", "j-999", nil)
 	}
 }
 
@@ -1394,7 +1394,7 @@
 			continue
 		}
 		for n := range 3 {
-			if status, v := w.ask(n, http.MethodGet, wire.PathRuns+"/"+uid, uid, nil); status != http.StatusOK {
+			if status, v := w.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); status != http.StatusOK {
 				w.breach("forgotten", "%s: %d %+v from node %d after all troubles", uid, status, v, n+1)
 			}
 		}
@@ -1416,7 +1416,7 @@
 	for p, why := range still {
 		uid, _, _ := strings.Cut(p, "/")
 		// Its user may have stopped asking before it was done.
-		if _, v := w.ask(0, http.MethodGet, wire.PathRuns+"/"+uid, uid, nil); v.Status != wire.JobDone {
+		if _, v := w.ask(0, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); v.Status != wire.JobDone {
 			w.breach("waits", "%s waits %v: %s", p, why, w.books(uid))
 		}
 	}
@@ -1442,11 +1442,11 @@
 			on[p] = true
 			uid, _, _ := strings.Cut(p, "/")
 			sp, _ := w.Job(uid)
-			used[sp.Owner] += sp.Cores
+			used[sp.Team] += sp.Cores
 			if zones[uid] == nil {
 				zones[uid] = map[string]int{}
 			}
-			zones[uid][m.Host.Yard]++
+			zones[uid][m.Host.Zone]++
 		}
 	}
 	for _, u := range w.s.users {
@@ -1455,10 +1455,10 @@
 		f := *w.facts[sp.UID]
 		over := w.left[sp.UID] == 0
 		w.mu.Unlock()
-		if limit := w.limit(sp.Owner); !f.accepted || f.done || f.cancelled || f.asked || u.fails || limit > 0 && used[sp.Owner]+sp.Cores > limit {
+		if limit := w.limit(sp.Team); !f.accepted || f.done || f.cancelled || f.asked || u.fails || limit > 0 && used[sp.Team]+sp.Cores > limit {
 			continue
 		}
-		for i := range sp.Pieces {
+		for i := range sp.Tasks {
 			p := fmt.Sprintf("%s/%d", sp.UID, i)
 			w.mu.Lock()
 			done := w.done[p] && !over
@@ -1466,7 +1466,7 @@
 			if done || on[p] {
 				continue
 			}
-			if (rent || (sp.SamePlace || sp.Apart) && time.Since(f.moved) > longWait) && len(all) < w.cloud.Most {
+			if (rent || (sp.SameZone || sp.Spread) && time.Since(f.moved) > longWait) && len(all) < w.cloud.Most {
 				out[p] = append(out[p], "though the cloud rents machines")
 			}
 			for _, m := range all {
@@ -1475,11 +1475,11 @@
 				faulty := w.faulty[m]
 				w.mu.Unlock()
 				z := zones[sp.UID]
-				if sp.SamePlace && len(z) > 0 && z[h.Yard] == 0 || sp.Apart && z[h.Yard] >= (sp.Pieces+1)/2 {
+				if sp.SameZone && len(z) > 0 && z[h.Zone] == 0 || sp.Spread && z[h.Zone] >= (sp.Tasks+1)/2 {
 					continue
 				}
-				if !faulty && (sp.Yard == "" || sp.Yard == h.Yard) && (sp.Builds == nil || slices.Contains(sp.Builds, h.Build)) &&
-					(sp.Loaned || !h.Loaned) && m.Room(sp) {
+				if !faulty && (sp.Zone == "" || sp.Zone == h.Zone) && (sp.MachineTypes == nil || slices.Contains(sp.MachineTypes, h.Type)) &&
+					(sp.Preemptible || !h.Preemptible) && m.Room(sp) {
 					out[p] = append(out[p], "while "+h.UID+" has room")
 				}
 			}
@@ -1546,7 +1546,7 @@
 		w := newWorld(ctx, t, s)
 		w.play()
 		for _, u := range s.users {
-			if u.spec.Shape == wire.ShapeBatch && !w.facts[u.spec.UID].done {
+			if u.spec.Kind == wire.KindBatch && !w.facts[u.spec.UID].done {
 				t.Errorf("%s is not done", u.spec.UID)
 			}
 		}
@@ -1564,10 +1564,10 @@
 func TestJobGetsAMachineWhereItMayRun(t *testing.T) {
 	bound := map[string]func(sp *wire.Spec){
 		"anywhere": func(*wire.Spec) {},
-		"zone x":   func(sp *wire.Spec) { sp.Yard = "x" },
-		"zone y":   func(sp *wire.Spec) { sp.Yard = "y" },
-		"type b":   func(sp *wire.Spec) { sp.Builds = []string{"b"} },
-		"type s":   func(sp *wire.Spec) { sp.Builds = []string{"s"} },
+		"zone x":   func(sp *wire.Spec) { sp.Zone = "x" },
+		"zone y":   func(sp *wire.Spec) { sp.Zone = "y" },
+		"type b":   func(sp *wire.Spec) { sp.MachineTypes = []string{"b"} },
+		"type s":   func(sp *wire.Spec) { sp.MachineTypes = []string{"s"} },
 	}
 	for name, mod := range bound {
 		t.Run(name, func(t *testing.T) {
@@ -1575,7 +1575,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				s := schedule{seed: 1, lasts: 30 * time.Second}
 				s.users = []submission{{at: time.Second, runs: 5 * time.Second, spec: spec("j-1", func(sp *wire.Spec) {
-					sp.Owner, sp.Cores, sp.ExpectS = "free", 1, 5
+					sp.Team, sp.Cores, sp.ExpectedS = "free", 1, 5
 					mod(sp)
 				})}}
 				w := newWorld(ctx, t, s)
--- a/picture.go
+++ b/picture.go
@@ -242,9 +242,9 @@
 		// done by some time goes before what is not.
 		return max(0, clock.Micros(j.at)+j.finish-wall)
 	}
-	begin := min(j.begin, j.due-clock.FromSeconds(j.spec.ExpectS))
+	begin := min(j.begin, j.due-clock.FromSeconds(j.spec.ExpectedS))
 	if j.finish > 0 {
-		begin = min(begin, j.finish-clock.FromSeconds(j.spec.ExpectS))
+		begin = min(begin, j.finish-clock.FromSeconds(j.spec.ExpectedS))
 	}
 	return max(0, clock.Micros(j.at)+begin-wall)
 }
@@ -263,7 +263,7 @@
 			continue
 		}
 		jobs = append(jobs, j)
-		demands = append(demands, quota.Demand{Team: j.spec.Owner, Amount: j.task().Times(len(j.tasks) - j.done)})
+		demands = append(demands, quota.Demand{Team: j.spec.Team, Amount: j.task().Times(len(j.tasks) - j.done)})
 	}
 	for i, entitled := range g.quota.Entitled(demands) {
 		jobs[i].pj.Entitled = entitled
@@ -271,11 +271,11 @@
 }
 
 // task is what one task of the job takes of its team's limit.
-func (j *job) task() quota.Amount { return quota.NewAmount(j.spec.Cores, j.spec.Accel) }
+func (j *job) task() quota.Amount { return quota.NewAmount(j.spec.Cores, j.spec.Accelerators) }
 
 // mayGrow tells whether the job's team may use as much more as a task of it takes. The
 // caller holds mu.
-func (g *term) mayGrow(j *job) bool { return g.quota.Fits(j.spec.Owner, j.task()) }
+func (g *term) mayGrow(j *job) bool { return g.quota.Fits(j.spec.Team, j.task()) }
 
 // settled is how long a replica is left alone after its start: a start that is
 // undone within half a minute is none to its users.
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -54,7 +54,7 @@
 // Victim is a task that could be stopped to make room.
 type Victim struct {
 	Task              TaskID
-	Priority          wire.Rank
+	Priority          wire.Priority
 	Cores, Accel, RAM float64
 	Since             clock.Micros // running since; zero when it has not begun
 	Job               *Job         // to tell whether its team is beyond its guarantee; may be nil
@@ -84,7 +84,7 @@
 // Job is what the tasks of a job have in common.
 type Job struct {
 	UID, Team         string
-	Priority          wire.Rank
+	Priority          wire.Priority
 	Standing          bool
 	Tasks             int
 	Cores, Accel, RAM float64
@@ -381,12 +381,12 @@
 // turns is what aged jobs and work of higher priority that waits share a plan by.
 type turns struct {
 	left   int
-	rival  wire.Rank // the highest that waits and has not aged
-	lowest wire.Rank // the lowest of the aged jobs
+	rival  wire.Priority // the highest that waits and has not aged
+	lowest wire.Priority // the lowest of the aged jobs
 }
 
 func (pl *planner) turns(list []*Waiting) turns {
-	t := turns{left: pl.Turns, lowest: wire.RankCritical}
+	t := turns{left: pl.Turns, lowest: wire.PriorityCritical}
 	aged, others := false, false
 	for _, w := range list {
 		if first(w) {
@@ -416,7 +416,7 @@
 			block = nil
 		}
 		m := pl.target(j, "", nil)
-		if last && m != nil && pl.Preempt && !j.Probe && j.Priority >= wire.RankHigh && m.Images[j.Bundle] != ImageHeld && !soonEnough(j, m) && pl.makeRoom(j, true) {
+		if last && m != nil && pl.Preempt && !j.Probe && j.Priority >= wire.PriorityHigh && m.Images[j.Bundle] != ImageHeld && !soonEnough(j, m) && pl.makeRoom(j, true) {
 			// Only cold machines have room: waiting for an image costs an urgent task
 			// more than a little lost work costs the one that makes way.
 			pl.out.Unplaced[j.UID]++
@@ -739,7 +739,7 @@
 	if x, y := a.Images[j.Bundle], b.Images[j.Bundle]; x != y {
 		return x > y
 	}
-	if a.Fetch != b.Fetch && j.Priority >= wire.RankHigh && a.Images[j.Bundle] == ImageAbsent {
+	if a.Fetch != b.Fetch && j.Priority >= wire.PriorityHigh && a.Images[j.Bundle] == ImageAbsent {
 		return a.Fetch > b.Fetch // where an urgent task has to wait for its image
 	}
 	if x, y := j.Zones[a.Zone], j.Zones[b.Zone]; j.Standing && x != y {
--- a/plan/plan_test.go
+++ b/plan/plan_test.go
@@ -20,7 +20,7 @@
 }
 
 func newJob(uid string, pieces int, cores, ram float64) *Job {
-	return &Job{UID: uid, Team: "t", Priority: wire.RankStandard, Tasks: pieces, Cores: cores, RAM: ram, Loaned: true,
+	return &Job{UID: uid, Team: "t", Priority: wire.PriorityStandard, Tasks: pieces, Cores: cores, RAM: ram, Loaned: true,
 		Zones: map[string]int{}, Machines: map[string]int{}}
 }
 
@@ -70,7 +70,7 @@
 	if m := place(); m != "b" {
 		t.Errorf("ordinary work on %s, want worst fit", m)
 	}
-	j.Priority = wire.RankHigh
+	j.Priority = wire.PriorityHigh
 	if m := place(); m != "a" {
 		t.Errorf("urgent work on %s, want the faster fetch", m)
 	}
@@ -85,9 +85,9 @@
 		cold, warm := machine("cold", "x", 8, 32), machine("warm", "x", 0, 0)
 		cold.Fetch = tt.fetch
 		warm.Images["img"] = ImageHeld
-		warm.Lower = []Victim{{Task: TaskID{"j-9", 0}, Priority: wire.RankLow, Cores: 8, RAM: 16}}
+		warm.Lower = []Victim{{Task: TaskID{"j-9", 0}, Priority: wire.PriorityLow, Cores: 8, RAM: 16}}
 		j := newJob("j-1", 1, 4, 8)
-		j.Priority, j.Bundle, j.ImageGB, j.Within = wire.RankHigh, "img", 1, 5*clock.Second
+		j.Priority, j.Bundle, j.ImageGB, j.Within = wire.PriorityHigh, "img", 1, 5*clock.Second
 		res := Make(&Picture{Machines: []*Machine{cold, warm}, Preempt: true, Waiting: []Waiting{{Job: j, Indexes: indexes(1)}}})
 		if len(res.Preempt) != tt.want {
 			t.Errorf("at %v GB a second: preempted %v, want %d", tt.fetch, res.Preempt, tt.want)
@@ -98,7 +98,7 @@
 func TestLaunchOrder(t *testing.T) {
 	low, high, due := newJob("j-1", 1, 8, 1), newJob("j-2", 1, 8, 1), newJob("j-3", 1, 8, 1)
 	low.Slack, high.Slack, due.Slack = 100, 100, 5
-	high.Priority, due.Priority = wire.RankHigh, wire.RankHigh
+	high.Priority, due.Priority = wire.PriorityHigh, wire.PriorityHigh
 	p := &Picture{Machines: []*Machine{machine("a", "x", 16, 30)}}
 	for _, j := range []*Job{low, high, due} {
 		p.Waiting = append(p.Waiting, Waiting{Job: j, Indexes: indexes(1)})
@@ -237,10 +237,10 @@
 
 func TestPreemption(t *testing.T) {
 	m := machine("a", "x", 0, 10)
-	m.Lower = []Victim{{Task: TaskID{"j-1", 0}, Priority: wire.RankStandard, Cores: 8, RAM: 8, Since: 97},
-		{Task: TaskID{"j-1", 1}, Priority: wire.RankStandard, Cores: 8, RAM: 8, Since: 91}}
+	m.Lower = []Victim{{Task: TaskID{"j-1", 0}, Priority: wire.PriorityStandard, Cores: 8, RAM: 8, Since: 97},
+		{Task: TaskID{"j-1", 1}, Priority: wire.PriorityStandard, Cores: 8, RAM: 8, Since: 91}}
 	urgent, equal := newJob("j-2", 2, 4, 4), newJob("j-3", 1, 4, 4)
-	urgent.Priority = wire.RankHigh
+	urgent.Priority = wire.PriorityHigh
 	res := Make(&Picture{Machines: []*Machine{m}, Preempt: true, Now: 100, Waiting: []Waiting{
 		{Job: urgent, Indexes: indexes(2)}, {Job: equal, Indexes: indexes(1)}}})
 	want := []TaskID{{"j-1", 0}}
@@ -250,7 +250,7 @@
 	// Room already on its way is waited for, not made again.
 	m = machine("a", "x", 0, 10)
 	m.StopCores, m.StopRAM = 8, 8
-	m.Lower = []Victim{{Task: TaskID{"j-1", 1}, Priority: wire.RankStandard, Cores: 8, RAM: 8}}
+	m.Lower = []Victim{{Task: TaskID{"j-1", 1}, Priority: wire.PriorityStandard, Cores: 8, RAM: 8}}
 	res = Make(&Picture{Machines: []*Machine{m}, Preempt: true, Waiting: []Waiting{{Job: urgent, Indexes: indexes(2)}}})
 	if len(res.Preempt) != 0 {
 		t.Errorf("preempted %v again", res.Preempt)
@@ -273,7 +273,7 @@
 	} {
 		m := machine("a", "x", 0, 10)
 		guest := newJob("j-1", 2, 8, 8)
-		guest.Team, guest.Priority = "guest", wire.RankHigh
+		guest.Team, guest.Priority = "guest", wire.PriorityHigh
 		for i := range 2 {
 			m.Lower = append(m.Lower, Victim{Task: TaskID{"j-1", i}, Job: guest, Priority: guest.Priority, Cores: 8, RAM: 8, Since: 50})
 		}
@@ -295,11 +295,11 @@
 // beyond another team's: that would else take the room which it has just been stopped for.
 func TestGuaranteeGoesBeforePriority(t *testing.T) {
 	own := newJob("j-1", 1, 8, 8)
-	own.Entitled, own.Priority = true, wire.RankLow
+	own.Entitled, own.Priority = true, wire.PriorityLow
 	guest := newJob("j-2", 1, 8, 8)
-	guest.Team, guest.Priority = "guest", wire.RankCritical
+	guest.Team, guest.Priority = "guest", wire.PriorityCritical
 	service := newJob("j-3", 1, 8, 8)
-	service.Team, service.Priority, service.Standing = "guest", wire.RankCritical, true
+	service.Team, service.Priority, service.Standing = "guest", wire.PriorityCritical, true
 	m := machine("a", "x", 8, 8)
 	m.Held = "j-2" // not even room that is kept for the other
 	ledger := quota.NewLedger(map[string]quota.Limits{"t": {Guarantee: quota.NewAmount(8, 0)}, "guest": {}})
@@ -319,19 +319,19 @@
 	for _, tt := range []struct {
 		name     string
 		entitled bool // the job that waits
-		priority wire.Rank
+		priority wire.Priority
 		victim   Victim
 		within   bool // the victim's job is within its guarantee
 		want     bool
 	}{
-		{"lower priority", false, wire.RankHigh, Victim{Priority: wire.RankLow}, false, true},
-		{"lower priority, within its guarantee", false, wire.RankHigh, Victim{Priority: wire.RankLow}, true, false},
-		{"both within their guarantees, lower priority", true, wire.RankHigh, Victim{Priority: wire.RankLow}, true, true},
-		{"both within their guarantees, the same priority", true, wire.RankHigh, Victim{Priority: wire.RankHigh}, true, false},
-		{"higher priority, beyond its guarantee", true, wire.RankLow, Victim{Priority: wire.RankHigh}, false, true},
-		{"a replica for lower priority's sake", false, wire.RankCritical, Victim{Priority: wire.RankLow, Replica: true}, false, false},
-		{"a replica beyond its guarantee", true, wire.RankLow, Victim{Priority: wire.RankCritical, Replica: true}, false, true},
-		{"a replica within its guarantee", true, wire.RankCritical, Victim{Priority: wire.RankLow, Replica: true}, true, false},
+		{"lower priority", false, wire.PriorityHigh, Victim{Priority: wire.PriorityLow}, false, true},
+		{"lower priority, within its guarantee", false, wire.PriorityHigh, Victim{Priority: wire.PriorityLow}, true, false},
+		{"both within their guarantees, lower priority", true, wire.PriorityHigh, Victim{Priority: wire.PriorityLow}, true, true},
+		{"both within their guarantees, the same priority", true, wire.PriorityHigh, Victim{Priority: wire.PriorityHigh}, true, false},
+		{"higher priority, beyond its guarantee", true, wire.PriorityLow, Victim{Priority: wire.PriorityHigh}, false, true},
+		{"a replica for lower priority's sake", false, wire.PriorityCritical, Victim{Priority: wire.PriorityLow, Replica: true}, false, false},
+		{"a replica beyond its guarantee", true, wire.PriorityLow, Victim{Priority: wire.PriorityCritical, Replica: true}, false, true},
+		{"a replica within its guarantee", true, wire.PriorityCritical, Victim{Priority: wire.PriorityLow, Replica: true}, true, false},
 	} {
 		guest := newJob("j-1", 1, 8, 8)
 		guest.Team = "guest"
@@ -401,7 +401,7 @@
 		used := map[string]float64{}
 		for i := range 2 + r.IntN(6) {
 			j := newJob(fmt.Sprintf("j-%d", i), 1+r.IntN(6), float64(1+r.IntN(4)), float64(1+r.IntN(8)))
-			j.Priority, j.Apart, j.SamePlace, j.Loaned = wire.Rank(r.IntN(4)), r.IntN(2) == 0, r.IntN(4) == 0, r.IntN(2) == 0
+			j.Priority, j.Apart, j.SamePlace, j.Loaned = wire.Priority(r.IntN(4)), r.IntN(2) == 0, r.IntN(4) == 0, r.IntN(2) == 0
 			j.Standing = r.IntN(2) == 0
 			if r.IntN(2) == 0 {
 				j.Team = "u"
@@ -567,7 +567,7 @@
 func TestOnlyTheFirstTaskOfAnAgedJobGoesFirst(t *testing.T) {
 	p := &Picture{Turns: MostTurns}
 	old, urgent := newJob("j-1", 10, 1, 1), newJob("j-2", 10, 1, 1)
-	old.Priority, old.Aged, urgent.Priority = wire.RankLow, true, wire.RankHigh
+	old.Priority, old.Aged, urgent.Priority = wire.PriorityLow, true, wire.PriorityHigh
 	placed := map[string]int{}
 	for n := range 10 { // one machine comes free after the other
 		p.Put(machine(fmt.Sprintf("m%d", n), "x", 1, 1))
@@ -598,14 +598,14 @@
 	waiting := map[string]Waiting{}
 	for n := range 60 {
 		j := newJob(fmt.Sprintf("j-%d", n), 1, 1, 1)
-		j.Priority, j.Aged, j.Order = wire.RankLow, true, int64(n)
+		j.Priority, j.Aged, j.Order = wire.PriorityLow, true, int64(n)
 		waiting[j.UID] = Waiting{Job: j, Indexes: indexes(1)}
 	}
 	waiting["j-9"].Job.Cores = 3 // more than a machine has at first
 	urgent := newJob("j-100", 40, 1, 1)
-	urgent.Priority = wire.RankHigh
+	urgent.Priority = wire.PriorityHigh
 	large := newJob("j-101", 1, 64, 1) // there is no room for it anywhere
-	large.Priority = wire.RankCritical
+	large.Priority = wire.PriorityCritical
 	held := ""
 	placed := map[string]int{}
 	for n := range 40 {
@@ -651,11 +651,11 @@
 	p := &Picture{Quota: used(quota.Limits{Limit: quota.NewAmount(100, 0)}, 0, 0), Preempt: true, MoveCap: 3}
 	a, b := machine("a", "x", 4, 8), machine("b", "y", 8, 32)
 	a.Banned = "sick"
-	b.Lower = []Victim{{Task: TaskID{"j-9", 0}, Priority: wire.RankLow, Cores: 2, RAM: 2}}
+	b.Lower = []Victim{{Task: TaskID{"j-9", 0}, Priority: wire.PriorityLow, Cores: 2, RAM: 2}}
 	p.Put(a)
 	p.Put(b)
 	j, k := newJob("j-1", 3, 3, 4), newJob("j-2", 1, 1, 1)
-	k.Priority = wire.RankHigh
+	k.Priority = wire.PriorityHigh
 	k.Zones["x"], k.Machines["a"] = 1, 1
 	snap := func() string {
 		return fmt.Sprint(a.Cores, a.RAM, b.Cores, b.RAM, b.StopCores, b.Lower, p.Quota.Usage("t"), j.Zones, j.Machines, k.Zones, k.Machines, len(p.index.open[ordinary][level(b.RAM)].width[width(b.Cores)]))
@@ -697,7 +697,7 @@
 		a := machine("a", "x", 8, 32)
 		a.Struck = true
 		bad, good := newJob("j-1", 1, 3, 8), newJob("j-2", 2, 3, 8)
-		bad.Priority, good.Priority = wire.RankHigh, wire.RankLow
+		bad.Priority, good.Priority = wire.PriorityHigh, wire.PriorityLow
 		good.Started, good.Left = true, 2
 		mod(bad)
 		for _, same := range []bool{false, true} {
--- a/plan/preempt_test.go
+++ b/plan/preempt_test.go
@@ -17,7 +17,7 @@
 	guest.Team = "guest"
 	m := machine(name, zone, free, 64)
 	for i := range guests {
-		m.Lower = append(m.Lower, Victim{Task: TaskID{"j-9", int(name[0])*100 + i}, Job: guest, Priority: wire.RankHigh, Cores: 2, RAM: 2, Since: 50})
+		m.Lower = append(m.Lower, Victim{Task: TaskID{"j-9", int(name[0])*100 + i}, Job: guest, Priority: wire.PriorityHigh, Cores: 2, RAM: 2, Since: 50})
 	}
 	return m
 }
@@ -43,7 +43,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			j := newJob("j-1", 4, 2, 2)
-			j.Priority = wire.RankLow
+			j.Priority = wire.PriorityLow
 			tt.mod(j)
 			ledger := quota.NewLedger(map[string]quota.Limits{"t": {Guarantee: quota.NewAmount(tt.guarantee, 0)}, "guest": {}})
 			ledger.Adopt("guest", quota.NewAmount(12, 0))
@@ -74,9 +74,9 @@
 // more, and gives none of it to others.
 func TestRoomForAWholeJobStaysClaimed(t *testing.T) {
 	j := newJob("j-1", 4, 2, 2)
-	j.Group, j.Left, j.Priority = true, 4, wire.RankLow
+	j.Group, j.Left, j.Priority = true, 4, wire.PriorityLow
 	other := newJob("j-2", 4, 2, 2)
-	other.Team, other.Priority = "guest", wire.RankHigh
+	other.Team, other.Priority = "guest", wire.PriorityHigh
 	ledger := quota.NewLedger(map[string]quota.Limits{"t": {Guarantee: quota.NewAmount(8, 0)}, "guest": {}})
 	ledger.Adopt("guest", quota.NewAmount(12, 0))
 	m := guestMachine("a", "x", 4, 2)
--- a/quota_scenes_test.go
+++ b/quota_scenes_test.go
@@ -103,7 +103,7 @@
 // waits tells whether a team has a job with tasks that wait, of the given kind.
 func (g *guaranteeWatch) waits(team string, kind func(sp *wire.Spec) bool) bool {
 	return slices.ContainsFunc(g.w.s.users, func(u submission) bool {
-		return u.spec.Owner == team && kind(&u.spec) && g.w.waits(u.spec.UID)
+		return u.spec.Team == team && kind(&u.spec) && g.w.waits(u.spec.UID)
 	})
 }
 
@@ -148,7 +148,7 @@
 		began := cycleSpan * float64(cycle)
 		for range 4 {
 			submit(began+1+2*r.Float64(), 40, func(sp *wire.Spec) {
-				sp.Owner, sp.Rank, sp.Pieces, sp.Cores, sp.Loaned = "greedy", "high", 6, 2, true
+				sp.Team, sp.Priority, sp.Tasks, sp.Cores, sp.Preemptible = "greedy", "high", 6, 2, true
 			})
 		}
 		s.troubles = append(s.troubles,
@@ -162,7 +162,7 @@
 		// Several at the same moment, at different controllers. Every machine fits them: what
 		// waits under its team's guarantee has no other cause.
 		submit(8+cycleSpan*float64(r.IntN(cycles))+2*float64(r.IntN(30)), 2+5*r.Float64(), func(sp *wire.Spec) {
-			sp.Owner, sp.Rank, sp.Cores, sp.Pieces, sp.Loaned = team, []string{"low", "standard"}[r.IntN(2)], float64(1+r.IntN(2)), 1+r.IntN(2), true
+			sp.Team, sp.Priority, sp.Cores, sp.Tasks, sp.Preemptible = team, []string{"low", "standard"}[r.IntN(2)], float64(1+r.IntN(2)), 1+r.IntN(2), true
 		})
 		if r.IntN(8) == 0 {
 			s.users[len(s.users)-1].cancelAt = at(10 * r.Float64())
@@ -258,7 +258,7 @@
 func TestLastRoomAcceptedByThreeControllers(t *testing.T) {
 	s := schedule{seed: 3, lasts: at(60), leads: 1}
 	for i := range 3 {
-		u := user(i+1, 20, 10, func(sp *wire.Spec) { sp.Owner, sp.Cores = "tight", 4 })
+		u := user(i+1, 20, 10, func(sp *wire.Spec) { sp.Team, sp.Cores = "tight", 4 })
 		u.node = i
 		s.users = append(s.users, u)
 	}
