--- a/quota_test.go
+++ b/quota_test.go
@@ -20,7 +20,7 @@
 	g, stop = s.elect(n)
 	w = s.worker("n-1", "x", true)
 	heartbeat(t, g, w)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Pieces = tasks }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = tasks }))
 	s.resync(g)
 	s.settle(g)
 	heartbeat(t, g, w)
@@ -36,7 +36,7 @@
 	ga, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Pieces = 2 }))
+	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(ga)
 	ga.mu.Lock()
 	ga.plan(ga.ck.Now())
@@ -106,14 +106,14 @@
 	s := newSite(t)
 	a, b := s.node(limited(4)), s.node(limited(1))
 	_, stop := s.elect(a)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Loaned = false }))
+	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Preemptible = false }))
 	stop()
 	gb, _ := s.elect(b)
 	b.term.Store(gb)
-	if code, _, _ := s.ask(b, http.MethodPost, wire.PathRuns, spec("j-2", nil)); code != http.StatusUnprocessableEntity {
+	if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs, spec("j-2", nil)); code != http.StatusUnprocessableEntity {
 		t.Errorf("a task of 2 cores under a limit of 1: status %d, want 422", code)
 	}
-	if code, v, _ := s.ask(b, http.MethodGet, wire.PathRuns+"/j-1", nil); code != http.StatusOK || v.Status != wire.JobQueued {
+	if code, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK || v.Status != wire.JobQueued {
 		t.Errorf("the accepted job: %d %+v", code, v)
 	}
 	gb.mu.Lock()
@@ -187,9 +187,9 @@
 		"no tasks":           {func(m map[string]any) { m["pieces"] = 0 }, http.StatusBadRequest},
 		"absurdly many":      {func(m map[string]any) { m["pieces"] = 1 << 40 }, http.StatusBadRequest},
 		"negative GPUs":      {func(m map[string]any) { m["accelerators"] = -1.0 }, http.StatusBadRequest},
-		"service over limit": {func(m map[string]any) { m["shape"], m["pieces"] = wire.ShapeStanding, 3 }, http.StatusUnprocessableEntity},
+		"service over limit": {func(m map[string]any) { m["shape"], m["pieces"] = wire.KindService, 3 }, http.StatusUnprocessableEntity},
 	} {
-		if code, _, _ := s.ask(n, http.MethodPost, wire.PathRuns, bodyOf(t, spec("j-1", nil), tt.mod)); code != tt.want {
+		if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, bodyOf(t, spec("j-1", nil), tt.mod)); code != tt.want {
 			t.Errorf("%s: status %d, want %d", name, code, tt.want)
 		}
 	}
@@ -216,7 +216,7 @@
 		t.Fatalf("four tasks of 2 cores on 8: %v", got)
 	}
 	for i := range 3 {
-		s.submit(n, spec(fmt.Sprintf("j-%d", i+2), func(sp *wire.Spec) { sp.Owner, sp.Rank, sp.Cores = "owner", "low", 1 }))
+		s.submit(n, spec(fmt.Sprintf("j-%d", i+2), func(sp *wire.Spec) { sp.Team, sp.Priority, sp.Cores = "owner", "low", 1 }))
 	}
 	s.resync(g)
 	for range 6 {
--- a/record.go
+++ b/record.go
@@ -106,7 +106,7 @@
 	case j == nil || j.cancelled:
 		return -1
 	case j.standing():
-		return int(wire.RankCritical)
+		return int(wire.PriorityCritical)
 	}
 	return int(j.priority)
 }
@@ -136,7 +136,7 @@
 	}
 	g.seq++
 	w := &write{nonce: fmt.Sprintf("%d.%d", g.r.Stamp, g.seq), sharedRecords: map[*sharedRecord]bool{}}
-	w.txn.When = []wire.When{{Path: store.KeyLead, Stamp: g.r.Stamp}}
+	w.txn.Conditions = []wire.Condition{{Key: store.KeyLead, ModRevision: g.r.Stamp}}
 	spare, all := max(atLeast, g.st.Spare()), g.cfg.Facts.State.TxnOps
 	if g.careful > 0 {
 		g.careful--
@@ -156,10 +156,10 @@
 			continue
 		}
 		most := all
-		if g.urgency(uid) < int(wire.RankStandard) {
+		if g.urgency(uid) < int(wire.PriorityStandard) {
 			most = min(most, spare)
 		}
-		if len(w.txn.Apply) >= most || w.size > maxTxn || len(w.txn.When)+2 > 4*g.cfg.Facts.State.TxnOps {
+		if len(w.txn.Operations) >= most || w.size > maxTxn || len(w.txn.Conditions)+2 > 4*g.cfg.Facts.State.TxnOps {
 			break
 		}
 		clean := true
@@ -171,31 +171,31 @@
 		case j.shared != nil:
 			clean = g.collectShared(w, j.shared)
 		default:
-			before := len(w.txn.Apply)
+			before := len(w.txn.Operations)
 			for n := range j.chunks {
 				c := &j.chunks[n]
 				if c.seq == c.saved || c.unreadable > 0 {
 					continue
 				}
-				if len(w.txn.Apply) >= most || w.size > maxTxn || len(w.txn.When)+2 > 4*g.cfg.Facts.State.TxnOps {
+				if len(w.txn.Operations) >= most || w.size > maxTxn || len(w.txn.Conditions)+2 > 4*g.cfg.Facts.State.TxnOps {
 					clean = false
 					break
 				}
 				g.collectChunk(w, j, n)
 			}
-			if len(w.txn.Apply) > before {
+			if len(w.txn.Operations) > before {
 				// Only with a change of its own: conditions are limited, too.
-				w.txn.When = append(w.txn.When, wire.When{Path: store.JobKey(uid), Stamp: j.stamp})
+				w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(uid), ModRevision: j.stamp})
 			}
 		}
 		if clean {
 			delete(g.dirty, uid)
 		}
 	}
-	if len(w.txn.Apply) == 0 {
+	if len(w.txn.Operations) == 0 {
 		g.collectMoves(w)
 	}
-	if len(w.txn.Apply) == 0 {
+	if len(w.txn.Operations) == 0 {
 		return nil
 	}
 	return w
@@ -223,8 +223,8 @@
 			runs = append(runs, store.Placed{Index: i - base, Attempt: pc.attempt})
 		}
 	}
-	w.txn.When = append(w.txn.When, wire.When{Path: wr.key, Stamp: c.stamp})
-	w.txn.Apply = append(w.txn.Apply, wire.Apply{Set: wr.key, Value: store.Pack(w.nonce, done, runs)})
+	w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: wr.key, ModRevision: c.stamp})
+	w.txn.Operations = append(w.txn.Operations, wire.Operation{Set: wr.key, Value: store.Pack(w.nonce, done, runs)})
 	w.chunks = append(w.chunks, wr)
 	w.size += 200 + 36*len(runs)
 }
@@ -238,7 +238,7 @@
 	}
 	wr := written{c: &s.chunk, key: s.key, shared: s, seq: s.seq, ended: s.ending}
 	rec := store.SharedRecord{Nonce: w.nonce, Rows: append([]store.SharedRow{}, s.kept...)}
-	when := []wire.When{{Path: s.key, Stamp: s.stamp}}
+	when := []wire.Condition{{Key: s.key, ModRevision: s.stamp}}
 	for _, j := range s.jobs {
 		pc := &j.tasks[0]
 		switch {
@@ -246,23 +246,23 @@
 			rec.Rows = append(rec.Rows, store.SharedRow{UID: j.uid, Attempt: pc.attempt, Host: pc.booking.Machine.Name, Session: pc.booking.Session})
 			if !pc.booking.Recorded && !j.cancelled {
 				wr.recorded = append(wr.recorded, pc.booking)
-				when = append(when, wire.When{Path: store.JobKey(j.uid), Stamp: j.stamp})
+				when = append(when, wire.Condition{Key: store.JobKey(j.uid), ModRevision: j.stamp})
 			}
 		case pc.attempt > 0:
 			rec.Rows = append(rec.Rows, store.SharedRow{UID: j.uid, Attempt: pc.attempt})
 		}
 	}
-	if len(w.txn.When)+len(when) > 4*g.cfg.Facts.State.TxnOps && len(w.txn.Apply) > 0 {
+	if len(w.txn.Conditions)+len(when) > 4*g.cfg.Facts.State.TxnOps && len(w.txn.Operations) > 0 {
 		return false
 	}
 	w.sharedRecords[s] = true
 	s.ending = nil
-	w.txn.When = append(w.txn.When, when...)
+	w.txn.Conditions = append(w.txn.Conditions, when...)
 	if len(rec.Rows) == 0 && g.closed(s) && s.stamp > 0 {
 		wr.deleted = true
-		w.txn.Apply = append(w.txn.Apply, wire.Apply{Delete: s.key})
+		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: s.key})
 	} else {
-		w.txn.Apply = append(w.txn.Apply, wire.Apply{Set: s.key, Value: rec})
+		w.txn.Operations = append(w.txn.Operations, wire.Operation{Set: s.key, Value: rec})
 	}
 	w.chunks = append(w.chunks, wr)
 	w.size += 100 + 70*len(rec.Rows)
@@ -273,8 +273,8 @@
 // come at a time. It moves to its final place later.
 func (g *term) collectOver(w *write, j *job) {
 	rec := store.Over(&j.spec, wire.JobDone, w.nonce)
-	w.txn.When = append(w.txn.When, wire.When{Path: store.JobKey(j.uid), Stamp: j.stamp})
-	w.txn.Apply = append(w.txn.Apply, wire.Apply{Set: store.JobKey(j.uid),
+	w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(j.uid), ModRevision: j.stamp})
+	w.txn.Operations = append(w.txn.Operations, wire.Operation{Set: store.JobKey(j.uid),
 		Value: store.JobRecord{Spec: wire.Spec{UID: j.uid}, AtUS: j.at, Over: &rec}})
 	w.over = append(w.over, j)
 	w.size += 300
@@ -295,7 +295,7 @@
 	if (spare < min(finalMovesAt, g.cfg.Facts.State.TxnOps) || g.st.Pressed()) && len(g.finalMoves) < manyFinalMoves {
 		return
 	}
-	for len(g.finalMoves) > 0 && len(w.txn.Apply)+3 <= max(3, spare) && len(w.txn.When) < 3*g.cfg.Facts.State.TxnOps {
+	for len(g.finalMoves) > 0 && len(w.txn.Operations)+3 <= max(3, spare) && len(w.txn.Conditions) < 3*g.cfg.Facts.State.TxnOps {
 		f := g.finalMoves[0]
 		g.finalMoves = g.finalMoves[1:]
 		// A row that outlived its job's record would have to be looked up by a new leader.
@@ -306,12 +306,12 @@
 			}
 			delete(g.untidy, f.shared)
 		}
-		w.txn.When = append(w.txn.When, wire.When{Path: store.JobKey(f.uid), Stamp: f.stamp})
-		w.txn.Apply = append(w.txn.Apply, wire.Apply{Delete: store.JobKey(f.uid)}, wire.Apply{Set: store.OverKey(f.uid), Value: f.rec})
+		w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(f.uid), ModRevision: f.stamp})
+		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: store.JobKey(f.uid)}, wire.Operation{Set: store.OverKey(f.uid), Value: f.rec})
 		w.moved = append(w.moved, f)
 	}
 	for s := range g.untidy {
-		if len(w.txn.Apply) >= spare {
+		if len(w.txn.Operations) >= spare {
 			break
 		}
 		if !g.collectShared(w, s) {
@@ -336,15 +336,15 @@
 		if j.chunks[n].stamp == 0 {
 			continue
 		}
-		if len(w.txn.Apply) >= most {
+		if len(w.txn.Operations) >= most {
 			return false
 		}
 		key := store.ChunkKey(j.uid, n)
-		w.txn.Apply = append(w.txn.Apply, wire.Apply{Delete: key})
+		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: key})
 		w.chunks = append(w.chunks, written{c: &j.chunks[n], key: key, j: j, deleted: true})
 	}
 	g.leaveShared(j)
-	if len(w.txn.Apply) == 0 || !slices.ContainsFunc(w.chunks, func(wr written) bool { return wr.j == j }) {
+	if len(w.txn.Operations) == 0 || !slices.ContainsFunc(w.chunks, func(wr written) bool { return wr.j == j }) {
 		// Nothing of its own is recorded, or no longer.
 		g.forgetJob(j)
 		return true
@@ -373,7 +373,7 @@
 		if errors.Is(err, store.ErrMalformed) {
 			// Never carried out, and never will be: what it held is recorded in steps as
 			// small as can be, so that one that is at fault keeps nothing else up for ever.
-			g.log.Error("record refused", "error", err, "changes", len(w.txn.Apply), "conditions", len(w.txn.When))
+			g.log.Error("record refused", "error", err, "changes", len(w.txn.Operations), "conditions", len(w.txn.Conditions))
 			g.mu.Lock()
 			g.careful = carefulFor
 			g.restore(w, nil)
@@ -509,7 +509,7 @@
 			mark.Nonce = mark.Over.Nonce
 		}
 		if found && mark.Nonce == w.nonce {
-			g.applied(w, row.Stamp)
+			g.applied(w, row.ModRevision)
 			return true
 		}
 		g.mu.Lock()
@@ -518,12 +518,12 @@
 			if j := g.jobs[uid]; j != nil && (!found || mark.Over != nil) {
 				g.cancel(j, g.ck.Now())
 			} else if j != nil {
-				j.stamp = max(j.stamp, row.Stamp)
+				j.stamp = max(j.stamp, row.ModRevision)
 			}
 		}
 		for _, wr := range w.chunks {
 			if wr.key == key {
-				wr.c.stamp = row.Stamp
+				wr.c.stamp = row.ModRevision
 			}
 		}
 		g.mu.Unlock()
--- a/recover.go
+++ b/recover.go
@@ -174,7 +174,7 @@
 // size is how many tasks the job has: of one that is over, the list holds whole chunks.
 func (j *job) size() int {
 	if j.cancelled {
-		return min(len(j.tasks), j.spec.Pieces)
+		return min(len(j.tasks), j.spec.Tasks)
 	}
 	return len(j.tasks)
 }
@@ -270,7 +270,7 @@
 
 // leftOf is what the tasks of a job that is over take, where some are left.
 func leftOf(uid string, rec *store.OverRecord) wire.Spec {
-	return wire.Spec{UID: uid, Owner: rec.Owner, Cores: rec.Cores, Accel: rec.Accel, RAM: rec.RAM, Pieces: rec.Tasks}
+	return wire.Spec{UID: uid, Team: rec.Owner, Cores: rec.Cores, Accelerators: rec.Accel, RAM: rec.RAM, Tasks: rec.Tasks}
 }
 
 // unreadableAttempts is where the attempts of a task are numbered from whose record can't be
@@ -287,7 +287,7 @@
 		return
 	}
 	pc.state, pc.attempt, pc.ran = taskUnreadable, unreadableAttempts+stamp, true
-	pc.reservation = g.quota.Adopt(j.spec.Owner, j.task())
+	pc.reservation = g.quota.Adopt(j.spec.Team, j.task())
 	j.started = true
 	j.pj.Count("", "", 1)
 	j.chunkOf(index).unreadable++
@@ -546,7 +546,7 @@
 	}
 	switch {
 	case state == recovery.JobActive:
-		if err := g.addJob(row.Path, row.Value, row.Stamp, now); err != nil {
+		if err := g.addJob(row.Key, row.Value, row.ModRevision, now); err != nil {
 			return err
 		}
 	case g.jobs[uid] == nil:
--- a/recover_test.go
+++ b/recover_test.go
@@ -23,7 +23,7 @@
 // write puts a record into the state service, past all controllers.
 func (s *site) write(n *Service, key string, value any) {
 	s.t.Helper()
-	if _, err := n.st.Commit(s.t.Context(), store.Urgent, wire.Txn{Apply: []wire.Apply{{Set: key, Value: value}}}); err != nil {
+	if _, err := n.st.Commit(s.t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: key, Value: value}}}); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -31,7 +31,7 @@
 // remove deletes a record, past all controllers.
 func (s *site) remove(n *Service, key string) {
 	s.t.Helper()
-	if _, err := n.st.Commit(s.t.Context(), store.Urgent, wire.Txn{Apply: []wire.Apply{{Delete: key}}}); err != nil {
+	if _, err := n.st.Commit(s.t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Delete: key}}}); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -48,7 +48,7 @@
 
 // runsBy lets a worker run a task as some earlier leader may have told it to.
 func runsBy(w *standin.Worker, token uint64, task string, attempt uint64) {
-	w.Take(wire.BeatAnswer{Warrant: token, Orders: []wire.Order{{Verb: wire.VerbRun, Piece: task, Try: attempt}}})
+	w.Take(wire.HeartbeatResponse{Token: token, Commands: []wire.Command{{Verb: wire.VerbRun, Task: task, Attempt: attempt}}})
 }
 
 func mustReport(t *testing.T, g *term) recovery.Report {
@@ -69,7 +69,7 @@
 	runsBy(w, g.r.Token, "j-9/0", 3)
 	heartbeat(t, g, w)
 	s.lookUps(g)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Pieces, sp.Cores = 4, 2 }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 4, 2 }))
 	s.resync(g)
 	for range 3 {
 		heartbeat(t, g, w)
@@ -87,7 +87,7 @@
 	if len(r.Unrecorded) != 1 || r.Unrecorded[0].Task != "j-9/0" || r.Unrecorded[0].Machine != "n-1" || r.Unrecorded[0].Why != recovery.Retain.String() {
 		t.Errorf("operators are told %+v", r.Unrecorded)
 	}
-	if code, _, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/j-9", nil); code != http.StatusNotFound {
+	if code, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-9", nil); code != http.StatusNotFound {
 		t.Errorf("a job that nobody submitted: status %d", code)
 	}
 	// An idle machine with it is not returned.
@@ -148,7 +148,7 @@
 	t.Helper()
 	rep := w.Report()
 	for i := range jobs {
-		rep.Pieces = append(rep.Pieces, wire.PieceReport{Piece: fmt.Sprintf("j-%d/0", 100+i), Try: 1, Status: wire.PieceRunning})
+		rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: fmt.Sprintf("j-%d/0", 100+i), Attempt: 1, Status: wire.TaskRunning})
 	}
 	if _, ok := g.Heartbeat(&rep); !ok {
 		t.Fatal("not answered")
@@ -219,7 +219,7 @@
 	ga, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Pieces = 2 }))
+	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(ga)
 	s.settle(ga)
 	s.write(a, store.JobKey("j-1"), torn)
@@ -241,15 +241,15 @@
 		t.Errorf("on the other machine: %v, want the other job's", got)
 	}
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
-		path := wire.PathRuns + "/j-1"
+		path := wire.PathJobs + "/j-1"
 		if method == http.MethodPost {
-			path += "/" + wire.SuffixAbort
+			path += "/" + wire.SuffixCancel
 		}
 		if code, _, head := s.ask(b, method, path, nil); code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 			t.Errorf("%s of it: status %d, want that it can't be told now", method, code)
 		}
 	}
-	if code, _, _ := s.ask(b, http.MethodPost, wire.PathRuns, spec("j-1", nil)); code != http.StatusServiceUnavailable {
+	if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs, spec("j-1", nil)); code != http.StatusServiceUnavailable {
 		t.Errorf("its submission again: status %d", code)
 	}
 	r := mustReport(t, gb)
@@ -272,7 +272,7 @@
 			ga, stop := s.elect(a)
 			w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 			heartbeat(t, ga, w)
-			s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Pieces = tt.tasks }))
+			s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = tt.tasks }))
 			s.submit(a, spec("j-2", nil)) // shares the record, where there is one
 			s.resync(ga)
 			s.settle(ga)
@@ -331,9 +331,9 @@
 			jobs, tasks = []string{"j-1", "j-2", "j-3"}, []string{"j-1/0", "j-2/0", "j-3/0"}
 		}
 		for _, uid := range jobs {
-			s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Pieces = len(tasks) / len(jobs) }))
+			s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Tasks = len(tasks) / len(jobs) }))
 		}
-		s.submit(a, spec("j-7", func(sp *wire.Spec) { sp.Shape, sp.Pieces = wire.ShapeStanding, 1 }))
+		s.submit(a, spec("j-7", func(sp *wire.Spec) { sp.Kind, sp.Tasks = wire.KindService, 1 }))
 		s.resync(ga)
 		s.settle(ga)
 		key := store.ChunkKey("j-1", 0)
@@ -401,14 +401,14 @@
 
 // dropEnded lets a worker forget what has ended, as an earlier leader may have told it.
 func dropEnded(w *standin.Worker, token uint64) {
-	var orders []wire.Order
+	var orders []wire.Command
 	rep := w.Report()
-	for _, p := range rep.Pieces {
-		if p.Status == wire.PieceEnded {
-			orders = append(orders, wire.Order{Verb: wire.VerbForget, Piece: p.Piece, Try: p.Try})
+	for _, p := range rep.Tasks {
+		if p.Status == wire.TaskEnded {
+			orders = append(orders, wire.Command{Verb: wire.VerbForget, Task: p.Task, Attempt: p.Attempt})
 		}
 	}
-	w.Take(wire.BeatAnswer{Warrant: token, Orders: orders})
+	w.Take(wire.HeartbeatResponse{Token: token, Commands: orders})
 }
 
 // A machine that has not shown the new leader's token may yet get an old command: nothing of an
@@ -419,7 +419,7 @@
 	ga, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Pieces = 3 }))
+	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 3 }))
 	s.resync(ga)
 	s.settle(ga)
 	s.write(a, store.ChunkKey("j-1", 0), torn)
@@ -462,7 +462,7 @@
 	first, second, free := s.worker("n-1", "x", true), s.worker("n-2", "x", true), s.worker("n-3", "y", true)
 	heartbeat(t, ga, first)
 	heartbeat(t, ga, second)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Pieces, sp.Cores = 2, 8 }))
+	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 2, 8 }))
 	s.resync(ga)
 	s.settle(ga)
 	s.write(a, store.ChunkKey("j-1", 0), torn)
@@ -521,7 +521,7 @@
 	n := s.node(nil)
 	g, _ := s.elect(n)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) {
-		sp.Pieces, sp.Cores, sp.Shape, sp.Rank, sp.ExpectS, sp.Loaned = replicas, 8, wire.ShapeStanding, "critical", 0, false
+		sp.Tasks, sp.Cores, sp.Kind, sp.Priority, sp.ExpectedS, sp.Preemptible = replicas, 8, wire.KindService, "critical", 0, false
 	}))
 	s.resync(g)
 	for range 4 {
@@ -529,7 +529,7 @@
 	}
 	var ws []*standin.Worker
 	for _, h := range s.cloud.Hosts() {
-		ws = append(ws, s.worker(h.UID, h.Yard, h.Loaned))
+		ws = append(ws, s.worker(h.UID, h.Zone, h.Preemptible))
 	}
 	if len(ws) < replicas {
 		t.Fatalf("%d machines rented", len(ws))
--- a/recovery/records.go
+++ b/recovery/records.go
@@ -104,21 +104,21 @@
 	}
 	r.Epoch = epoch
 	for _, row := range rows {
-		uid := strings.TrimPrefix(row.Path, store.PrefixJob)
+		uid := strings.TrimPrefix(row.Key, store.PrefixJob)
 		record, err := DecodeJob(row)
 		switch {
 		case err != nil && !wire.ValidUID(uid):
-			r.damage(Damage{Key: row.Path, Kind: DamageUnknownKey})
+			r.damage(Damage{Key: row.Key, Kind: DamageUnknownKey})
 		case err != nil:
 			r.States[uid] = JobUnreadable
-			r.damage(Damage{Key: row.Path, Kind: DamageJob, Job: uid, Detail: err.Error()})
+			r.damage(Damage{Key: row.Key, Kind: DamageJob, Job: uid, Detail: err.Error()})
 		case record.Over != nil:
 			r.States[uid] = JobOver
 			r.Over[uid] = *record.Over
-			r.Settled = append(r.Settled, SettledRow{UID: uid, Stamp: row.Stamp, Record: *record.Over})
+			r.Settled = append(r.Settled, SettledRow{UID: uid, Stamp: row.ModRevision, Record: *record.Over})
 		default:
 			r.States[uid] = JobActive
-			r.Jobs = append(r.Jobs, JobRow{Key: row.Path, Stamp: row.Stamp, Record: record})
+			r.Jobs = append(r.Jobs, JobRow{Key: row.Key, Stamp: row.ModRevision, Record: record})
 		}
 	}
 	return nil
@@ -127,14 +127,14 @@
 // DecodeJob reads a job's record and checks that it is of the job that its key names.
 func DecodeJob(row wire.Row) (record store.JobRecord, err error) {
 	if err := wire.Unmarshal(row.Value, &record); err != nil {
-		return record, fmt.Errorf("record %s: %w", row.Path, err)
+		return record, fmt.Errorf("record %s: %w", row.Key, err)
 	}
 	spec := &record.Spec
-	if store.JobKey(spec.UID) != row.Path || !wire.ValidUID(spec.UID) {
-		return record, fmt.Errorf("record %s: not this job's", row.Path)
+	if store.JobKey(spec.UID) != row.Key || !wire.ValidUID(spec.UID) {
+		return record, fmt.Errorf("record %s: not this job's", row.Key)
 	}
-	if record.Over == nil && (spec.Pieces < 1 || spec.Pieces > wire.MaxPieces) {
-		return record, fmt.Errorf("record %s: %d tasks", row.Path, spec.Pieces)
+	if record.Over == nil && (spec.Tasks < 1 || spec.Tasks > wire.MaxTasks) {
+		return record, fmt.Errorf("record %s: %d tasks", row.Key, spec.Tasks)
 	}
 	return record, nil
 }
@@ -145,12 +145,12 @@
 		return fmt.Errorf("attempts: %w", err)
 	}
 	for _, row := range rows {
-		uid, number, ok := store.ParseChunkKey(row.Path)
+		uid, number, ok := store.ParseChunkKey(row.Key)
 		if !ok || !wire.ValidUID(uid) {
-			r.damage(Damage{Key: row.Path, Kind: DamageUnknownKey})
+			r.damage(Damage{Key: row.Key, Kind: DamageUnknownKey})
 			continue
 		}
-		chunk := ChunkRow{UID: uid, Number: number, Stamp: row.Stamp}
+		chunk := ChunkRow{UID: uid, Number: number, Stamp: row.ModRevision}
 		var record store.ChunkRecord
 		err := wire.Unmarshal(row.Value, &record)
 		if err == nil {
@@ -159,7 +159,7 @@
 		}
 		if err != nil {
 			chunk.Unreadable = true
-			r.damage(Damage{Key: row.Path, Kind: DamageAttempts, Job: uid, Detail: err.Error()})
+			r.damage(Damage{Key: row.Key, Kind: DamageAttempts, Job: uid, Detail: err.Error()})
 		}
 		r.Chunks = append(r.Chunks, chunk)
 	}
@@ -172,10 +172,10 @@
 		return fmt.Errorf("shared attempts: %w", err)
 	}
 	for _, row := range rows {
-		shared := SharedRow{Key: row.Path, Stamp: row.Stamp}
+		shared := SharedRow{Key: row.Key, Stamp: row.ModRevision}
 		if err := wire.Unmarshal(row.Value, &shared.Record); err != nil {
 			shared.Unreadable, shared.Record = true, store.SharedRecord{}
-			r.damage(Damage{Key: row.Path, Kind: DamageShared, Detail: err.Error()})
+			r.damage(Damage{Key: row.Key, Kind: DamageShared, Detail: err.Error()})
 		}
 		r.Shared = append(r.Shared, shared)
 	}
@@ -213,7 +213,7 @@
 		r.damage(Damage{Key: key, Kind: DamageRebuilt, Detail: err.Error()})
 		return 0, false, nil
 	}
-	return row.Stamp, true, nil
+	return row.ModRevision, true, nil
 }
 
 // readFinalStates reads what has become of the jobs that have attempts on record and are
@@ -261,7 +261,7 @@
 func (r *Records) unpackChunks() {
 	tasks := map[string]int{}
 	for _, job := range r.Jobs {
-		tasks[job.Record.Spec.UID] = job.Record.Spec.Pieces
+		tasks[job.Record.Spec.UID] = job.Record.Spec.Tasks
 	}
 	kept := r.Chunks[:0]
 	for _, chunk := range r.Chunks {
--- a/recovery/records_test.go
+++ b/recovery/records_test.go
@@ -37,7 +37,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.rows)) {
 		if strings.HasPrefix(key, prefix) {
-			rows = append(rows, wire.Row{Path: key, Value: r.rows[key], Stamp: 7})
+			rows = append(rows, wire.Row{Key: key, Value: r.rows[key], ModRevision: 7})
 		}
 	}
 	return rows, 40, nil
@@ -48,11 +48,11 @@
 		return row, false, errRefused
 	}
 	raw, found := r.rows[key]
-	return wire.Row{Path: key, Value: raw, Stamp: 7}, found, nil
+	return wire.Row{Key: key, Value: raw, ModRevision: 7}, found, nil
 }
 
 func job(uid string, tasks int) store.JobRecord {
-	return store.JobRecord{Spec: wire.Spec{UID: uid, Owner: "team", Pieces: tasks, Shape: wire.ShapeBatch}, AtUS: 1, Node: "node-1"}
+	return store.JobRecord{Spec: wire.Spec{UID: uid, Team: "team", Tasks: tasks, Kind: wire.KindBatch}, AtUS: 1, Node: "node-1"}
 }
 
 // someRecords is one whole job of each kind that a leader may find.
@@ -61,11 +61,11 @@
 	r.put(t, "j/j-1", job("j-1", 2))
 	r.put(t, "p/j-1/00000", store.Pack("w", []bool{true, false}, []store.Placed{{Index: 1, Attempt: 3, Host: "n-1", Session: 2}}))
 	r.put(t, "j/j-2", job("j-2", 1))
-	done := store.Over(&wire.Spec{Pieces: 1}, wire.JobDone, "w")
+	done := store.Over(&wire.Spec{Tasks: 1}, wire.JobDone, "w")
 	r.put(t, "j/j-3", store.JobRecord{Spec: wire.Spec{UID: "j-3"}, Over: &done})
-	r.put(t, "f/j-4", store.Over(&wire.Spec{Owner: "team", Cores: 2, Pieces: 1}, wire.JobCancelled, "w"))
+	r.put(t, "f/j-4", store.Over(&wire.Spec{Team: "team", Cores: 2, Tasks: 1}, wire.JobCancelled, "w"))
 	r.put(t, "s/1.1", store.SharedRecord{Rows: []store.SharedRow{{UID: "j-2", Attempt: 1, Host: "n-1", Session: 2}, {UID: "j-4", Attempt: 2, Host: "n-2", Session: 1}}})
-	r.put(t, "catalog", wire.Catalog{Builds: []wire.Build{{SKU: "b", Cores: 8}}})
+	r.put(t, "catalog", wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8}}})
 	r.put(t, "demand", store.DemandRecord{Cores: 3})
 	return r
 }
--- a/recovery_scenes_test.go
+++ b/recovery_scenes_test.go
@@ -69,7 +69,7 @@
 		switch e.Verb {
 		case wire.VerbRun:
 			c.Runs++
-		case wire.VerbHalt:
+		case wire.VerbStop:
 			c.Halts++
 		case wire.VerbForget:
 			c.Forgets++
@@ -117,7 +117,7 @@
 		within := !e.At.Before(from) && e.At.Before(to)
 		here := crowd{e.Machine, uid}
 		switch {
-		case e.Kind == standin.EventOrdered && e.Verb == wire.VerbHalt && e.Live:
+		case e.Kind == standin.EventOrdered && e.Verb == wire.VerbStop && e.Live:
 			returned, gone := h.returns[e.Machine]
 			drained := gone && returned.Sub(e.At) < drainSpan && e.At.Sub(back) > keepSpan
 			moved[e.Task] = cancelled(uid) || on[here] > 1 || drained
@@ -157,16 +157,16 @@
 		add(2, 0, standing(machines/2))
 	}
 	for range 4 {
-		add(8, lossAt+40, func(sp *wire.Spec) { sp.Pieces, sp.Loaned = machines/2, true })
+		add(8, lossAt+40, func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = machines/2, true })
 	}
 	for range 2 {
-		add(9, lossAt+20, func(sp *wire.Spec) { sp.Owner, sp.Pieces = "tight", 5 })
+		add(9, lossAt+20, func(sp *wire.Spec) { sp.Team, sp.Tasks = "tight", 5 })
 	}
 	for range machines / 4 {
-		add(10, lossAt+30, func(sp *wire.Spec) { sp.Loaned = true })
+		add(10, lossAt+30, func(sp *wire.Spec) { sp.Preemptible = true })
 	}
 	for range 3 {
-		u := add(12, lossAt+60, func(sp *wire.Spec) { sp.Pieces, sp.Loaned = 4, true })
+		u := add(12, lossAt+60, func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = 4, true })
 		u.cancelAt = at(lossAt - 12.5)
 	}
 	return users
@@ -263,10 +263,10 @@
 // replicas counts the replicas that run, and those that there should be.
 func (w *world) replicas() (run, want int) {
 	for _, u := range w.s.users {
-		if u.spec.Shape != wire.ShapeStanding {
+		if u.spec.Kind != wire.KindService {
 			continue
 		}
-		want += u.spec.Pieces
+		want += u.spec.Tasks
 		for _, n := range w.on(u.spec.UID) {
 			run += n
 		}
--- a/rules_test.go
+++ b/rules_test.go
@@ -27,11 +27,11 @@
 }
 
 // deliver hands a report to the leader without the worker learning the answer.
-func deliver(t *testing.T, g *term, rep wire.Beat) wire.BeatAnswer {
+func deliver(t *testing.T, g *term, rep wire.Heartbeat) wire.HeartbeatResponse {
 	t.Helper()
 	ans, ok := g.Heartbeat(&rep)
 	if !ok {
-		t.Fatalf("beat of %s not answered", rep.Host)
+		t.Fatalf("beat of %s not answered", rep.Machine)
 	}
 	return ans
 }
@@ -101,7 +101,7 @@
 	s.submit(b, spec("j-2", nil))
 	s.state.Refuse("", true)
 	for _, n := range []*Service{a, b} {
-		code, _, head := s.ask(n, http.MethodPost, wire.PathRuns, spec("j-3", nil))
+		code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-3", nil))
 		if code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 			t.Fatalf("submission in an outage: %d, Retry-After %q", code, head.Get("Retry-After"))
 		}
@@ -116,11 +116,11 @@
 	s.settle(gb)
 	for _, n := range []*Service{a, b} {
 		for _, uid := range uids {
-			if code, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/"+uid, nil); code != http.StatusOK || v.UID != uid {
+			if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); code != http.StatusOK || v.UID != uid {
 				t.Errorf("%s after all troubles: %d %+v", uid, code, v)
 			}
 		}
-		if code, _, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/j-9", nil); code != http.StatusNotFound {
+		if code, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-9", nil); code != http.StatusNotFound {
 			t.Errorf("a job that nobody submitted: %d", code)
 		}
 	}
@@ -136,19 +136,19 @@
 	a, b := s.node(nil), s.node(nil)
 	s.submit(a, spec("j-1", nil))
 	for _, n := range []*Service{a, b} {
-		if code, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/j-1", nil); code != 200 || v.Status != wire.JobQueued {
+		if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || v.Status != wire.JobQueued {
 			t.Fatalf("%d %+v", code, v)
 		}
 	}
-	if code, _, _ := s.ask(a, http.MethodPost, wire.PathRuns+"/j-1/abort", nil); code != 200 {
+	if code, _, _ := s.ask(a, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
-	if _, v, _ := s.ask(b, http.MethodGet, wire.PathRuns+"/j-1", nil); v.Status != wire.JobCancelled {
+	if _, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobCancelled {
 		t.Errorf("the other node still says %q", v.Status)
 	}
 	s.submit(b, spec("j-2", nil))
 	s.state.Forget() // the history of changes is gone: all is read again
-	if code, v, _ := s.ask(a, http.MethodGet, wire.PathRuns+"/j-2", nil); code != 200 || v.Status != wire.JobQueued {
+	if code, v, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 200 || v.Status != wire.JobQueued {
 		t.Errorf("after the history was gone: %d %+v", code, v)
 	}
 }
@@ -235,7 +235,7 @@
 		w.Unreachable(true)
 		all = append(all, w)
 	}
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Pieces, sp.Cores = 4, 8 }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 4, 8 }))
 	s.resync(g)
 	for range 6 {
 		s.settle(g)
@@ -295,10 +295,10 @@
 	s.resync(g)
 	s.settle(g)
 	copied := w.Report()
-	copied.Pieces = []wire.PieceReport{{Piece: "j-1/0", Try: 7, Status: wire.PieceEnded, Cause: wire.CauseDone}}
+	copied.Tasks = []wire.TaskReport{{Task: "j-1/0", Attempt: 7, Status: wire.TaskEnded, Cause: wire.CauseDone}}
 	deliver(t, g, copied)
 	s.settle(g)
-	if _, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/j-1", nil); v.Status == wire.JobDone {
+	if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status == wire.JobDone {
 		t.Error("done by an attempt that was never made")
 	}
 }
@@ -411,7 +411,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	agent.ServeHeartbeat(n, func() bool { return false })(rec, httptest.NewRequest(http.MethodPost, wire.PathBeat, bytes.NewReader(raw)))
+	agent.ServeHeartbeat(n, func() bool { return false })(rec, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, bytes.NewReader(raw)))
 	if rec.Code != http.StatusServiceUnavailable {
 		t.Errorf("beat: %d %s", rec.Code, rec.Body)
 	}
@@ -420,7 +420,7 @@
 		t.Error("ordered something")
 	}
 	for _, path := range []string{"/j-1", "/j-2"} {
-		code, _, head := s.ask(n, http.MethodGet, wire.PathRuns+path, nil)
+		code, _, head := s.ask(n, http.MethodGet, wire.PathJobs+path, nil)
 		if code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 			t.Errorf("poll %s: %d, Retry-After %q", path, code, head.Get("Retry-After"))
 		}
@@ -458,14 +458,14 @@
 		return "j-" + string(rune('0'+uid/100)) + string(rune('0'+uid/10%10)) + string(rune('0'+uid%10))
 	}
 	small := func() {
-		s.submit(n, spec(next(), func(sp *wire.Spec) { sp.Rank, sp.Pieces, sp.Cores, sp.Owner = "high", 1, 4, "team" }))
+		s.submit(n, spec(next(), func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.Team = "high", 1, 4, "team" }))
 	}
 	for range 6 {
 		small()
 	}
 	s.resync(g)
 	s.settle(g)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Pieces, sp.Cores, sp.RAM = 3, 8, 20 }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 3, 8, 20 }))
 	s.resync(g)
 	began := 0
 	for at := 0; at < 240; at += 4 {
@@ -501,7 +501,7 @@
 		hung = append(hung, w)
 	}
 	s.submit(n, spec("j-1", func(sp *wire.Spec) {
-		sp.Shape, sp.Rank, sp.Loaned, sp.Pieces = wire.ShapeStanding, "critical", false, len(zones)
+		sp.Kind, sp.Priority, sp.Preemptible, sp.Tasks = wire.KindService, "critical", false, len(zones)
 	}))
 	s.resync(g)
 	s.settle(g)
@@ -568,7 +568,7 @@
 func TestPutsFollowRecords(t *testing.T) {
 	puts := func(tasks int) (placed, ended int) {
 		s, n, g, w := alone(t)
-		s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Pieces, sp.Cores, sp.RAM = tasks, 0.05, 0.1 }))
+		s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = tasks, 0.05, 0.1 }))
 		s.resync(g)
 		before := s.state.Puts()
 		s.settle(g)
--- a/scenes_test.go
+++ b/scenes_test.go
@@ -23,17 +23,17 @@
 // user submits a job at a moment, whose tasks run for so long.
 func user(n int, from, runs float64, mod func(sp *wire.Spec)) submission {
 	return submission{at: at(from), runs: at(runs), spec: spec(fmt.Sprintf("j-%d", n), func(sp *wire.Spec) {
-		sp.Owner, sp.Cores, sp.RAM, sp.ExpectS = "free", 1, 1, runs
+		sp.Team, sp.Cores, sp.RAM, sp.ExpectedS = "free", 1, 1, runs
 		mod(sp)
-		if sp.Shape == wire.ShapeStanding {
-			sp.ExpectS = 0
+		if sp.Kind == wire.KindService {
+			sp.ExpectedS = 0
 		}
 	})}
 }
 
 // standing makes a job a service of so many replicas.
 func standing(replicas int) func(sp *wire.Spec) {
-	return func(sp *wire.Spec) { sp.Shape, sp.Pieces, sp.Loaned = wire.ShapeStanding, replicas, false }
+	return func(sp *wire.Spec) { sp.Kind, sp.Tasks, sp.Preemptible = wire.KindService, replicas, false }
 }
 
 // on counts the tasks of a job that are on machines, by zone.
@@ -41,7 +41,7 @@
 	zones := map[string]int{}
 	for _, m := range w.holders(uid) {
 		if n := len(liveOf(m, uid)); n > 0 {
-			zones[m.Host.Yard] += n
+			zones[m.Host.Zone] += n
 		}
 	}
 	return zones
@@ -50,7 +50,7 @@
 // used is how many cores a team's tasks take.
 func (w *world) used(team string) (cores float64) {
 	for _, u := range w.s.users {
-		if u.spec.Owner != team {
+		if u.spec.Team != team {
 			continue
 		}
 		for _, n := range w.on(u.spec.UID) {
@@ -84,10 +84,10 @@
 		switch {
 		case f.cancelled && running > 0:
 			w.t.Errorf("%s is cancelled, and %d tasks run", u.spec.UID, running)
-		case !f.cancelled && u.spec.Shape == wire.ShapeBatch && !f.done:
+		case !f.cancelled && u.spec.Kind == wire.KindBatch && !f.done:
 			w.t.Errorf("%s is not done", u.spec.UID)
-		case !f.cancelled && u.spec.Shape == wire.ShapeStanding && running != u.spec.Pieces:
-			w.t.Errorf("%s has %d replicas, want %d", u.spec.UID, running, u.spec.Pieces)
+		case !f.cancelled && u.spec.Kind == wire.KindService && running != u.spec.Tasks:
+			w.t.Errorf("%s has %d replicas, want %d", u.spec.UID, running, u.spec.Tasks)
 		}
 	}
 }
@@ -101,11 +101,11 @@
 			s := schedule{seed: 1, lasts: at(70), leads: leads}
 			s.troubles = []trouble{{kind: cutZone, at: at(25), lasts: at(35), which: 0}}
 			bound := func(zone string, mod func(sp *wire.Spec)) func(sp *wire.Spec) {
-				return func(sp *wire.Spec) { mod(sp); sp.Yard = zone }
+				return func(sp *wire.Spec) { mod(sp); sp.Zone = zone }
 			}
 			s.users = []submission{
 				user(1, 2, 0, bound("x", standing(2))), user(2, 2, 0, bound("x", standing(2))), user(3, 2, 0, bound("y", standing(2))),
-				user(4, 3, 0, standing(4)), user(5, 20, 60, func(sp *wire.Spec) { sp.Pieces = 4 }),
+				user(4, 3, 0, standing(4)), user(5, 20, 60, func(sp *wire.Spec) { sp.Tasks = 4 }),
 			}
 			s.users[1].onKind = cutZone
 			s.users[2].onKind = cutZone
@@ -146,11 +146,11 @@
 func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
 	s := schedule{seed: 2, lasts: at(300), most: 3, slow: at(0.15)}
 	s.users = append(s.users, user(1, 10, 20, func(sp *wire.Spec) {
-		sp.Pieces, sp.Cores, sp.RAM, sp.Rank, sp.Builds = 20, 8, 16, "low", []string{"b"}
+		sp.Tasks, sp.Cores, sp.RAM, sp.Priority, sp.MachineTypes = 20, 8, 16, "low", []string{"b"}
 	}))
 	for n := range 60 { // more than the machines can work off, at any time
 		s.users = append(s.users, user(2+n, float64(2+4*n), 12, func(sp *wire.Spec) {
-			sp.Pieces, sp.Cores, sp.Rank, sp.Builds = 6, 2, []string{"standard", "high", "critical"}[n%3], []string{"b"}
+			sp.Tasks, sp.Cores, sp.Priority, sp.MachineTypes = 6, 2, []string{"standard", "high", "critical"}[n%3], []string{"b"}
 		}))
 	}
 	playOut(t, s, func(w *world) {
@@ -167,7 +167,7 @@
 			w.t.Errorf("the largest job began after %v, want four minutes at most", b.Sub(w.began.Add(at(10))))
 		}
 		for _, u := range s.users[1:] {
-			if b, ok := began[u.spec.UID]; u.spec.Rank == "critical" && (!ok || b.Sub(w.began.Add(u.at)) > at(15)) {
+			if b, ok := began[u.spec.UID]; u.spec.Priority == "critical" && (!ok || b.Sub(w.began.Add(u.at)) > at(15)) {
 				w.t.Errorf("%s is critical and began after %v", u.spec.UID, b.Sub(w.began.Add(u.at)))
 			} else if !ok || b.Sub(w.began.Add(u.at)) > 4*time.Minute {
 				w.t.Errorf("%s began after %v", u.spec.UID, b.Sub(w.began.Add(u.at)))
@@ -201,7 +201,7 @@
 		s.users = append(s.users, user(1+n, 2+float64(n)/4, 0, standing(2)))
 	}
 	s.users[1].onKind, s.users[2].onKind = refuseOne, refuseOne
-	s.users = append(s.users, user(5, 18, 30, func(sp *wire.Spec) { sp.Pieces = 3 }))
+	s.users = append(s.users, user(5, 18, 30, func(sp *wire.Spec) { sp.Tasks = 3 }))
 	playOut(t, s, func(w *world) {
 		for _, uid := range []string{"j-2", "j-3"} {
 			if when := w.facts[uid].cancelledAt.Sub(w.began); when < at(21) || when > at(23) {
@@ -229,7 +229,7 @@
 	var cancelled []string
 	for team, limit := range limits {
 		owned := func(replicas int) func(sp *wire.Spec) {
-			return func(sp *wire.Spec) { standing(replicas)(sp); sp.Owner = team }
+			return func(sp *wire.Spec) { standing(replicas)(sp); sp.Team = team }
 		}
 		for range int(limit) / 2 {
 			n++
@@ -282,7 +282,7 @@
 // the work runs, and no machine stays that nobody uses.
 func TestRentalWithoutAnswerWhileTheLeaderEnds(t *testing.T) {
 	s := schedule{seed: 5, lasts: at(40), boot: at(1.2), lag: true}
-	s.users = []submission{user(1, 10, 25, func(sp *wire.Spec) { sp.Pieces, sp.Cores, sp.Builds = 6, 4, []string{"b"} }),
+	s.users = []submission{user(1, 10, 25, func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.MachineTypes = 6, 4, []string{"b"} }),
 		user(2, 10, 0, standing(2)), user(3, 14, 0, standing(6)), user(4, 18, 0, standing(6)), user(5, 24, 0, standing(6))}
 	var mu sync.Mutex
 	lost := 0
@@ -293,10 +293,10 @@
 			mu.Lock()
 			defer mu.Unlock()
 			by := fmt.Sprintf("%s %+v", who, q)
-			if was, known := hires[q.Hire]; known && was != by {
+			if was, known := hires[q.RequestID]; known && was != by {
 				w.breach("hire", "%s asks under the name of %s", by, was)
 			}
-			hires[q.Hire] = by
+			hires[q.RequestID] = by
 		}
 		w.cloud.Rental = func() (refused bool, late time.Duration) {
 			mu.Lock()
@@ -343,13 +343,13 @@
 			tight := func(zone string) func(sp *wire.Spec) {
 				return func(sp *wire.Spec) {
 					standing(6)(sp)
-					sp.Owner, sp.Yard, sp.Builds = "tight", zone, []string{"b"}
+					sp.Team, sp.Zone, sp.MachineTypes = "tight", zone, []string{"b"}
 				}
 			}
 			s.users = []submission{
 				// Machines have room and connections when it begins.
-				user(1, 1, 0, func(sp *wire.Spec) { standing(4)(sp); sp.Cores, sp.Yard, sp.Builds = 6, "x", []string{"b"} }),
-				user(2, 1, 0, func(sp *wire.Spec) { standing(4)(sp); sp.Cores, sp.Yard, sp.Builds = 6, "y", []string{"b"} }),
+				user(1, 1, 0, func(sp *wire.Spec) { standing(4)(sp); sp.Cores, sp.Zone, sp.MachineTypes = 6, "x", []string{"b"} }),
+				user(2, 1, 0, func(sp *wire.Spec) { standing(4)(sp); sp.Cores, sp.Zone, sp.MachineTypes = 6, "y", []string{"b"} }),
 				user(3, from-0.95, 0, tight("x")), user(4, from, 0, tight("y")),
 			}
 			s.users[0].cancelAt, s.users[1].cancelAt = at(from-5), at(from-5)
@@ -359,7 +359,7 @@
 			s.setup = func(w *world) {
 				hold := func(yes bool) {
 					for _, m := range w.cloud.Machines() {
-						if m.Host.Yard == "x" {
+						if m.Host.Zone == "x" {
 							w.net.Hold("node-1", m.Host.UID, tt.way, yes)
 						}
 					}
@@ -401,12 +401,12 @@
 	s := schedule{seed: 7, lasts: at(150), most: 2}
 	for n := range 90 {
 		s.users = append(s.users, user(1+n, 1+0.8*float64(n), float64(10+n*7%30), func(sp *wire.Spec) {
-			sp.Cores, sp.Rank, sp.Builds = 2, "standard", []string{"b"}
+			sp.Cores, sp.Priority, sp.MachineTypes = 2, "standard", []string{"b"}
 		}))
 	}
 	for n := range 7 {
 		s.users = append(s.users, user(300+n, 20+15*float64(n), 15, func(sp *wire.Spec) {
-			sp.Pieces, sp.Cores, sp.Rank, sp.Builds = 3, 2, "high", []string{"b"}
+			sp.Tasks, sp.Cores, sp.Priority, sp.MachineTypes = 3, 2, "high", []string{"b"}
 		}))
 	}
 	playOut(t, s, func(w *world) {
@@ -418,15 +418,15 @@
 		}
 		most := time.Duration(0)
 		for _, u := range s.users {
-			for index := range u.spec.Pieces {
+			for index := range u.spec.Tasks {
 				wait, ok := began(u, index)
 				switch {
-				case u.spec.Rank == "high" && (!ok || wait > at(40) || index == 0 && wait > at(25)):
+				case u.spec.Priority == "high" && (!ok || wait > at(40) || index == 0 && wait > at(25)):
 					w.t.Errorf("%s/%d is urgent and began after %v", u.spec.UID, index, wait)
-				case u.spec.Rank != "high" && u.at < at(40) && (!ok || wait > 4*time.Minute):
+				case u.spec.Priority != "high" && u.at < at(40) && (!ok || wait > 4*time.Minute):
 					w.t.Errorf("%s began after %v (%t)", u.spec.UID, wait, ok)
 				}
-				if u.spec.Rank != "high" {
+				if u.spec.Priority != "high" {
 					most = max(most, wait)
 				}
 			}
--- a/service.go
+++ b/service.go
@@ -108,7 +108,7 @@
 	limited := connlimit.New(front, s.budget.Clients, connlimit.Outgoing{Workers: s.workers,
 		InUse: s.budget.Commands + s.budget.Questions, KeepIdle: s.budget.KeepIdle / 4}, s.ck, s.log)
 	s.workers.Short = limited.Full
-	s.front.Post(wire.PathBeat, agent.ServeHeartbeat(s, limited.Short))
+	s.front.Post(wire.PathHeartbeat, agent.ServeHeartbeat(s, limited.Short))
 	srv := &http.Server{Handler: s.front, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
 		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug), ConnState: limited.ConnState}
 	var wg sync.WaitGroup
@@ -180,10 +180,10 @@
 }
 
 // Heartbeat implements agent.Steward.
-func (s *Service) Heartbeat(rep *wire.Beat) (wire.BeatAnswer, bool) {
+func (s *Service) Heartbeat(rep *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
 	g := s.term.Load()
 	if g == nil {
-		return wire.BeatAnswer{}, false
+		return wire.HeartbeatResponse{}, false
 	}
 	return g.Heartbeat(rep)
 }
@@ -417,13 +417,13 @@
 	}
 	row, found, err := s.st.Get(ctx, store.Normal, store.KeyCatalog)
 	var got wire.Catalog
-	if err == nil && found && wire.Unmarshal(row.Value, &got) == nil && len(got.Builds) > 0 {
+	if err == nil && found && wire.Unmarshal(row.Value, &got) == nil && len(got.MachineTypes) > 0 {
 		s.catMu.Lock()
 		s.cat, s.catAt = got, now
 		s.catMu.Unlock()
 		return got, true
 	}
-	if len(cat.Builds) > 0 && !stale {
+	if len(cat.MachineTypes) > 0 && !stale {
 		return cat, true // sizes hardly change: the last known will do for a while
 	}
 	got, err = s.cl.Catalog(ctx)
--- a/silence.go
+++ b/silence.go
@@ -94,7 +94,7 @@
 	if g.deaf > 0 && g.few(g.deaf) {
 		var names []string
 		for name, pm := range g.deafOnes() {
-			if !pm.Returning && len(names) < wire.MaxReturn {
+			if !pm.Returning && len(names) < wire.MaxReturnPerRequest {
 				pm.Returning = true
 				g.touched[pm] = true
 				names = append(names, name)
@@ -131,7 +131,7 @@
 		case g.fl.Machine(m.Name) != m || m.Returning || m.Mute < muteAfter || !g.hasReplica(m):
 			delete(g.mute, m)
 		case cut[m.Zone] && m.Reported:
-		case len(names) < wire.MaxReturn:
+		case len(names) < wire.MaxReturnPerRequest:
 			m.Returning = true
 			g.touched[m] = true
 			delete(g.mute, m)
@@ -214,7 +214,7 @@
 	go g.probe(g.ctx, m, m.Endpoint, m.Mark())
 }
 
-func (g *term) probe(ctx context.Context, m *fleet.Machine, endpoint string, known wire.Mark) {
+func (g *term) probe(ctx context.Context, m *fleet.Machine, endpoint string, known wire.ReportVersion) {
 	pctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	rep, err := g.workers.Show(pctx, endpoint)
 	cancel()
@@ -225,7 +225,7 @@
 	g.probes--
 	switch {
 	case ctx.Err() != nil || g.fl.Machine(m.Name) != m:
-	case err == nil && rep.Host == m.Name:
+	case err == nil && rep.Machine == m.Name:
 		g.news(g.fl.Answers(now, known, rep), now)
 		g.adoptShown(m, now)
 		if m.CountsAnew() {
@@ -300,7 +300,7 @@
 // expected counts the machines that ought to report. The caller holds mu.
 func (g *term) expected() (n int) {
 	g.fl.All(func(m *fleet.Machine) {
-		if m.Reported || m.Bookings() > 0 || m.Listed == wire.HostRunning {
+		if m.Reported || m.Bookings() > 0 || m.Listed == wire.MachineRunning {
 			n++
 		}
 	})
--- a/size_test.go
+++ b/size_test.go
@@ -24,9 +24,9 @@
 	now := g.ck.Now()
 	for k := range tasks {
 		sp := spec(fmt.Sprintf("j-%d", k), func(sp *wire.Spec) {
-			sp.Pieces, sp.Cores, sp.RAM = machines, 1, 1
+			sp.Tasks, sp.Cores, sp.RAM = machines, 1, 1
 			if k%2 == 0 {
-				sp.Shape, sp.Rank, sp.Loaned = wire.ShapeStanding, "critical", false
+				sp.Kind, sp.Priority, sp.Preemptible = wire.KindService, "critical", false
 			}
 		})
 		raw, err := wire.Marshal(store.JobRecord{Spec: sp})
@@ -49,10 +49,10 @@
 }
 
 // report is what the i-th machine of an adopted fleet says.
-func report(i, tasks int, tally, token uint64) *wire.Beat {
-	b := &wire.Beat{Host: fmt.Sprintf("n-%d", i), Endpoint: "e", Build: "b", Yard: "x", Tenure: 1, Tally: tally, Warrant: token}
+func report(i, tasks int, tally, token uint64) *wire.Heartbeat {
+	b := &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: tally, Token: token}
 	for k := range tasks {
-		b.Pieces = append(b.Pieces, wire.PieceReport{Piece: fmt.Sprintf("j-%d/%d", k, i), Try: 1, Status: wire.PieceRunning})
+		b.Tasks = append(b.Tasks, wire.TaskReport{Task: fmt.Sprintf("j-%d/%d", k, i), Attempt: 1, Status: wire.TaskRunning})
 	}
 	return b
 }
@@ -68,7 +68,7 @@
 		for tally, token := range []uint64{0, g.r.Token} {
 			for i := range machines {
 				ans, ok := g.Heartbeat(report(i, tasks, uint64(tally)+1, token))
-				if !ok || len(ans.Orders) != 0 || ans.Warrant != g.r.Token {
+				if !ok || len(ans.Commands) != 0 || ans.Token != g.r.Token {
 					t.Fatalf("machine %d of %d: answered %t, %+v", i, machines, ok, ans)
 				}
 			}
@@ -111,9 +111,9 @@
 		for uid := range g.lazy {
 			g.dirty[uid] = true
 		}
-		last := wire.RankCritical
+		last := wire.PriorityCritical
 		for w := g.collect(); w != nil; w = g.collect() {
-			if n := len(w.txn.Apply); n > g.cfg.Facts.State.TxnOps {
+			if n := len(w.txn.Operations); n > g.cfg.Facts.State.TxnOps {
 				t.Fatalf("%d changes in a transaction", n)
 			}
 			for _, c := range w.chunks {
@@ -151,7 +151,7 @@
 	w.End("j-1/0", wire.CauseDone)
 	heartbeat(t, g, w)
 	s.settle(g)
-	if code, _, _ := s.ask(n, "POST", wire.PathRuns+"/j-2/"+wire.SuffixAbort, nil); code != 200 {
+	if code, _, _ := s.ask(n, "POST", wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
 	if _, err := n.el.Raise(t.Context()); err != nil {
@@ -165,7 +165,7 @@
 	look := func() (is told) {
 		is.keys = s.state.Keys("")
 		for _, uid := range []string{"j-1", "j-2", "j-3"} {
-			_, v, _ := s.ask(n, "GET", wire.PathRuns+"/"+uid, nil)
+			_, v, _ := s.ask(n, "GET", wire.PathJobs+"/"+uid, nil)
 			is.status = append(is.status, v.Status)
 		}
 		var rec store.TokenRecord
@@ -178,7 +178,7 @@
 	if diff := cmp.Diff(before, look(), cmp.AllowUnexported(told{})); diff != "" {
 		t.Error(diff)
 	}
-	if code, v, _ := s.ask(n, "POST", wire.PathRuns, spec("j-2", nil)); code != 200 || v.Status != wire.JobCancelled {
+	if code, v, _ := s.ask(n, "POST", wire.PathJobs, spec("j-2", nil)); code != 200 || v.Status != wire.JobCancelled {
 		t.Errorf("a submission that comes again after the abort: %d %+v", code, v)
 	}
 	if _, ok := n.el.MayAnswer(); !ok {
--- a/stall_test.go
+++ b/stall_test.go
@@ -81,7 +81,7 @@
 	}
 	for _, h := range hosts {
 		g.mu.Lock()
-		g.fl.Machine(h).Listed = wire.HostRunning
+		g.fl.Machine(h).Listed = wire.MachineRunning
 		g.mu.Unlock()
 	}
 	g.checkStall()
--- a/step.go
+++ b/step.go
@@ -286,11 +286,11 @@
 // fly sends one /do and takes its outcome in.
 func (g *term) fly(ctx context.Context, fl *fleet.Flight) {
 	dctx, cancel := context.WithTimeout(ctx, (1500 * clock.Millisecond).Duration())
-	var rep *wire.Beat
+	var rep *wire.Heartbeat
 	out, err := fleet.Void, errLate
 	// What was computed before this process stood still must not go out after it.
 	if g.mayFly(fl) {
-		rep, out, err = g.workers.Do(dctx, fl.Machine.Endpoint, wire.Do{Warrant: fl.Token, Tenure: fl.Session, Orders: fl.Orders})
+		rep, out, err = g.workers.Do(dctx, fl.Machine.Endpoint, wire.CommandRequest{Token: fl.Token, Incarnation: fl.Session, Commands: fl.Orders})
 	}
 	cancel()
 	if err != nil {
@@ -301,7 +301,7 @@
 	g.fl.Landed(fl, out)
 	delete(g.busy, fl.Machine.Name)
 	switch m := fl.Machine; {
-	case rep != nil && rep.Host == m.Name:
+	case rep != nil && rep.Machine == m.Name:
 		g.fl.Obeyed(m)
 		news, _ := g.fl.Report(now, rep, false)
 		g.news(news, now)
--- a/store/client.go
+++ b/store/client.go
@@ -267,7 +267,7 @@
 	}
 	err = decode(raw, &rows)
 	if err == nil {
-		c.saw(rows.Epoch)
+		c.saw(rows.Revision)
 	}
 	return rows, err
 }
@@ -282,46 +282,46 @@
 			return nil, 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
 		if epoch == 0 {
-			epoch = page.Epoch
+			epoch = page.Revision
 		}
 		rows = append(rows, page.Rows...)
 		if !page.HasNext || len(page.Rows) == 0 {
 			return rows, epoch, nil
 		}
-		since = page.Rows[len(page.Rows)-1].Path
+		since = page.Rows[len(page.Rows)-1].Key
 	}
 }
 
 // Commit runs a transaction. Its error is a *Conflict when conditions failed.
 func (c *Client) Commit(ctx context.Context, prio Priority, txn wire.Txn) (uint64, error) {
-	if err := c.admit(ctx, prio, len(txn.Apply)); err != nil {
+	if err := c.admit(ctx, prio, len(txn.Operations)); err != nil {
 		return 0, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	if txn.When == nil {
-		txn.When = []wire.When{}
+	if txn.Conditions == nil {
+		txn.Conditions = []wire.Condition{}
 	}
-	if txn.Apply == nil {
-		txn.Apply = []wire.Apply{}
+	if txn.Operations == nil {
+		txn.Operations = []wire.Operation{}
 	}
 	status, raw, err := c.call(ctx, c.http, http.MethodPost, wire.PathCommit, txn)
 	if err != nil {
 		return 0, err
 	}
-	var ans wire.TxnAnswer
+	var ans wire.TxnResponse
 	switch status {
 	case http.StatusOK:
 		if err := decode(raw, &ans); err != nil {
 			return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
 		}
-		c.saw(ans.Epoch)
-		return ans.Epoch, nil
+		c.saw(ans.Revision)
+		return ans.Revision, nil
 	case http.StatusConflict:
 		if err := decode(raw, &ans); err != nil {
 			return 0, err
 		}
-		return ans.Epoch, &Conflict{Failed: ans.Failed}
+		return ans.Revision, &Conflict{Failed: ans.Failed}
 	case http.StatusBadRequest:
 		var e wire.Error
 		if wire.Unmarshal(raw, &e) == nil && e.Error == "no such lease" {
@@ -339,15 +339,15 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	status, raw, err := c.call(ctx, c.http, http.MethodPost, wire.PathHolds, wire.HoldRequest{TTLms: int64(ttl / clock.Millisecond)})
+	status, raw, err := c.call(ctx, c.http, http.MethodPost, wire.PathLeases, wire.LeaseRequest{TTLMillis: int64(ttl / clock.Millisecond)})
 	if err != nil {
 		return 0, err
 	}
 	if status != http.StatusOK {
 		return 0, unexpected(status, raw)
 	}
-	var ans wire.HoldAnswer
-	return ans.Hold, decode(raw, &ans)
+	var ans wire.LeaseResponse
+	return ans.Lease, decode(raw, &ans)
 }
 
 // Renew keeps a lease; ErrNoLease tells that it has ended.
@@ -357,7 +357,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
-	status, raw, err := c.call(ctx, c.http, http.MethodPost, fmt.Sprintf("%s/%d/%s", wire.PathHolds, lease, wire.SuffixRenew), struct{}{})
+	status, raw, err := c.call(ctx, c.http, http.MethodPost, fmt.Sprintf("%s/%d/%s", wire.PathLeases, lease, wire.SuffixRenew), struct{}{})
 	switch {
 	case err != nil:
 		return err
@@ -376,22 +376,22 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	_, _, err := c.call(ctx, c.http, http.MethodDelete, fmt.Sprintf("%s/%d", wire.PathHolds, lease), nil)
+	_, _, err := c.call(ctx, c.http, http.MethodDelete, fmt.Sprintf("%s/%d", wire.PathLeases, lease), nil)
 	return err
 }
 
 // News gives what has changed after since, without waiting; ErrTooOld asks the
 // caller to read again.
-func (c *Client) News(ctx context.Context, prefix string, since uint64) (wire.Changes, error) {
-	var ch wire.Changes
+func (c *Client) News(ctx context.Context, prefix string, since uint64) (wire.WatchResponse, error) {
+	var ch wire.WatchResponse
 	if err := c.admit(ctx, Urgent, 0); err != nil {
 		return ch, err
 	}
 	return c.changes(ctx, c.http, prefix, since, 0)
 }
 
-func (c *Client) changes(ctx context.Context, hc *http.Client, prefix string, since uint64, block clock.Micros) (wire.Changes, error) {
-	var ch wire.Changes
+func (c *Client) changes(ctx context.Context, hc *http.Client, prefix string, since uint64, block clock.Micros) (wire.WatchResponse, error) {
+	var ch wire.WatchResponse
 	q := url.Values{"starts": {prefix}, "since": {strconv.FormatUint(since, 10)}, "block_ms": {strconv.FormatInt(int64(block/clock.Millisecond), 10)}}
 	status, raw, err := c.call(ctx, hc, http.MethodGet, wire.PathChanges+"?"+q.Encode(), nil)
 	switch {
@@ -400,7 +400,7 @@
 	case status == http.StatusOK:
 		err := decode(raw, &ch)
 		if err == nil {
-			c.saw(ch.Epoch)
+			c.saw(ch.Revision)
 		}
 		return ch, err
 	case status == http.StatusGone:
@@ -410,8 +410,8 @@
 }
 
 // Changes waits for changes after since; ErrTooOld asks the caller to read again.
-func (c *Client) Changes(ctx context.Context, prefix string, since uint64, block clock.Micros) (wire.Changes, error) {
-	var ch wire.Changes
+func (c *Client) Changes(ctx context.Context, prefix string, since uint64, block clock.Micros) (wire.WatchResponse, error) {
+	var ch wire.WatchResponse
 	if err := c.admit(ctx, Urgent, 0); err != nil {
 		return ch, err
 	}
--- a/store/golden_test.go
+++ b/store/golden_test.go
@@ -15,9 +15,9 @@
 // The files under testdata/golden hold the bytes that release f8c9f67 made of them.
 func goldenRecords() map[string]any {
 	due := 120.0
-	spec := wire.Spec{UID: "j-17", Lane: "nightly", Owner: "orders", Shape: wire.ShapeBatch, Rank: "high", Pieces: 3, Cores: 1.5, Accel: 1, RAM: 2.25,
-		Bundle: "b-1", ImageGB: 0.5, Builds: []string{"m1"}, Yard: "north", SamePlace: true, Apart: true, Loaned: true, ExpectS: 30,
-		BookmarkS: 10, StowS: 2, DueS: &due}
+	spec := wire.Spec{UID: "j-17", Class: "nightly", Team: "orders", Kind: wire.KindBatch, Priority: "high", Tasks: 3, Cores: 1.5, Accelerators: 1, RAM: 2.25,
+		Image: "b-1", ImageGB: 0.5, MachineTypes: []string{"m1"}, Zone: "north", SameZone: true, Spread: true, Preemptible: true, ExpectedS: 30,
+		CheckpointIntervalS: 10, CheckpointGraceS: 2, DeadlineS: &due}
 	over := OverRecord{Status: wire.JobDone, Tasks: 3, Nonce: "9.4", Owner: "orders", Cores: 1.5, Accel: 1, RAM: 2.25}
 	done := make([]bool, ChunkTasks)
 	done[0], done[5], done[119] = true, true, true
@@ -25,7 +25,7 @@
 		"lead":          LeadRecord{Node: "node-a", Nonce: "node-a.1.2"},
 		"token":         TokenRecord{Token: 41, Nonce: "node-a.1.2"},
 		"job":           JobRecord{Spec: spec, AtUS: 1_700_000_000_000_001, Node: "node-b"},
-		"job_least":     JobRecord{Spec: wire.Spec{UID: "j-1", Pieces: 1}},
+		"job_least":     JobRecord{Spec: wire.Spec{UID: "j-1", Tasks: 1}},
 		"job_over":      JobRecord{Spec: wire.Spec{UID: "j-17"}, AtUS: 1_700_000_000_000_001, Over: &over},
 		"over":          over,
 		"over_of_spec":  Over(&spec, wire.JobCancelled, "9.5"),
--- a/store/records.go
+++ b/store/records.go
@@ -109,7 +109,7 @@
 
 // Over makes the final record of a job.
 func Over(s *wire.Spec, status, nonce string) OverRecord {
-	return OverRecord{Status: status, Tasks: s.Pieces, Nonce: nonce, Owner: s.Owner, Cores: s.Cores, Accel: s.Accel, RAM: s.RAM}
+	return OverRecord{Status: status, Tasks: s.Tasks, Nonce: nonce, Owner: s.Team, Cores: s.Cores, Accel: s.Accelerators, RAM: s.RAM}
 }
 
 // OverIn gives the final state that a job's record holds; nil when the job is
--- a/swarm_test.go
+++ b/swarm_test.go
@@ -54,10 +54,10 @@
 		work(g, 12)
 		s.settle(g)
 		for k := range jobs {
-			if _, v, _ := s.ask(b, http.MethodGet, wire.PathRuns+"/"+uid(k), nil); v.Status != wire.JobDone {
+			if _, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/"+uid(k), nil); v.Status != wire.JobDone {
 				t.Fatalf("%s of %d: %+v, want done", uid(k), jobs, v)
 			}
-			if code, v, _ := s.ask(a, http.MethodPost, wire.PathRuns, spec(uid(k), nil)); code != http.StatusOK || v.Status != wire.JobDone {
+			if code, v, _ := s.ask(a, http.MethodPost, wire.PathJobs, spec(uid(k), nil)); code != http.StatusOK || v.Status != wire.JobDone {
 				t.Fatalf("%s submitted again: %d %+v", uid(k), code, v)
 			}
 		}
@@ -107,7 +107,7 @@
 		t.Fatalf("on the machine: %v", got)
 	}
 	w.Unreachable(true)
-	if code, _, _ := s.ask(b, http.MethodPost, wire.PathRuns+"/j-2/"+wire.SuffixAbort, nil); code != http.StatusOK {
+	if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
 	stop()
@@ -142,7 +142,7 @@
 	n.users.Store = store.New(n.cfg.Outside.State, small, 5)
 	refused, accepted := 0, 0
 	for k := range 40 {
-		code, _, head := s.ask(n, http.MethodPost, wire.PathRuns, spec(fmt.Sprintf("j-%d", k), func(sp *wire.Spec) { sp.Rank = "low" }))
+		code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, spec(fmt.Sprintf("j-%d", k), func(sp *wire.Spec) { sp.Priority = "low" }))
 		switch code {
 		case http.StatusCreated:
 			accepted++
@@ -158,10 +158,10 @@
 	if accepted < 4 || refused < 20 {
 		t.Errorf("%d accepted, %d refused", accepted, refused)
 	}
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathRuns, spec("j-100", func(sp *wire.Spec) { sp.Rank = "critical" })); code != http.StatusCreated {
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-100", func(sp *wire.Spec) { sp.Priority = "critical" })); code != http.StatusCreated {
 		t.Errorf("a critical job: %d, want 201", code)
 	}
-	if code, v, _ := s.ask(n, http.MethodPost, wire.PathRuns+"/j-0/"+wire.SuffixAbort, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
+	if code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-0/"+wire.SuffixCancel, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
 		t.Errorf("abort: %d %+v", code, v)
 	}
 }
@@ -180,7 +180,7 @@
 			heartbeat(t, g, w)
 			ws = append(ws, w)
 		}
-		s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Rank, sp.Pieces, sp.Cores, sp.RAM = "low", tasks, 0.25, 0.9 }))
+		s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "low", tasks, 0.25, 0.9 }))
 		s.resync(g)
 		before := s.state.Puts()
 		looked, done := 0, 0
@@ -193,7 +193,7 @@
 				g, _ = s.elect(b)
 			}
 			if round == 6 {
-				s.submit(b, spec("j-2", func(sp *wire.Spec) { sp.Rank, sp.Cores, sp.RAM = "high", 2, 4 }))
+				s.submit(b, spec("j-2", func(sp *wire.Spec) { sp.Priority, sp.Cores, sp.RAM = "high", 2, 4 }))
 				s.resync(g)
 			}
 			g.step(t.Context())
@@ -233,7 +233,7 @@
 		if len(starts) < tasks || len(starts) > tasks+600 {
 			t.Errorf("%d attempts of %d tasks", len(starts), tasks)
 		}
-		if _, v, _ := s.ask(a, http.MethodGet, wire.PathRuns+"/j-1", nil); v.Status != wire.JobDone || v.Done != tasks {
+		if _, v, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobDone || v.Done != tasks {
 			t.Errorf("%+v, want done", v)
 		}
 		return float64(s.state.Puts()-before) / float64(tasks), float64(looked) / float64(tasks)
@@ -257,8 +257,8 @@
 		heartbeat(t, g, w)
 		ws = append(ws, w)
 	}
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Rank, sp.Pieces, sp.Cores, sp.RAM = "low", 5000, 0.05, 0.1 }))
-	s.submit(n, spec("j-2", func(sp *wire.Spec) { sp.Rank, sp.Pieces, sp.Cores, sp.RAM = "standard", 300, 0.05, 0.1 }))
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "low", 5000, 0.05, 0.1 }))
+	s.submit(n, spec("j-2", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "standard", 300, 0.05, 0.1 }))
 	s.resync(g)
 	placed := func(uid string) int {
 		g.mu.Lock()
@@ -284,7 +284,7 @@
 	n := s.node(nil)
 	_, _ = s.elect(n)
 	s.submit(n, spec("j-1", nil))
-	if code, _, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/j-1", nil); code != http.StatusOK {
+	if code, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK {
 		t.Fatalf("poll: %d", code)
 	}
 	small := n.cfg.Facts.State
@@ -293,7 +293,7 @@
 	codes := make(chan int)
 	for k := range 100 {
 		go func() {
-			code, _, _ := s.ask(n, http.MethodGet, fmt.Sprintf("%s/j-9%d", wire.PathRuns, k), nil)
+			code, _, _ := s.ask(n, http.MethodGet, fmt.Sprintf("%s/j-9%d", wire.PathJobs, k), nil)
 			codes <- code
 		}()
 	}
@@ -304,7 +304,7 @@
 	if got[http.StatusNotFound] == 0 || got[http.StatusServiceUnavailable] < 60 || len(got) != 2 {
 		t.Errorf("answers by status: %v", got)
 	}
-	if code, v, _ := s.ask(n, http.MethodGet, wire.PathRuns+"/j-1", nil); code != http.StatusOK || v.Status != wire.JobQueued {
+	if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK || v.Status != wire.JobQueued {
 		t.Errorf("a job that runs, in the storm: %d %+v", code, v)
 	}
 }
@@ -318,7 +318,7 @@
 	for k := range 60 {
 		uid := fmt.Sprintf("j-1%03d", k)
 		uids = append(uids, uid)
-		s.submit(n, spec(uid, func(sp *wire.Spec) { sp.Pieces, sp.Cores, sp.RAM = 2, 0.1, 0.1 }))
+		s.submit(n, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 2, 0.1, 0.1 }))
 	}
 	s.resync(g)
 	s.pass(g, ws, 2)
@@ -338,7 +338,7 @@
 		}
 	}
 	for k := range 30 {
-		s.ask(n, http.MethodPost, fmt.Sprintf("%s/j-2%03d/%s", wire.PathRuns, k, wire.SuffixAbort), nil)
+		s.ask(n, http.MethodPost, fmt.Sprintf("%s/j-2%03d/%s", wire.PathJobs, k, wire.SuffixCancel), nil)
 	}
 	s.resync(g)
 	s.pass(g, ws, 12)
@@ -353,7 +353,7 @@
 	s.resync(g)
 	w := &write{nonce: "x"}
 	for k := range 30 {
-		w.txn.Apply = append(w.txn.Apply, wire.Apply{Delete: fmt.Sprintf("p/x/%05d", k)})
+		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: fmt.Sprintf("p/x/%05d", k)})
 	}
 	if !g.record(t.Context(), w) {
 		t.Fatal("a refused transaction ends the term")
@@ -376,7 +376,7 @@
 	const jobs = 12
 	for k := range jobs {
 		go func() {
-			code, _, _ := s.ask(n, http.MethodPost, wire.PathRuns, spec(fmt.Sprintf("j-%d", k), nil))
+			code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, spec(fmt.Sprintf("j-%d", k), nil))
 			codes <- code
 		}()
 	}
--- a/teams.go
+++ b/teams.go
@@ -121,10 +121,10 @@
 		if j.cancelled || ready+later == 0 {
 			continue
 		}
-		w := out[j.spec.Owner]
+		w := out[j.spec.Team]
 		if w == nil {
 			w = &quota.WaitingReport{}
-			out[j.spec.Owner] = w
+			out[j.spec.Team] = w
 		}
 		w.Jobs++
 		if j.pj.Entitled {
--- a/teams_test.go
+++ b/teams_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("at its limit: %s", diff)
 	}
 	w.Unreachable(true) // direct commands don't arrive
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathRuns+"/j-1/abort", nil); code != http.StatusOK {
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
 	s.resync(g)
@@ -83,7 +83,7 @@
 // last, and how old that is. One that never heard a leader says so.
 func TestTeamsFromEveryController(t *testing.T) {
 	s := schedule{seed: 1, lasts: at(60), leads: 1, limits: map[string]float64{}}
-	s.users = []submission{user(1, 2, 0, func(sp *wire.Spec) { standing(2)(sp); sp.Owner = "tight" })}
+	s.users = []submission{user(1, 2, 0, func(sp *wire.Spec) { standing(2)(sp); sp.Team = "tight" })}
 	s.troubles = []trouble{
 		{kind: refuseAll, at: at(30), lasts: at(25)},
 		{kind: killNode, at: at(31), lasts: at(20), node: 3},
--- a/unserved_test.go
+++ b/unserved_test.go
@@ -20,7 +20,7 @@
 // Replicas that are to be apart get machines in a second zone.
 func TestApartJobGetsMachinesInTwoZones(t *testing.T) {
 	playWanting(t, user(1, 2, 0, func(sp *wire.Spec) {
-		sp.Shape, sp.Pieces, sp.Builds, sp.Apart = wire.ShapeStanding, 2, []string{"b"}, true
+		sp.Kind, sp.Tasks, sp.MachineTypes, sp.Spread = wire.KindService, 2, []string{"b"}, true
 	}))
 }
 
@@ -28,25 +28,28 @@
 // all of it, and both together have.
 func TestJobInOnePlaceGetsRoomInOneZone(t *testing.T) {
 	single := func(zone string) func(sp *wire.Spec) {
-		return func(sp *wire.Spec) { sp.Shape, sp.Yard, sp.Builds = wire.ShapeStanding, zone, []string{"s"} }
+		return func(sp *wire.Spec) { sp.Kind, sp.Zone, sp.MachineTypes = wire.KindService, zone, []string{"s"} }
 	}
 	playWanting(t, user(1, 2, 0, single("x")), user(2, 2, 0, single("y")),
 		user(3, 20, 0, func(sp *wire.Spec) {
-			sp.Shape, sp.Pieces, sp.Cores, sp.SamePlace = wire.ShapeStanding, 2, 2, true
+			sp.Kind, sp.Tasks, sp.Cores, sp.SameZone = wire.KindService, 2, 2, true
 		}))
 }
 
 // A task gets a machine where what is left beside replicas on each machine is too
 // little for it: as much on all of them as it wants is no room.
 func TestTaskGetsRoomBesideReplicas(t *testing.T) {
-	playWanting(t, user(1, 2, 0, func(sp *wire.Spec) { sp.Shape, sp.Cores, sp.Builds = wire.ShapeStanding, 7, []string{"b"} }),
-		user(2, 30, 4, func(sp *wire.Spec) { sp.Cores, sp.Rank = 2, "high" }))
+	playWanting(t, user(1, 2, 0, func(sp *wire.Spec) { sp.Kind, sp.Cores, sp.MachineTypes = wire.KindService, 7, []string{"b"} }),
+		user(2, 30, 4, func(sp *wire.Spec) { sp.Cores, sp.Priority = 2, "high" }))
 }
 
 // Work that is bound to a zone gets a machine there where other work, that could be
 // elsewhere and does not give way, fills those that are there.
 func TestBoundWorkGetsRoomBesideReplicas(t *testing.T) {
-	playWanting(t, user(1, 2, 0, func(sp *wire.Spec) { standing(1)(sp); sp.Cores, sp.Rank, sp.Builds = 4, "critical", []string{"s"} }),
-		user(2, 30, 0, func(sp *wire.Spec) { sp.Shape, sp.Cores, sp.Rank, sp.Yard = wire.ShapeStanding, 2, "critical", "x" }),
-		user(3, 30, 0, func(sp *wire.Spec) { sp.Shape, sp.Cores, sp.Rank, sp.Yard = wire.ShapeStanding, 2, "critical", "y" }))
+	playWanting(t, user(1, 2, 0, func(sp *wire.Spec) {
+		standing(1)(sp)
+		sp.Cores, sp.Priority, sp.MachineTypes = 4, "critical", []string{"s"}
+	}),
+		user(2, 30, 0, func(sp *wire.Spec) { sp.Kind, sp.Cores, sp.Priority, sp.Zone = wire.KindService, 2, "critical", "x" }),
+		user(3, 30, 0, func(sp *wire.Spec) { sp.Kind, sp.Cores, sp.Priority, sp.Zone = wire.KindService, 2, "critical", "y" }))
 }
--- a/wire/decode.go
+++ b/wire/decode.go
@@ -177,21 +177,21 @@
 		return func(d *msgpack.Decoder) (err error) { *dst, err = flag(d); return err }
 	}
 	readers := map[string]func(*msgpack.Decoder) error{
-		"uid": str(&s.UID), "lane": str(&s.Lane), "owner": str(&s.Owner), "shape": str(&s.Shape),
-		"rank": str(&s.Rank), "bundle": str(&s.Bundle),
-		"cores": num(&s.Cores), "accelerators": num(&s.Accel), "ram_gb": num(&s.RAM),
-		"image_gb": num(&s.ImageGB), "expect_s": num(&s.ExpectS),
-		"bookmark_s": num(&s.BookmarkS), "stow_s": num(&s.StowS),
-		"same_place": yes(&s.SamePlace), "apart": yes(&s.Apart), "loaned": yes(&s.Loaned),
+		"uid": str(&s.UID), "lane": str(&s.Class), "owner": str(&s.Team), "shape": str(&s.Kind),
+		"rank": str(&s.Priority), "bundle": str(&s.Image),
+		"cores": num(&s.Cores), "accelerators": num(&s.Accelerators), "ram_gb": num(&s.RAM),
+		"image_gb": num(&s.ImageGB), "expect_s": num(&s.ExpectedS),
+		"bookmark_s": num(&s.CheckpointIntervalS), "stow_s": num(&s.CheckpointGraceS),
+		"same_place": yes(&s.SameZone), "apart": yes(&s.Spread), "loaned": yes(&s.Preemptible),
 		"pieces": func(d *msgpack.Decoder) error {
 			v, err := amount(d)
 			if err != nil {
 				return err
 			}
-			if v != math.Trunc(v) || v < 1 || v > MaxPieces {
+			if v != math.Trunc(v) || v < 1 || v > MaxTasks {
 				return errors.New("not a whole number from 1 to 100000")
 			}
-			s.Pieces = int(v)
+			s.Tasks = int(v)
 			return nil
 		},
 		"yard": func(d *msgpack.Decoder) error {
@@ -202,7 +202,7 @@
 			if err == nil && v == "" {
 				err = errors.New("empty")
 			}
-			s.Yard = v
+			s.Zone = v
 			return err
 		},
 		"due_s": func(d *msgpack.Decoder) error {
@@ -210,7 +210,7 @@
 				return err
 			}
 			v, err := amount(d)
-			s.DueS = &v
+			s.DeadlineS = &v
 			return err
 		},
 		"builds": func(d *msgpack.Decoder) error {
@@ -224,13 +224,13 @@
 			if n < 0 || n > 1000 {
 				return errors.New("not a list of types")
 			}
-			s.Builds = make([]string, 0, n)
+			s.MachineTypes = make([]string, 0, n)
 			for range n {
 				b, err := text(d)
 				if err != nil {
 					return err
 				}
-				s.Builds = append(s.Builds, b)
+				s.MachineTypes = append(s.MachineTypes, b)
 			}
 			return nil
 		},
@@ -251,19 +251,19 @@
 			return Spec{}, fmt.Errorf("%w: field %s is missing", ErrMalformed, key)
 		}
 	}
-	_, ranked := RankOf(s.Rank)
+	_, ranked := ParsePriority(s.Priority)
 	switch {
 	case !ValidUID(s.UID):
 		err = errors.New("uid: not a job id")
-	case s.Shape != ShapeBatch && s.Shape != ShapeStanding && s.Shape != ShapeGroup:
+	case s.Kind != KindBatch && s.Kind != KindService && s.Kind != KindGang:
 		err = errors.New("shape: unknown")
 	case !ranked:
 		err = errors.New("rank: unknown")
-	case s.Lane == "" || s.Owner == "" || s.Bundle == "":
+	case s.Class == "" || s.Team == "" || s.Image == "":
 		err = errors.New("an empty lane, owner or bundle")
-	case len(s.Lane) > 256 || len(s.Owner) > 256 || len(s.Bundle) > 256 || len(s.Yard) > 256 || listBytes(s.Builds) > 2048:
+	case len(s.Class) > 256 || len(s.Team) > 256 || len(s.Image) > 256 || len(s.Zone) > 256 || listBytes(s.MachineTypes) > 2048:
 		err = errors.New("a name is too long")
-	case s.Cores == 0 && s.RAM == 0 && s.Accel == 0:
+	case s.Cores == 0 && s.RAM == 0 && s.Accelerators == 0:
 		err = errors.New("a task that takes nothing")
 	}
 	if err != nil {
@@ -280,28 +280,28 @@
 	return n
 }
 
-// DecodeBeat reads a worker's report and checks what the fleet relies on. The
+// DecodeHeartbeat reads a worker's report and checks what the fleet relies on. The
 // task list is kept as it came, a part of body, for DecodePieces.
-func DecodeBeat(body []byte) (Beat, error) {
-	var b Beat
+func DecodeHeartbeat(body []byte) (Heartbeat, error) {
+	var b Heartbeat
 	err := fields(body, func(dec *value, key []byte) (err error) {
 		switch string(key) {
 		case "host":
-			b.Host, err = text(dec.Decoder)
+			b.Machine, err = text(dec.Decoder)
 		case "endpoint":
 			b.Endpoint, err = text(dec.Decoder)
 		case "build":
-			b.Build, err = text(dec.Decoder)
+			b.MachineType, err = text(dec.Decoder)
 		case "yard":
-			b.Yard, err = text(dec.Decoder)
+			b.Zone, err = text(dec.Decoder)
 		case "loaned":
-			b.Loaned, err = flag(dec.Decoder)
+			b.Preemptible, err = flag(dec.Decoder)
 		case "tenure":
-			b.Tenure, err = dec.DecodeUint64()
+			b.Incarnation, err = dec.DecodeUint64()
 		case "tally":
-			b.Tally, err = dec.DecodeUint64()
+			b.Sequence, err = dec.DecodeUint64()
 		case "warrant":
-			b.Warrant, err = dec.DecodeUint64()
+			b.Token, err = dec.DecodeUint64()
 		case "warning_s":
 			var isNull bool
 			if isNull, err = null(dec.Decoder); err == nil && !isNull {
@@ -310,41 +310,41 @@
 				b.WarningS = &v
 			}
 		case "pieces":
-			b.Raw, err = dec.raw()
+			b.RawTasks, err = dec.raw()
 		default:
 			err = dec.Skip()
 		}
 		return err
 	})
 	if err != nil {
-		return Beat{}, err
+		return Heartbeat{}, err
 	}
-	if b.Host == "" || len(b.Host) > 128 || b.Tenure == 0 || b.Endpoint == "" || b.Build == "" || b.Yard == "" {
-		return Beat{}, fmt.Errorf("%w: a report without host, endpoint, build, yard or tenure", ErrMalformed)
+	if b.Machine == "" || len(b.Machine) > 128 || b.Incarnation == 0 || b.Endpoint == "" || b.MachineType == "" || b.Zone == "" {
+		return Heartbeat{}, fmt.Errorf("%w: a report without host, endpoint, build, yard or tenure", ErrMalformed)
 	}
 	return b, nil
 }
 
-// DecodePieces reads the task list of a report that DecodeBeat has read. A
+// DecodeTasks reads the task list of a report that DecodeBeat has read. A
 // report made otherwise has its list already.
-func (b *Beat) DecodePieces() error {
-	if b.Pieces != nil || len(b.Raw) == 0 {
+func (b *Heartbeat) DecodeTasks() error {
+	if b.Tasks != nil || len(b.RawTasks) == 0 {
 		return nil
 	}
-	var list []PieceReport
-	if err := Unmarshal(b.Raw, &list); err != nil {
+	var list []TaskReport
+	if err := Unmarshal(b.RawTasks, &list); err != nil {
 		return err
 	}
 	for _, p := range list {
-		if p.Piece == "" {
+		if p.Task == "" {
 			return fmt.Errorf("%w: a task without a name", ErrMalformed)
 		}
 		switch p.Status {
-		case PieceFetching, PieceGathering, PieceRunning, PieceFlushing, PieceEnded:
+		case TaskFetching, TaskGathering, TaskRunning, TaskFlushing, TaskEnded:
 		default:
 			return fmt.Errorf("%w: task state %q", ErrMalformed, p.Status)
 		}
 	}
-	b.Pieces = list
+	b.Tasks = list
 	return nil
 }
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -14,38 +14,38 @@
 func goldenMessages() map[string]any {
 	seconds := 12.5
 	return map[string]any{
-		"spec": Spec{UID: "j-17", Lane: "nightly", Owner: "orders", Shape: ShapeBatch, Rank: "high", Pieces: 3, Cores: 1.5, Accel: 1, RAM: 2.25,
-			Bundle: "b-1", ImageGB: 0.5, Builds: []string{"m1", "m2"}, Yard: "north", SamePlace: true, Apart: true, Loaned: true, ExpectS: 30,
-			BookmarkS: 10, StowS: 2, DueS: &seconds},
-		"spec_least":       Spec{UID: "j-1", Pieces: 1},
-		"view":             View{UID: "j-17", Status: JobRunning, Done: 1, Running: 2},
+		"spec": Spec{UID: "j-17", Class: "nightly", Team: "orders", Kind: KindBatch, Priority: "high", Tasks: 3, Cores: 1.5, Accelerators: 1, RAM: 2.25,
+			Image: "b-1", ImageGB: 0.5, MachineTypes: []string{"m1", "m2"}, Zone: "north", SameZone: true, Spread: true, Preemptible: true, ExpectedS: 30,
+			CheckpointIntervalS: 10, CheckpointGraceS: 2, DeadlineS: &seconds},
+		"spec_least":       Spec{UID: "j-1", Tasks: 1},
+		"view":             JobStatus{UID: "j-17", Status: JobRunning, Done: 1, Running: 2},
 		"error":            Error{Error: "no such job"},
-		"piece_report":     PieceReport{Piece: "j-17/2", Try: 4, Status: PieceEnded, Cause: CauseDone, Kept: true},
+		"piece_report":     TaskReport{Task: "j-17/2", Attempt: 4, Status: TaskEnded, Cause: CauseDone, Checkpointed: true},
 		"heartbeat":        goldenHeartbeat(&seconds),
 		"heartbeat_least":  goldenHeartbeat(nil),
-		"heartbeat_answer": BeatAnswer{Warrant: 9, Orders: []Order{{Verb: VerbHalt, Piece: "j-17/2", Try: 4, LeewayS: &seconds}, {Verb: VerbRun, Piece: "j-17/0", Try: 1}}},
-		"redirect":         Redirect{Steward: "node-b"},
+		"heartbeat_answer": HeartbeatResponse{Token: 9, Commands: []Command{{Verb: VerbStop, Task: "j-17/2", Attempt: 4, GraceS: &seconds}, {Verb: VerbRun, Task: "j-17/0", Attempt: 1}}},
+		"redirect":         Redirect{Leader: "node-b"},
 		"redirect_unknown": Redirect{},
-		"do":               Do{Warrant: 9, Tenure: 7, Orders: []Order{{Verb: VerbForget, Piece: "j-17/1", Try: 2}}},
-		"catalog": Catalog{Builds: []Build{{SKU: "m1", Cores: 8, Accel: 1, RAM: 32, CacheGB: 100, FetchGBs: 0.25, Hourly: 0.4, Spot: 0.1,
-			ReadyS: 40, Yards: []string{"north", "south"}}}},
-		"rent_request": RentRequest{Hire: "r-3-1", Build: "m1", Yard: "north", Loaned: true, Count: 2},
-		"hosts":        Hosts{Hosts: []string{"h-1", "h-2"}},
-		"host_page": HostPage{Hosts: []Host{{UID: "h-1", Endpoint: "127.0.0.1:1", Build: "m1", Yard: "north", Loaned: true,
-			Status: HostBooting, HeldS: 3.5}}, HasNext: true},
-		"rows": Rows{Rows: []Row{{Path: "j/j-17", Value: []byte{0x01}, Stamp: 5, Hold: 6}}, HasNext: true, Epoch: 77},
-		"txn": Txn{When: []When{{Path: "lead", Stamp: 5}}, Apply: []Apply{{Set: "j/j-17", Value: View{UID: "j-17"}, Hold: 6},
+		"do":               CommandRequest{Token: 9, Incarnation: 7, Commands: []Command{{Verb: VerbForget, Task: "j-17/1", Attempt: 2}}},
+		"catalog": Catalog{MachineTypes: []MachineType{{SKU: "m1", Cores: 8, Accelerators: 1, RAM: 32, CacheGB: 100, FetchGBs: 0.25, HourlyPrice: 0.4, SpotPrice: 0.1,
+			BootS: 40, Zones: []string{"north", "south"}}}},
+		"rent_request": RentRequest{RequestID: "r-3-1", MachineType: "m1", Zone: "north", Preemptible: true, Count: 2},
+		"hosts":        MachineNames{Names: []string{"h-1", "h-2"}},
+		"host_page": MachinePage{Machines: []Machine{{UID: "h-1", Endpoint: "127.0.0.1:1", Type: "m1", Zone: "north", Preemptible: true,
+			Status: MachineBooting, HeldS: 3.5}}, HasNext: true},
+		"rows": Rows{Rows: []Row{{Key: "j/j-17", Value: []byte{0x01}, ModRevision: 5, Lease: 6}}, HasNext: true, Revision: 77},
+		"txn": Txn{Conditions: []Condition{{Key: "lead", ModRevision: 5}}, Operations: []Operation{{Set: "j/j-17", Value: JobStatus{UID: "j-17"}, Lease: 6},
 			{Delete: "j/j-18"}}},
-		"txn_answer":   TxnAnswer{Epoch: 77, Failed: []string{"lead"}},
-		"hold_request": HoldRequest{TTLms: 8000},
-		"hold_answer":  HoldAnswer{Hold: 6},
-		"changes":      Changes{Epoch: 78, Events: []Event{{Set: "j/j-17", Value: []byte{0x01}, Stamp: 78}, {Delete: "j/j-18", Value: []byte{0x02}, Stamp: 78}}},
+		"txn_answer":   TxnResponse{Revision: 77, Failed: []string{"lead"}},
+		"hold_request": LeaseRequest{TTLMillis: 8000},
+		"hold_answer":  LeaseResponse{Lease: 6},
+		"changes":      WatchResponse{Revision: 78, Events: []Event{{Set: "j/j-17", Value: []byte{0x01}, ModRevision: 78}, {Delete: "j/j-18", Value: []byte{0x02}, ModRevision: 78}}},
 	}
 }
 
-func goldenHeartbeat(warning *float64) Beat {
-	return Beat{Host: "h-1", Endpoint: "127.0.0.1:1", Build: "m1", Yard: "north", Loaned: true, Tenure: 7, Tally: 8, Warrant: 9, WarningS: warning,
-		Pieces: []PieceReport{{Piece: "j-17/2", Try: 4, Status: PieceRunning}}}
+func goldenHeartbeat(warning *float64) Heartbeat {
+	return Heartbeat{Machine: "h-1", Endpoint: "127.0.0.1:1", MachineType: "m1", Zone: "north", Preemptible: true, Incarnation: 7, Sequence: 8, Token: 9, WarningS: warning,
+		Tasks: []TaskReport{{Task: "j-17/2", Attempt: 4, Status: TaskRunning}}}
 }
 
 // TestGoldenMessages holds the form of every message against the bytes of release f8c9f67, both ways.
@@ -84,14 +84,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := DecodeBeat(raw)
+		got, err := DecodeHeartbeat(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := got.DecodePieces(); err != nil {
+		if err := got.DecodeTasks(); err != nil {
 			t.Fatal(err)
 		}
-		got.Raw = nil
+		got.RawTasks = nil
 		if want := goldenMessages()[name]; !reflect.DeepEqual(got, want) {
 			t.Errorf("%s decoded as\n%+v, want\n%+v", name, got, want)
 		}
@@ -116,30 +116,30 @@
 		want    string
 	}{
 		{Spec{}, "uid lane owner shape rank pieces cores accelerators ram_gb bundle image_gb builds yard same_place apart loaned expect_s bookmark_s stow_s due_s"},
-		{View{}, "uid status done running"},
+		{JobStatus{}, "uid status done running"},
 		{Error{}, "error"},
-		{PieceReport{}, "piece try status cause,omitempty kept,omitempty"},
-		{Beat{}, "host endpoint build yard loaned tenure tally warrant warning_s pieces -"},
-		{Order{}, "verb piece try leeway_s,omitempty"},
-		{BeatAnswer{}, "warrant orders"},
+		{TaskReport{}, "piece try status cause,omitempty kept,omitempty"},
+		{Heartbeat{}, "host endpoint build yard loaned tenure tally warrant warning_s pieces -"},
+		{Command{}, "verb piece try leeway_s,omitempty"},
+		{HeartbeatResponse{}, "warrant orders"},
 		{Redirect{}, "steward,omitempty"},
-		{Do{}, "warrant tenure orders"},
-		{Build{}, "sku cores accelerators ram_gb cache_gb fetch_gb_per_s hourly spot_price ready_s yards"},
+		{CommandRequest{}, "warrant tenure orders"},
+		{MachineType{}, "sku cores accelerators ram_gb cache_gb fetch_gb_per_s hourly spot_price ready_s yards"},
 		{Catalog{}, "builds"},
 		{RentRequest{}, "hire build yard loaned count"},
-		{Hosts{}, "hosts"},
-		{Host{}, "uid endpoint build yard loaned status held_s"},
-		{HostPage{}, "hosts has_next"},
+		{MachineNames{}, "hosts"},
+		{Machine{}, "uid endpoint build yard loaned status held_s"},
+		{MachinePage{}, "hosts has_next"},
 		{Row{}, "path v stamp hold"},
 		{Rows{}, "rows has_next epoch"},
-		{When{}, "path stamp"},
-		{Apply{}, "set,omitempty v,omitempty hold,omitempty delete,omitempty"},
+		{Condition{}, "path stamp"},
+		{Operation{}, "set,omitempty v,omitempty hold,omitempty delete,omitempty"},
 		{Txn{}, "when apply"},
-		{TxnAnswer{}, "epoch failed"},
-		{HoldRequest{}, "ttl_ms"},
-		{HoldAnswer{}, "hold"},
+		{TxnResponse{}, "epoch failed"},
+		{LeaseRequest{}, "ttl_ms"},
+		{LeaseResponse{}, "hold"},
 		{Event{}, "set delete v stamp"},
-		{Changes{}, "epoch events"},
+		{WatchResponse{}, "epoch events"},
 	}
 	for _, tt := range tests {
 		kind := reflect.TypeOf(tt.message)
--- a/wire/state.go
+++ b/wire/state.go
@@ -4,65 +4,65 @@
 
 // Row is a key of the state service.
 type Row struct {
-	Path  string             `msgpack:"path"`
-	Value msgpack.RawMessage `msgpack:"v"`
-	Stamp uint64             `msgpack:"stamp"`
-	Hold  uint64             `msgpack:"hold"`
+	Key         string             `msgpack:"path"`
+	Value       msgpack.RawMessage `msgpack:"v"`
+	ModRevision uint64             `msgpack:"stamp"`
+	Lease       uint64             `msgpack:"hold"`
 }
 
 // Rows is one page of keys.
 type Rows struct {
-	Rows    []Row  `msgpack:"rows"`
-	HasNext bool   `msgpack:"has_next"`
-	Epoch   uint64 `msgpack:"epoch"`
+	Rows     []Row  `msgpack:"rows"`
+	HasNext  bool   `msgpack:"has_next"`
+	Revision uint64 `msgpack:"epoch"`
 }
 
-// When is a condition of a transaction; stamp 0 means that the key must not exist.
-type When struct {
-	Path  string `msgpack:"path"`
-	Stamp uint64 `msgpack:"stamp"`
+// Condition is a condition of a transaction; stamp 0 means that the key must not exist.
+type Condition struct {
+	Key         string `msgpack:"path"`
+	ModRevision uint64 `msgpack:"stamp"`
 }
 
-// Apply is one change of a transaction: a set or a delete.
-type Apply struct {
+// Operation is one change of a transaction: a set or a delete.
+type Operation struct {
 	Set    string `msgpack:"set,omitempty"`
 	Value  any    `msgpack:"v,omitempty"`
-	Hold   uint64 `msgpack:"hold,omitempty"`
+	Lease  uint64 `msgpack:"hold,omitempty"`
 	Delete string `msgpack:"delete,omitempty"`
 }
 
 // Txn is a transaction.
 type Txn struct {
-	When  []When  `msgpack:"when"`
-	Apply []Apply `msgpack:"apply"`
+	Conditions []Condition `msgpack:"when"`
+	Operations []Operation `msgpack:"apply"`
 }
 
-// TxnAnswer is the body of a transaction's 200 and 409.
-type TxnAnswer struct {
-	Epoch  uint64   `msgpack:"epoch"`
-	Failed []string `msgpack:"failed"`
+// TxnResponse is the body of a transaction's 200 and 409.
+type TxnResponse struct {
+	Revision uint64   `msgpack:"epoch"`
+	Failed   []string `msgpack:"failed"`
 }
 
-// HoldRequest asks for a lease in the state service.
-type HoldRequest struct {
-	TTLms int64 `msgpack:"ttl_ms"`
+// LeaseRequest asks for a lease in the state service.
+type LeaseRequest struct {
+	TTLMillis int64 `msgpack:"ttl_ms"`
 }
 
-// HoldAnswer names a granted lease.
-type HoldAnswer struct {
-	Hold uint64 `msgpack:"hold"`
+// LeaseResponse names a granted lease.
+type LeaseResponse struct {
+	Lease uint64 `msgpack:"hold"`
 }
 
 // Event is one change in a watch: Set or Delete names the key.
 type Event struct {
-	Set    string             `msgpack:"set"`
-	Delete string             `msgpack:"delete"`
-	Value  msgpack.RawMessage `msgpack:"v"`
-	Stamp  uint64             `msgpack:"stamp"`
+	Set         string             `msgpack:"set"`
+	Delete      string             `msgpack:"delete"`
+	Value       msgpack.RawMessage `msgpack:"v"`
+	ModRevision uint64             `msgpack:"stamp"`
 }
 
-// Changes is a watch's answer.
-type Changes struct {
-	Epoch  uint64  `msgpack:"epoch"`
-	Events []Event `msgpack:"events"`
+// WatchResponse is a watch's answer.
+type WatchResponse struct {
+	Revision uint64  `msgpack:"epoch"`
+	Events   []Event `msgpack:"events"`
 }
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -29,7 +29,7 @@
 			}
 			return
 		}
-		if s.Pieces < 1 || s.Pieces > MaxPieces || s.Cores < 0 || math.IsNaN(s.RAM) || !ValidUID(s.UID) {
+		if s.Tasks < 1 || s.Tasks > MaxTasks || s.Cores < 0 || math.IsNaN(s.RAM) || !ValidUID(s.UID) {
 			t.Fatalf("accepted %+v", s)
 		}
 		if got := UIDOf(raw); got != s.UID {
@@ -39,15 +39,15 @@
 }
 
 func FuzzDecodeBeat(f *testing.F) {
-	raw, err := Marshal(Beat{Host: "n", Endpoint: "e", Build: "b", Yard: "y", Tenure: 1, Tally: 3, Pieces: []PieceReport{{Piece: "j-1/0", Try: 1, Status: PieceRunning}}})
+	raw, err := Marshal(Heartbeat{Machine: "n", Endpoint: "e", MachineType: "b", Zone: "y", Incarnation: 1, Sequence: 3, Tasks: []TaskReport{{Task: "j-1/0", Attempt: 1, Status: TaskRunning}}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(raw)
 	f.Add([]byte{0x80})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		b, err := DecodeBeat(raw)
-		if err == nil && (b.Host == "" || b.Tenure == 0) {
+		b, err := DecodeHeartbeat(raw)
+		if err == nil && (b.Machine == "" || b.Incarnation == 0) {
 			t.Fatalf("accepted %+v", b)
 		}
 	})
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Cores != 1 || s.RAM != 2.5 || s.DueS == nil || *s.DueS != 7 || s.Yard != "" || s.Builds != nil {
+	if s.Cores != 1 || s.RAM != 2.5 || s.DeadlineS == nil || *s.DeadlineS != 7 || s.Zone != "" || s.MachineTypes != nil {
 		t.Errorf("decoded %+v", s)
 	}
 	for field, bad := range map[string]any{"cores": math.NaN(), "ram_gb": math.Inf(1), "due_s": -1, "pieces": 100_001, "yard": 4, "loaned": 1} {
