--- a/api/api.go
+++ b/api/api.go
@@ -59,7 +59,7 @@
 	Alone func(ctx context.Context) bool
 
 	mu   sync.Mutex // guards the fields below
-	over map[string]store.OverRecord
+	over map[string]store.FinalRecord
 	jobs *view
 	in   *intake
 }
@@ -141,7 +141,7 @@
 			}
 			// Now and then one request finds out whether the state service answers
 			// again; meanwhile none is kept waiting for it.
-			if !u.Store.Retry() {
+			if !u.Store.AllowRetry() {
 				u.unavailable(w, errors.New("the state service does not answer"))
 				return
 			}
@@ -184,7 +184,7 @@
 
 // lookup reads what is durably known of a job. An unfinished job is looked for
 // before a finished one: a job moves only that way, in one transaction.
-func (u *Users) lookup(ctx context.Context, uid string) (job *wire.Row, over *store.OverRecord, err error) {
+func (u *Users) lookup(ctx context.Context, uid string) (job *wire.Row, over *store.FinalRecord, err error) {
 	u.mu.Lock()
 	rec, cached := u.over[uid]
 	u.mu.Unlock()
@@ -203,23 +203,23 @@
 	if err := wire.Unmarshal(row.Value, &kept); err != nil {
 		return nil, nil, fmt.Errorf("record of %s: %w", uid, err)
 	}
-	if kept.Over != nil {
-		u.remember(uid, *kept.Over, row.ModRevision)
-		return nil, kept.Over, nil
+	if kept.Final != nil {
+		u.remember(uid, *kept.Final, row.ModRevision)
+		return nil, kept.Final, nil
 	}
 	return &row, nil, nil
 }
 
 // remember keeps a final state, which is durable since the given epoch, before
 // anybody is told.
-func (u *Users) remember(uid string, rec store.OverRecord, epoch uint64) {
+func (u *Users) remember(uid string, rec store.FinalRecord, epoch uint64) {
 	if rec.Status == wire.JobCancelled {
 		u.Cancels.Known(uid, epoch)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.over == nil || len(u.over) >= maxOver {
-		u.over = map[string]store.OverRecord{}
+		u.over = map[string]store.FinalRecord{}
 	}
 	u.over[uid] = rec
 }
@@ -228,7 +228,7 @@
 	u.mu.Lock()
 	rec, cached := u.over[uid]
 	if u.jobs == nil {
-		u.jobs = &view{st: u.Store, ck: u.Clock, count: u.Counts, over: u.remember, pause: max(u.Store.Pause(), u.Pause), live: map[string]standing{}}
+		u.jobs = &view{st: u.Store, ck: u.Clock, count: u.Counts, over: u.remember, pause: max(u.Store.ReadInterval(), u.Pause), live: map[string]standing{}}
 	}
 	jobs := u.jobs
 	u.mu.Unlock()
@@ -274,7 +274,7 @@
 	return final(uid, over), nil
 }
 
-func final(uid string, over *store.OverRecord) wire.JobStatus {
+func final(uid string, over *store.FinalRecord) wire.JobStatus {
 	v := wire.JobStatus{UID: uid, Status: over.Status}
 	if over.Status == wire.JobDone {
 		v.Done = over.Tasks
@@ -304,18 +304,18 @@
 func IsAbort(path string) bool { return strings.HasSuffix(path, "/"+wire.SuffixCancel) }
 
 // finished reads a job's final state.
-func (u *Users) finished(ctx context.Context, uid string) (*store.OverRecord, error) {
+func (u *Users) finished(ctx context.Context, uid string) (*store.FinalRecord, error) {
 	if u.Store.Waiting() > maxLookups {
-		return nil, fmt.Errorf("look up %s: %w", uid, store.ErrBusy)
+		return nil, fmt.Errorf("look up %s: %w", uid, store.ErrOverloaded)
 	}
-	row, found, err := u.Store.Get(ctx, store.Urgent, store.OverKey(uid))
+	row, found, err := u.Store.Get(ctx, store.Urgent, store.FinalKey(uid))
 	if err != nil {
 		return nil, err
 	}
 	if !found {
 		return nil, errUnknownJob
 	}
-	var rec store.OverRecord
+	var rec store.FinalRecord
 	if err := wire.Unmarshal(row.Value, &rec); err != nil {
 		return nil, fmt.Errorf("final state of %s: %w", uid, err)
 	}
@@ -351,7 +351,7 @@
 		verdict, why = u.judge(ctx, &spec)
 	}
 	if verdict == http.StatusCreated {
-		err := u.taking().accept(ctx, store.JobRecord{Spec: spec, AtUS: int64(u.Clock.Wall()), Node: u.Node})
+		err := u.taking().accept(ctx, store.JobRecord{Spec: spec, AcceptedUS: int64(u.Clock.Wall()), Node: u.Node})
 		if err == nil {
 			agent.Write(w, http.StatusCreated, wire.JobStatus{UID: uid, Status: wire.JobQueued})
 			return http.StatusCreated
@@ -359,7 +359,7 @@
 		var conflict *store.Conflict
 		switch {
 		case errors.As(err, &conflict):
-		case errors.Is(err, store.ErrBusy):
+		case errors.Is(err, store.ErrOverloaded):
 			u.crowded(w, spec.Priority)
 			return http.StatusTooManyRequests
 		default:
@@ -499,11 +499,11 @@
 			u.unavailable(w, err)
 			return
 		}
-		rec := store.Over(&job.Spec, wire.JobCancelled, u.Node)
+		rec := store.NewFinalRecord(&job.Spec, wire.JobCancelled, u.Node)
 		u.Cancels.Expect(uid)
 		epoch, err := tryBusy(ctx, u.Store, u.Clock, u.taking().admission, wire.Txn{
 			Conditions: []wire.Condition{{Key: store.JobKey(uid), ModRevision: row.ModRevision}},
-			Operations: []wire.Operation{{Delete: store.JobKey(uid)}, {Set: store.OverKey(uid), Value: rec}},
+			Operations: []wire.Operation{{Delete: store.JobKey(uid)}, {Set: store.FinalKey(uid), Value: rec}},
 		})
 		var conflict *store.Conflict
 		switch {
--- a/api/intake.go
+++ b/api/intake.go
@@ -61,7 +61,7 @@
 		wait = lowPatience
 	}
 	if err := in.admission.Admit(ctx, rec.Spec.Team, wait); errors.Is(err, quota.ErrCrowded) {
-		return fmt.Errorf("%w: %w", store.ErrBusy, err)
+		return fmt.Errorf("%w: %w", store.ErrOverloaded, err)
 	} else if err != nil {
 		return fmt.Errorf("%w: %w", store.ErrRefused, err)
 	}
@@ -144,7 +144,7 @@
 		var txn wire.Txn
 		for _, e := range batch {
 			uid := e.rec.Spec.UID
-			txn.Conditions = append(txn.Conditions, wire.Condition{Key: store.JobKey(uid)}, wire.Condition{Key: store.OverKey(uid)})
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: store.JobKey(uid)}, wire.Condition{Key: store.FinalKey(uid)})
 			txn.Operations = append(txn.Operations, wire.Operation{Set: store.JobKey(uid), Value: e.rec})
 		}
 		_, err := tryBusy(ctx, in.st, in.ck, in.admission, txn)
@@ -165,7 +165,7 @@
 		// Those that are known hear so; the others are tried again without them.
 		rest := batch[:0:0]
 		for _, e := range batch {
-			if uid := e.rec.Spec.UID; slices.Contains(conflict.Failed, store.JobKey(uid)) || slices.Contains(conflict.Failed, store.OverKey(uid)) {
+			if uid := e.rec.Spec.UID; slices.Contains(conflict.Failed, store.JobKey(uid)) || slices.Contains(conflict.Failed, store.FinalKey(uid)) {
 				e.done <- err
 			} else {
 				rest = append(rest, e)
@@ -186,7 +186,7 @@
 func tryBusy(ctx context.Context, st *store.Client, ck *clock.Clock, admission *quota.Admission, txn wire.Txn) (epoch uint64, err error) {
 	for try := 1; ; try++ {
 		epoch, err := st.Commit(ctx, store.Vital, txn)
-		busy := errors.Is(err, store.ErrBusy)
+		busy := errors.Is(err, store.ErrOverloaded)
 		switch {
 		case busy:
 			admission.Refused()
--- a/api/view.go
+++ b/api/view.go
@@ -18,8 +18,8 @@
 	st    *store.Client
 	ck    *clock.Clock
 	count func(ctx context.Context, uids []string) map[string][2]int
-	over  func(uid string, rec store.OverRecord, epoch uint64) // told of final states that changes bring, if set
-	pause clock.Micros                                         // least time between reads
+	over  func(uid string, rec store.FinalRecord, epoch uint64) // told of final states that changes bring, if set
+	pause clock.Micros                                          // least time between reads
 
 	mu     sync.Mutex          // guards all below
 	live   map[string]standing // the jobs that have a record among the unfinished
@@ -51,8 +51,8 @@
 
 // standingOf tells what the record of an unfinished job says, with the final state if it
 // holds one.
-func standingOf(value []byte) (standing, *store.OverRecord) {
-	switch over, err := store.OverIn(value); {
+func standingOf(value []byte) (standing, *store.FinalRecord) {
+	switch over, err := store.FinalStateIn(value); {
 	case err != nil:
 		return unreadable, nil
 	case over != nil:
@@ -133,7 +133,7 @@
 	loaded, epoch := v.loaded, v.epoch
 	v.mu.Unlock()
 	if loaded {
-		ch, err := v.st.News(ctx, store.PrefixJob, epoch)
+		ch, err := v.st.ChangesSince(ctx, store.PrefixJob, epoch)
 		if err == nil {
 			v.mu.Lock()
 			for _, ev := range ch.Events {
@@ -152,7 +152,7 @@
 			v.mu.Unlock()
 			return nil
 		}
-		if !errors.Is(err, store.ErrTooOld) {
+		if !errors.Is(err, store.ErrCompacted) {
 			return err
 		}
 	}
--- a/changes.go
+++ b/changes.go
@@ -21,7 +21,7 @@
 
 // spell numbers the spells in which changes may have been missed: the service
 // failed this node, its lease may have lapsed, or the process stood still.
-func (g *term) spell() uint64 { return g.st.Spells() + g.el.Lapses() + g.stood }
+func (g *term) spell() uint64 { return g.st.Interruptions() + g.el.LeaseInterruptions() + g.stood }
 
 // upToDate tells whether the changes of the last spell have been read. The
 // caller holds mu.
@@ -29,7 +29,7 @@
 
 // scope is what may be told to workers right now. The caller holds mu.
 func (g *term) scope() fleet.Scope {
-	if _, may := g.el.MayOrder(); !may {
+	if _, may := g.el.HoldsLease(); !may {
 		return fleet.OnlyHalts
 	}
 	if !g.upToDate() {
@@ -51,7 +51,7 @@
 // process of another node that came after a successor there. The caller holds mu.
 func (g *term) read(epoch uint64, began clock.Micros, spell uint64, held bool) {
 	g.readAt = max(g.readAt, began)
-	if _, still := g.el.MayOrder(); still {
+	if _, still := g.el.HoldsLease(); still {
 		g.known = max(g.known, epoch)
 	}
 	if held {
@@ -87,7 +87,7 @@
 func (g *term) follow(ctx context.Context, since *uint64) error {
 	wctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	_, held := g.el.MayOrder()
+	_, held := g.el.HoldsLease()
 	g.mu.Lock()
 	began, spell := g.ck.Now(), g.spell()
 	behind := held && g.caught != spell
@@ -98,9 +98,9 @@
 	var ch wire.WatchResponse
 	var err error
 	if behind {
-		ch, err = g.st.News(wctx, store.PrefixJob, *since)
+		ch, err = g.st.ChangesSince(wctx, store.PrefixJob, *since)
 	} else {
-		ch, err = g.st.Changes(wctx, store.PrefixJob, *since, min(watchSpan, g.blindLimit()/3))
+		ch, err = g.st.Watch(wctx, store.PrefixJob, *since, min(watchSpan, g.blindLimit()/3))
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -133,7 +133,7 @@
 
 // resync reads all job records again, after a watch that broke or was too old.
 func (g *term) resync(ctx context.Context, since *uint64) error {
-	_, held := g.el.MayOrder()
+	_, held := g.el.HoldsLease()
 	g.mu.Lock()
 	began, spell := g.ck.Now(), g.spell()
 	g.mu.Unlock()
@@ -211,7 +211,7 @@
 // blind tells whether this leader has held the lead without reading changes for
 // so long that cancelled tasks may outstay their time. The caller holds mu.
 func (g *term) blind(now clock.Micros) bool {
-	_, held := g.el.MayOrder()
+	_, held := g.el.HoldsLease()
 	return held && now-max(g.readAt, g.heldFrom, g.awake) > g.blindLimit()
 }
 
@@ -219,13 +219,13 @@
 // they are read at once; and the term, if they can't be for too long. The caller
 // holds mu.
 func (g *term) catchUp(now clock.Micros) {
-	if _, held := g.el.MayOrder(); !held {
+	if _, held := g.el.HoldsLease(); !held {
 		g.heldFrom = now
 	} else if g.unwatch != nil && !g.upToDate() {
 		g.unwatch()
 	}
 	if g.loaded && g.blind(now) {
 		g.log.Info("the changes of jobs can't be read: giving leadership up")
-		g.el.Abdicate()
+		g.el.Resign()
 	}
 }
--- a/engine.go
+++ b/engine.go
@@ -115,7 +115,7 @@
 		j.shared.seq++
 		return &j.shared.chunk
 	}
-	c := &j.chunks[index/store.ChunkTasks]
+	c := &j.chunks[index/store.TasksPerChunk]
 	c.seq++
 	return c
 }
@@ -309,7 +309,7 @@
 	if err != nil {
 		return err
 	}
-	if record.Over == nil {
+	if record.Final == nil {
 		g.addRecord(record, stamp, now)
 	}
 	return nil
@@ -327,9 +327,9 @@
 	}
 	delete(g.lookups, s.UID)
 	priority, _ := wire.ParsePriority(s.Priority)
-	j := &job{uid: s.UID, spec: s, priority: priority, stamp: stamp, at: record.AtUS, seen: now, order: record.AtUS,
+	j := &job{uid: s.UID, spec: s, priority: priority, stamp: stamp, at: record.AcceptedUS, seen: now, order: record.AcceptedUS,
 		tasks: make([]task, s.Tasks), waiting: make([]int, s.Tasks),
-		chunks: make([]chunk, (s.Tasks+store.ChunkTasks-1)/store.ChunkTasks)}
+		chunks: make([]chunk, (s.Tasks+store.TasksPerChunk-1)/store.TasksPerChunk)}
 	for i := range j.waiting {
 		j.waiting[i] = i
 		j.tasks[i].listed = true
@@ -574,7 +574,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.heard = now
-	token, may := g.el.MayAnswer()
+	token, may := g.el.MayAnswerHeartbeats()
 	if !may || !g.loaded {
 		return wire.HeartbeatResponse{}, false
 	}
--- a/engine_test.go
+++ b/engine_test.go
@@ -301,7 +301,7 @@
 	if got := w.Starts(); len(got) != 2 {
 		t.Errorf("started %v, want each task once", got)
 	}
-	if keys := s.state.Keys(store.PrefixRuns); len(keys) != 0 {
+	if keys := s.state.Keys(store.PrefixAttempts); len(keys) != 0 {
 		t.Errorf("records left: %v", keys)
 	}
 }
@@ -531,7 +531,7 @@
 	if got := w.Live(); len(got) != 0 {
 		t.Fatalf("still on the machine: %v", got)
 	}
-	if keys := s.state.Keys(store.PrefixRuns); len(keys) != 0 {
+	if keys := s.state.Keys(store.PrefixAttempts); len(keys) != 0 {
 		t.Errorf("records left: %v", keys)
 	}
 }
@@ -688,8 +688,8 @@
 	g, _ := s.elect(n)
 	s.submit(n, spec("j-1", nil))
 	s.state.Forget()
-	if _, err := n.st.Changes(t.Context(), store.PrefixJob, 1, 0); err != store.ErrTooOld {
-		t.Fatalf("error %v, want %v", err, store.ErrTooOld)
+	if _, err := n.st.Watch(t.Context(), store.PrefixJob, 1, 0); err != store.ErrCompacted {
+		t.Fatalf("error %v, want %v", err, store.ErrCompacted)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -763,7 +763,7 @@
 	heartbeat(t, g, s.worker("n-2", "y", true))
 	s.advance(9 * time.Second)
 	g.abdicate(t.Context())
-	if _, ok := n.el.MayAnswer(); !ok {
+	if _, ok := n.el.MayAnswerHeartbeats(); !ok {
 		t.Fatal("gave up after a pause")
 	}
 	s.advance(2 * time.Second)
@@ -786,7 +786,7 @@
 	}
 	s.advance(5 * time.Second)
 	g.abdicate(t.Context())
-	if _, ok := n.el.MayAnswer(); !ok {
+	if _, ok := n.el.MayAnswerHeartbeats(); !ok {
 		t.Fatal("gave up within the time in which a worker may report")
 	}
 	s.advance(time.Second)
@@ -969,8 +969,8 @@
 	s.submit(n, spec("j-1", nil))
 	s.resync(g)
 	sp := spec("j-1", nil)
-	over := store.Over(&sp, wire.JobDone, "earlier")
-	rec := store.JobRecord{Spec: wire.Spec{UID: "j-1"}, Over: &over}
+	over := store.NewFinalRecord(&sp, wire.JobDone, "earlier")
+	rec := store.JobRecord{Spec: wire.Spec{UID: "j-1"}, Final: &over}
 	if _, err := n.st.Commit(t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey("j-1"), Value: rec}}}); err != nil {
 		t.Fatal(err)
 	}
--- a/fleetsize.go
+++ b/fleetsize.go
@@ -89,7 +89,7 @@
 	// Kept durably, so that any node and any later leader can judge submissions
 	// while the cloud does not answer.
 	epoch, err := g.st.Commit(ctx, store.Urgent, wire.Txn{
-		Conditions: []wire.Condition{{Key: store.KeyLead, ModRevision: g.r.Stamp}},
+		Conditions: []wire.Condition{{Key: store.KeyLead, ModRevision: g.r.Revision}},
 		Operations: []wire.Operation{{Set: store.KeyCatalog, Value: cat}},
 	})
 	if err != nil {
@@ -544,7 +544,7 @@
 	g.mu.Lock()
 	now := g.ck.Now()
 	due := now-g.rateAt > 10*clock.Second && g.rate.Cores > 0
-	rec := store.DemandRecord{Cores: g.rate.Cores, RAM: g.rate.RAM, Accel: g.rate.Accel, Classes: map[string][2]int64{}}
+	rec := store.DemandRecord{Cores: g.rate.Cores, RAM: g.rate.RAM, Accelerators: g.rate.Accel, Classes: map[string][2]int64{}}
 	for class, st := range g.classes {
 		if len(rec.Classes) < 50 {
 			rec.Classes[class] = [2]int64{int64(st.n), int64(st.sum)}
@@ -558,7 +558,7 @@
 		return
 	}
 	if _, err := g.st.Commit(ctx, store.Normal, wire.Txn{
-		Conditions: []wire.Condition{{Key: store.KeyLead, ModRevision: g.r.Stamp}},
+		Conditions: []wire.Condition{{Key: store.KeyLead, ModRevision: g.r.Revision}},
 		Operations: []wire.Operation{{Set: store.KeyDemand, Value: rec}},
 	}); err != nil {
 		g.log.Debug("keep demand", "error", err)
@@ -568,7 +568,7 @@
 // resize decides and carries out one sizing pass.
 func (g *term) resize(ctx context.Context) {
 	g.mu.Lock()
-	if _, may := g.el.MayOrder(); !may || len(g.catalog.MachineTypes) == 0 {
+	if _, may := g.el.HoldsLease(); !may || len(g.catalog.MachineTypes) == 0 {
 		g.mu.Unlock()
 		return
 	}
@@ -748,7 +748,7 @@
 // it is decided; their bookings are freed only by the cloud's 200.
 func (g *term) giveBack(ctx context.Context, names []string) {
 	// Judged before this process stood still, perhaps: a successor may use them.
-	if _, may := g.el.MayOrder(); !may {
+	if _, may := g.el.HoldsLease(); !may {
 		return
 	}
 	if err := g.cl.Return(ctx, names); err != nil {
@@ -781,7 +781,7 @@
 	var hosts []string
 	var err error
 	for try := 0; try < 3; try++ {
-		if _, may := g.el.MayOrder(); !may {
+		if _, may := g.el.HoldsLease(); !may {
 			err = errLate
 			break
 		}
--- a/gap_test.go
+++ b/gap_test.go
@@ -100,10 +100,10 @@
 	}
 	s.state.Refuse("", true)
 	s.advance(8 * time.Second) // the lease of the leader may have lapsed
-	if _, may := nodes[0].el.MayOrder(); may {
+	if _, may := nodes[0].el.HoldsLease(); may {
 		t.Fatal("the leader still has its lease")
 	}
-	if _, may := nodes[0].el.MayAnswer(); !may {
+	if _, may := nodes[0].el.MayAnswerHeartbeats(); !may {
 		t.Fatal("all attest the outage, and the leader answers no heartbeats")
 	}
 	heartbeat(t, g, w)
@@ -161,7 +161,7 @@
 		t.Run(name, func(t *testing.T) {
 			s, nodes, g, _ := gap(t)
 			s.first = nodes[0]
-			o := peer.Outage{Asked: true, Lead: g.r.Stamp, Epoch: g.knows()}
+			o := peer.Outage{Asked: true, Lead: g.r.Revision, Epoch: g.knows()}
 			s.state.Refuse("", true)
 			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: o}); !r.Word.Attests {
 				t.Fatal("does not attest though it can vouch")
@@ -189,7 +189,7 @@
 	s, nodes, g, _ := gap(t)
 	since := g.knows()
 	named := func(n *Service) []string {
-		uids, whole := n.users.Cancels.Since(since, n.st.First())
+		uids, whole := n.users.Cancels.Since(since, n.st.FirstRevision())
 		if !whole {
 			t.Fatalf("%s can't vouch", n.cfg.Node)
 		}
@@ -206,7 +206,7 @@
 	s.submit(nodes[1], spec("j-3", nil))
 	s.state.Refuse(nodes[0].cfg.Node, true)
 	for nodes[0].st.Failing() == false {
-		nodes[0].st.Probe(t.Context(), 1_000_000)
+		nodes[0].st.Refused(t.Context(), 1_000_000)
 	}
 	s.abort(nodes[0], "j-3") // passed on
 	if got := named(nodes[0]); len(got) != 1 || got[0] != "j-3" || nodes[0].users.Cancels.Epoch("j-3") == 0 {
@@ -294,7 +294,7 @@
 			s.abort(other, "j-1")
 			spell(s, n, g)
 			s.advance(2 * time.Second)
-			if _, may := n.el.MayOrder(); !may {
+			if _, may := n.el.HoldsLease(); !may {
 				t.Fatal("the lead was lost")
 			}
 			g.mu.Lock()
@@ -340,7 +340,7 @@
 		}
 	}
 	live(limit)
-	if _, may := n.el.MayOrder(); !may {
+	if _, may := n.el.HoldsLease(); !may {
 		t.Fatal("gave up too early")
 	}
 	live(2 * time.Second)
@@ -386,7 +386,7 @@
 	s.settle(g)
 	s.state.Refuse("", true)
 	s.advance(8 * time.Second)
-	if _, may := nodes[0].el.MayOrder(); may {
+	if _, may := nodes[0].el.HoldsLease(); may {
 		t.Fatal("the leader still has its lease")
 	}
 	heartbeat(t, g, w)
--- a/lead/lead_test.go
+++ b/lead/lead_test.go
@@ -34,15 +34,15 @@
 	b := &bench{clk: clk, state: standin.NewState(clk), term: make(chan Term, 4), ended: make(chan struct{}, 4)}
 	srv := httptest.NewServer(b.state.Handler("a"))
 	t.Cleanup(srv.Close)
-	st := store.New(strings.TrimPrefix(srv.URL, "http://"), config.State{RPS: 1000, WriteRPS: 1000, TxnOps: 24, ValueKB: 8}, 1)
+	client := store.New(strings.TrimPrefix(srv.URL, "http://"), config.State{RPS: 1000, WriteRPS: 1000, TxnOps: 24, ValueKB: 8}, 1)
 	op, err := config.LoadOperator("")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.el = New("a", st, clock.New(clk), op, func(context.Context) bool {
+	b.el = New("a", client, clock.New(clk), op, func(context.Context) bool {
 		b.asked.Add(1)
 		if b.slow.Load() {
-			clk.Advance(2 * AttestSpan.Duration())
+			clk.Advance(2 * AttestationTTL.Duration())
 		}
 		return b.all.Load()
 	}, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -78,12 +78,12 @@
 func TestRefusedAloneStepsAside(t *testing.T) {
 	b := start(t)
 	b.step(t, 10*time.Second)
-	if _, ok := b.el.MayOrder(); !ok {
+	if _, ok := b.el.HoldsLease(); !ok {
 		t.Fatal("lost a lease that was renewed")
 	}
 	b.state.Refuse("a", true)
 	b.step(t, 6*time.Second)
-	if _, ok := b.el.MayAnswer(); ok {
+	if _, ok := b.el.MayAnswerHeartbeats(); ok {
 		t.Error("answers heartbeats after its lease may have lapsed, though others are served")
 	}
 	if b.asked.Load() == 0 {
@@ -96,31 +96,31 @@
 	b.all.Store(true)
 	b.state.Refuse("", true)
 	b.step(t, 30*time.Second)
-	if _, ok := b.el.MayAnswer(); !ok {
+	if _, ok := b.el.MayAnswerHeartbeats(); !ok {
 		t.Error("does not answer heartbeats though all are refused")
 	}
-	if _, ok := b.el.MayOrder(); ok {
+	if _, ok := b.el.HoldsLease(); ok {
 		t.Error("orders something new without a lease")
 	}
 	// One of the others is served again: nobody knows what it may do.
 	b.all.Store(false)
 	b.step(t, 2*time.Second)
-	if _, ok := b.el.MayAnswer(); ok {
+	if _, ok := b.el.MayAnswerHeartbeats(); ok {
 		t.Error("answers heartbeats after another was no longer refused")
 	}
 	b.state.Refuse("", false)
 	b.step(t, time.Second)
-	if _, ok := b.el.MayOrder(); !ok {
+	if _, ok := b.el.HoldsLease(); !ok {
 		t.Error("does not order after the outage, though its lease had its full time again")
 	}
 }
 
 func TestRaise(t *testing.T) {
 	b := start(t)
-	before, _ := b.el.MayOrder()
+	before, _ := b.el.HoldsLease()
 	// The answer is lost, but the write was done: it is recognised, not repeated.
 	b.state.LoseAnswers(1)
-	got, err := b.el.Raise(t.Context())
+	got, err := b.el.RaiseToken(t.Context())
 	if err != nil || got != before+1 {
 		t.Fatalf("raised to %d, %v; want %d", got, err, before+1)
 	}
@@ -138,7 +138,7 @@
 	b.all.Store(true)
 	b.state.Refuse("", true)
 	b.step(t, 6*time.Second)
-	if _, ok := b.el.MayAnswer(); ok {
+	if _, ok := b.el.MayAnswerHeartbeats(); ok {
 		t.Error("answers heartbeats on an attestation that was asked for longer ago than it holds")
 	}
 }
@@ -147,20 +147,20 @@
 // so itself: whoever can lead takes a free lead at once.
 func TestNobodyTakesTheLead(t *testing.T) {
 	b := start(t)
-	b.el.Abdicate()
+	b.el.Resign()
 	<-b.ended
 	began := b.clk.Now()
 	for {
 		select {
 		case <-b.term:
 			waited := b.clk.Now().Sub(began)
-			if waited < unclaimedAfter.Duration() || waited >= rest.Duration() {
+			if waited < maxVacancy.Duration() || waited >= resignCooldown.Duration() {
 				t.Errorf("it leads again after %v", waited)
 			}
 			return
 		default:
 		}
-		if b.clk.Now().Sub(began) > rest.Duration() {
+		if b.clk.Now().Sub(began) > resignCooldown.Duration() {
 			t.Fatal("nobody leads, and it waits on")
 		}
 		b.step(t, 100*time.Millisecond)
@@ -170,10 +170,10 @@
 // As long as another leads, and for a moment after that, a node that has given the lead up rests.
 func TestRestsWhileAnotherLeads(t *testing.T) {
 	b := start(t)
-	b.el.Abdicate()
+	b.el.Resign()
 	b.step(t, 2*time.Second)
 	b.el.mu.Lock()
-	b.el.leader, b.el.seenAt, b.el.freeFrom = "b", b.el.ck.Now(), 0 // as when another's key is seen
+	b.el.leader, b.el.seenAt, b.el.vacantSince = "b", b.el.clock.Now(), 0 // as when another's key is seen
 	b.el.mu.Unlock()
 	b.step(t, 2*time.Second)
 	select {
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -385,9 +385,9 @@
 		t.Fatalf("abort: %d", code)
 	}
 	s.resync(g)
-	before, _ := n.el.MayOrder()
+	before, _ := n.el.HoldsLease()
 	s.state.DelayNext()
-	if _, err := n.el.Raise(t.Context()); err == nil {
+	if _, err := n.el.RaiseToken(t.Context()); err == nil {
 		t.Fatal("raised without an answer")
 	}
 	s.state.Deliver()
@@ -396,11 +396,11 @@
 		heartbeat(t, g, w)
 		s.settle(g)
 	}
-	if now, _ := n.el.MayOrder(); now <= before {
+	if now, _ := n.el.HoldsLease(); now <= before {
 		t.Errorf("the token is still %d", now)
 	}
 	var rec store.TokenRecord
-	if now, _ := n.el.MayOrder(); !s.state.Value(store.KeyToken, &rec) || rec.Token != now {
+	if now, _ := n.el.HoldsLease(); !s.state.Value(store.KeyToken, &rec) || rec.Token != now {
 		t.Errorf("the leader's token is %d, on record is %d", now, rec.Token)
 	}
 	g.mu.Lock()
@@ -588,7 +588,7 @@
 				if startsOf(ws, "j-1") != pieces || startsOf(ws, "j-2") != pieces || startsOf(ws, "j-3") != 1 {
 					t.Errorf("starts %v", w.Starts())
 				}
-				if left := s.state.Keys(store.PrefixRuns + "j-2"); len(left) != 0 {
+				if left := s.state.Keys(store.PrefixAttempts + "j-2"); len(left) != 0 {
 					t.Errorf("records left: %v", left)
 				}
 			})
@@ -792,7 +792,7 @@
 	}
 	return map[string]int{"jobs": len(g.jobs), "dirty": len(g.dirty), "lazy": len(g.lazy), "queue": len(g.queue), "untidy": len(g.untidy), "finalMoves": len(g.finalMoves),
 		"bookings": bookings, "unfinished jobs": len(s.state.Keys(store.PrefixJob)), "shared records": len(s.state.Keys(store.PrefixShared)),
-		"rows": rows, "records": len(s.state.Keys(store.PrefixRuns))}
+		"rows": rows, "records": len(s.state.Keys(store.PrefixAttempts))}
 }
 
 // Jobs of one task come four a second for minutes, a quarter of them cancelled at
@@ -1086,7 +1086,7 @@
 			s.resync(g)
 			s.settle(g)
 			s.told(first+" first, not "+other, s.asks(append(nodes, s.node(nil)), "j-1", true), want)
-			if left := append(s.state.Keys(store.PrefixRuns), s.state.Keys(store.PrefixJob)...); len(left) != 0 {
+			if left := append(s.state.Keys(store.PrefixAttempts), s.state.Keys(store.PrefixJob)...); len(left) != 0 {
 				t.Errorf("%s first: left %v", first, left)
 			}
 		}
@@ -1409,7 +1409,7 @@
 			if err := s.clk.BlockUntilContext(t.Context(), 1); err != nil {
 				t.Fatal(err)
 			}
-			if _, ok := a.el.MayAnswer(); ok {
+			if _, ok := a.el.MayAnswerHeartbeats(); ok {
 				t.Error("answers workers under a lead that it does not know to have")
 			}
 			s.clk.Advance(500 * time.Millisecond)
@@ -1420,10 +1420,10 @@
 				t.Fatalf("leads under %d, on record are %d, %d before, and %q", r.Token, token(), before, key.Node)
 			}
 			tr.set(s.state)
-			if _, err := a.el.Raise(t.Context()); (err == nil) != (tr.name == "answer lost") {
+			if _, err := a.el.RaiseToken(t.Context()); (err == nil) != (tr.name == "answer lost") {
 				t.Errorf("raise: %v", err)
 			}
-			if now, ok := a.el.MayAnswer(); !ok || now != token() {
+			if now, ok := a.el.MayAnswerHeartbeats(); !ok || now != token() {
 				t.Errorf("answers under %d, on record is %d", now, token())
 			}
 			cancel()
--- a/model_test.go
+++ b/model_test.go
@@ -1027,7 +1027,7 @@
 func (w *world) leader() int {
 	for i := range 3 {
 		if p := w.running(fmt.Sprintf("node-%d", i+1)); p != nil {
-			if _, ok := p.el.MayOrder(); ok {
+			if _, ok := p.el.HoldsLease(); ok {
 				return i
 			}
 		}
@@ -1373,7 +1373,7 @@
 	}
 	rec, token := store.TokenRecord{}, uint64(0)
 	w.state.Value(store.KeyToken, &rec)
-	token, _ = g.el.MayOrder()
+	token, _ = g.el.HoldsLease()
 	text += fmt.Sprintf("token %d, on record %d; ", token, rec.Token)
 	for _, m := range g.fl.Machines() {
 		text += fmt.Sprintf("\n%s %s %s cores %v banned %q cordoned %v usable %v tally %d token %d unheard %d;", m.Name, m.Build, m.Zone, m.UsedCores, m.Banned, m.Cordoned,
--- a/record.go
+++ b/record.go
@@ -53,7 +53,7 @@
 type finalMove struct {
 	uid    string
 	stamp  uint64
-	rec    store.OverRecord
+	rec    store.FinalRecord
 	shared *sharedRecord // with a row of it, if any
 }
 
@@ -64,7 +64,7 @@
 func (g *term) joinShared(j *job) {
 	if g.shared == nil || g.closed(g.shared) {
 		g.sharedCount++
-		g.shared = &sharedRecord{key: store.SharedKey(g.r.Stamp, g.sharedCount)}
+		g.shared = &sharedRecord{key: store.SharedKey(g.r.Revision, g.sharedCount)}
 	}
 	j.shared = g.shared
 	j.shared.n++
@@ -74,7 +74,7 @@
 // closed tells whether a shared record takes no more jobs: its first write is
 // conditional on each of them.
 func (g *term) closed(s *sharedRecord) bool {
-	return s != g.shared || s.n >= min(store.SharedJobs, 4*g.cfg.Facts.State.TxnOps-8)
+	return s != g.shared || s.n >= min(store.JobsPerSharedRecord, 4*g.cfg.Facts.State.TxnOps-8)
 }
 
 // leaveShared takes a job of which nothing may be anywhere any more out of its
@@ -135,9 +135,9 @@
 		g.dirty[uid] = true
 	}
 	g.seq++
-	w := &write{nonce: fmt.Sprintf("%d.%d", g.r.Stamp, g.seq), sharedRecords: map[*sharedRecord]bool{}}
-	w.txn.Conditions = []wire.Condition{{Key: store.KeyLead, ModRevision: g.r.Stamp}}
-	spare, all := max(atLeast, g.st.Spare()), g.cfg.Facts.State.TxnOps
+	w := &write{nonce: fmt.Sprintf("%d.%d", g.r.Revision, g.seq), sharedRecords: map[*sharedRecord]bool{}}
+	w.txn.Conditions = []wire.Condition{{Key: store.KeyLead, ModRevision: g.r.Revision}}
+	spare, all := max(atLeast, g.st.SpareWrites()), g.cfg.Facts.State.TxnOps
 	if g.careful > 0 {
 		g.careful--
 		spare, all = 1, 1
@@ -203,10 +203,10 @@
 
 func (g *term) collectChunk(w *write, j *job, n int) {
 	c := &j.chunks[n]
-	base := n * store.ChunkTasks
-	end := min(base+store.ChunkTasks, len(j.tasks))
+	base := n * store.TasksPerChunk
+	end := min(base+store.TasksPerChunk, len(j.tasks))
 	done := make([]bool, end-base)
-	var runs []store.Placed
+	var runs []store.TaskAttempt
 	wr := written{c: c, key: store.ChunkKey(j.uid, n), j: j, seq: c.seq, ended: c.ending}
 	c.ending = nil
 	for i := base; i < end; i++ {
@@ -215,16 +215,16 @@
 		case pc.state == taskDone:
 			done[i-base] = true
 		case pc.booking != nil:
-			runs = append(runs, store.Placed{Index: i - base, Attempt: pc.attempt, Host: pc.booking.Machine.Name, Session: pc.booking.Session})
+			runs = append(runs, store.TaskAttempt{Index: i - base, Attempt: pc.attempt, Machine: pc.booking.Machine.Name, Incarnation: pc.booking.Session})
 			if !pc.booking.Recorded {
 				wr.recorded = append(wr.recorded, pc.booking)
 			}
 		case pc.attempt > 0:
-			runs = append(runs, store.Placed{Index: i - base, Attempt: pc.attempt})
+			runs = append(runs, store.TaskAttempt{Index: i - base, Attempt: pc.attempt})
 		}
 	}
 	w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: wr.key, ModRevision: c.stamp})
-	w.txn.Operations = append(w.txn.Operations, wire.Operation{Set: wr.key, Value: store.Pack(w.nonce, done, runs)})
+	w.txn.Operations = append(w.txn.Operations, wire.Operation{Set: wr.key, Value: store.NewChunkRecord(w.nonce, done, runs)})
 	w.chunks = append(w.chunks, wr)
 	w.size += 200 + 36*len(runs)
 }
@@ -243,7 +243,7 @@
 		pc := &j.tasks[0]
 		switch {
 		case pc.booking != nil:
-			rec.Rows = append(rec.Rows, store.SharedRow{UID: j.uid, Attempt: pc.attempt, Host: pc.booking.Machine.Name, Session: pc.booking.Session})
+			rec.Rows = append(rec.Rows, store.SharedRow{UID: j.uid, Attempt: pc.attempt, Machine: pc.booking.Machine.Name, Incarnation: pc.booking.Session})
 			if !pc.booking.Recorded && !j.cancelled {
 				wr.recorded = append(wr.recorded, pc.booking)
 				when = append(when, wire.Condition{Key: store.JobKey(j.uid), ModRevision: j.stamp})
@@ -272,10 +272,10 @@
 // collectOver calls a job done, in its own record: one change, however many
 // come at a time. It moves to its final place later.
 func (g *term) collectOver(w *write, j *job) {
-	rec := store.Over(&j.spec, wire.JobDone, w.nonce)
+	rec := store.NewFinalRecord(&j.spec, wire.JobDone, w.nonce)
 	w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(j.uid), ModRevision: j.stamp})
 	w.txn.Operations = append(w.txn.Operations, wire.Operation{Set: store.JobKey(j.uid),
-		Value: store.JobRecord{Spec: wire.Spec{UID: j.uid}, AtUS: j.at, Over: &rec}})
+		Value: store.JobRecord{Spec: wire.Spec{UID: j.uid}, AcceptedUS: j.at, Final: &rec}})
 	w.over = append(w.over, j)
 	w.size += 300
 }
@@ -291,8 +291,8 @@
 // collectMoves moves jobs that are done to their final place, and writes the
 // records again that hold rows of them, when nothing else is to be recorded.
 func (g *term) collectMoves(w *write) {
-	spare := min(g.cfg.Facts.State.TxnOps, g.st.Spare())
-	if (spare < min(finalMovesAt, g.cfg.Facts.State.TxnOps) || g.st.Pressed()) && len(g.finalMoves) < manyFinalMoves {
+	spare := min(g.cfg.Facts.State.TxnOps, g.st.SpareWrites())
+	if (spare < min(finalMovesAt, g.cfg.Facts.State.TxnOps) || g.st.Overloaded()) && len(g.finalMoves) < manyFinalMoves {
 		return
 	}
 	for len(g.finalMoves) > 0 && len(w.txn.Operations)+3 <= max(3, spare) && len(w.txn.Conditions) < 3*g.cfg.Facts.State.TxnOps {
@@ -307,7 +307,7 @@
 			delete(g.untidy, f.shared)
 		}
 		w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(f.uid), ModRevision: f.stamp})
-		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: store.JobKey(f.uid)}, wire.Operation{Set: store.OverKey(f.uid), Value: f.rec})
+		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: store.JobKey(f.uid)}, wire.Operation{Set: store.FinalKey(f.uid), Value: f.rec})
 		w.moved = append(w.moved, f)
 	}
 	for s := range g.untidy {
@@ -414,7 +414,7 @@
 		}
 	}
 	for _, j := range w.over {
-		g.finalMoves = append(g.finalMoves, &finalMove{uid: j.uid, stamp: epoch, rec: store.Over(&j.spec, wire.JobDone, w.nonce), shared: j.shared})
+		g.finalMoves = append(g.finalMoves, &finalMove{uid: j.uid, stamp: epoch, rec: store.NewFinalRecord(&j.spec, wire.JobDone, w.nonce), shared: j.shared})
 		if j.result != nil {
 			j.result.Settled = true
 		}
@@ -461,8 +461,8 @@
 		if c.seq == c.saved || c.unreadable > 0 {
 			continue
 		}
-		base := n * store.ChunkTasks
-		for i := base; i < min(base+store.ChunkTasks, len(j.tasks)); i++ {
+		base := n * store.TasksPerChunk
+		for i := base; i < min(base+store.TasksPerChunk, len(j.tasks)); i++ {
 			if b := j.tasks[i].booking; b != nil && !b.Recorded {
 				g.dirty[j.uid] = true
 				return
@@ -496,8 +496,8 @@
 		uid, isJob := strings.CutPrefix(key, store.PrefixJob)
 		row, found, err := g.look(ctx, key)
 		var mark struct {
-			Nonce string            `msgpack:"w"`
-			Over  *store.OverRecord `msgpack:"o"`
+			Nonce string             `msgpack:"w"`
+			Over  *store.FinalRecord `msgpack:"o"`
 		}
 		if err == nil && found {
 			err = wire.Unmarshal(row.Value, &mark)
--- a/recover.go
+++ b/recover.go
@@ -50,7 +50,7 @@
 // bookings until it reports or its lease must have run out.
 func (g *term) load(ctx context.Context) (epoch uint64, err error) {
 	began, spell := g.ck.Now(), g.spell()
-	_, held := g.el.MayOrder()
+	_, held := g.el.HoldsLease()
 	records, err := g.readRecords(ctx, g.st)
 	if err != nil {
 		return 0, err
@@ -100,13 +100,13 @@
 // now on.
 func (g *term) predecessorsLease() clock.Micros {
 	lease := clock.FromSeconds(g.cfg.Facts.Workers.LeaseS)
-	return (lease + lead.AttestSpan).Stretch(clock.Drift) + clock.Second
+	return (lease + lead.AttestationTTL).Stretch(clock.Drift) + clock.Second
 }
 
 // takeFleet takes in the machine types and the rate of work. The caller holds mu.
 func (g *term) takeFleet(records *recovery.Records) {
 	if demand := records.Demand; demand != nil {
-		g.seeded = cloud.Load{Cores: demand.Cores, RAM: demand.RAM, Accel: demand.Accel}
+		g.seeded = cloud.Load{Cores: demand.Cores, RAM: demand.RAM, Accel: demand.Accelerators}
 		for class, v := range demand.Classes {
 			if v[0] > 0 && v[1] > 0 {
 				g.classes[class] = runStat{n: int(v[0]), sum: clock.Micros(v[1])}
@@ -140,7 +140,7 @@
 		j = g.jobs[row.UID]
 	case recovery.JobOver:
 		j = g.overJob(records, row.UID)
-		for len(j.tasks) < (row.Number+1)*store.ChunkTasks {
+		for len(j.tasks) < (row.Number+1)*store.TasksPerChunk {
 			j.tasks = append(j.tasks, task{})
 		}
 	default:
@@ -150,10 +150,10 @@
 		j.chunks = append(j.chunks, chunk{})
 	}
 	j.chunks[row.Number].stamp = row.Stamp
-	base := row.Number * store.ChunkTasks
+	base := row.Number * store.TasksPerChunk
 	done := records.Over[row.UID].Status == wire.JobDone // it has ended wherever it was
 	if row.Unreadable && !done {
-		for i := base; i < min(base+store.ChunkTasks, j.size()); i++ {
+		for i := base; i < min(base+store.TasksPerChunk, j.size()); i++ {
 			g.hide(j, i, row.Stamp)
 		}
 		return
@@ -184,12 +184,12 @@
 	if row.Unreadable {
 		return
 	}
-	s := &sharedRecord{key: row.Key, n: store.SharedJobs}
+	s := &sharedRecord{key: row.Key, n: store.JobsPerSharedRecord}
 	s.stamp = row.Stamp
 	for _, r := range row.Record.Rows {
 		j := g.jobs[r.UID]
 		// A job that is done has ended wherever it was.
-		if j == nil && records.States[r.UID] == recovery.JobOver && r.Host != "" && records.Over[r.UID].Status != wire.JobDone {
+		if j == nil && records.States[r.UID] == recovery.JobOver && r.Machine != "" && records.Over[r.UID].Status != wire.JobDone {
 			j = g.overJob(records, r.UID)
 			j.tasks = make([]task, 1)
 		}
@@ -203,7 +203,7 @@
 		}
 		j.shared = s
 		s.jobs = append(s.jobs, j)
-		g.adopt(j, 0, store.Placed{Attempt: r.Attempt, Host: r.Host, Session: r.Session}, now)
+		g.adopt(j, 0, store.TaskAttempt{Attempt: r.Attempt, Machine: r.Machine, Incarnation: r.Incarnation}, now)
 	}
 	if s.seq > 0 || len(s.jobs)+len(s.kept) == 0 {
 		s.seq++
@@ -214,7 +214,7 @@
 // takeUnreadableShared takes in a shared record that can't be decoded: every job of one task of
 // which no other record names an attempt may be in it. The caller holds mu.
 func (g *term) takeUnreadableShared(row recovery.SharedRow) {
-	s := &sharedRecord{key: row.Key, n: store.SharedJobs}
+	s := &sharedRecord{key: row.Key, n: store.JobsPerSharedRecord}
 	s.stamp = row.Stamp
 	s.seq++
 	g.unreadableShared = append(g.unreadableShared, s)
@@ -248,19 +248,19 @@
 }
 
 // adopt takes in an attempt that a predecessor recorded. The caller holds mu.
-func (g *term) adopt(j *job, index int, p store.Placed, now clock.Micros) {
+func (g *term) adopt(j *job, index int, p store.TaskAttempt, now clock.Micros) {
 	pc := &j.tasks[index]
 	pc.attempt, pc.ran = p.Attempt, true
 	j.started = true
-	if p.Host == "" {
+	if p.Machine == "" {
 		return
 	}
-	m := g.fl.Ensure(p.Host, now)
+	m := g.fl.Ensure(p.Machine, now)
 	g.unheard[m] = true
 	m.LeaseEnd = max(m.LeaseEnd, now+g.predecessorsLease())
 	g.progress.Await(m.Name, m.LeaseEnd)
 	b := g.booking(j, index, p.Attempt)
-	b.Session = p.Session
+	b.Session = p.Incarnation
 	g.fl.Adopt(m, b, now)
 	if j.cancelled {
 		g.fl.Stop(b, 0, now)
@@ -269,8 +269,8 @@
 }
 
 // leftOf is what the tasks of a job that is over take, where some are left.
-func leftOf(uid string, rec *store.OverRecord) wire.Spec {
-	return wire.Spec{UID: uid, Team: rec.Owner, Cores: rec.Cores, Accelerators: rec.Accel, RAM: rec.RAM, Tasks: rec.Tasks}
+func leftOf(uid string, rec *store.FinalRecord) wire.Spec {
+	return wire.Spec{UID: uid, Team: rec.Team, Cores: rec.Cores, Accelerators: rec.Accelerators, RAM: rec.RAM, Tasks: rec.Tasks}
 }
 
 // unreadableAttempts is where the attempts of a task are numbered from whose record can't be
@@ -305,7 +305,7 @@
 }
 
 // chunkOf is the record that a task's attempts belong to when they share none.
-func (j *job) chunkOf(index int) *chunk { return &j.chunks[index/store.ChunkTasks] }
+func (j *job) chunkOf(index int) *chunk { return &j.chunks[index/store.TasksPerChunk] }
 
 // adoptShown takes onto the books what a machine shows of tasks whose record can't be
 // decoded. A report may be an old copy, so only one of a machine that has shown this leader's
@@ -394,7 +394,7 @@
 		return false
 	}
 	g.log.Info("the record of a job can be used again: giving leadership up, so that all records are read anew", "job", uid)
-	go g.el.Abdicate()
+	go g.el.Resign()
 	return true
 }
 
@@ -528,14 +528,14 @@
 // lookUp reads where a job is: among the unfinished ones first, since a job leaves them
 // for the final states in one transaction. It counts only under the leader's lease.
 func (g *term) lookUp(ctx context.Context, uid string) error {
-	if _, held := g.el.MayOrder(); !held {
+	if _, held := g.el.HoldsLease(); !held {
 		return errLate
 	}
 	state, row, err := recovery.ReadJob(ctx, g.st, uid)
 	if err != nil {
 		return err
 	}
-	if _, held := g.el.MayOrder(); !held {
+	if _, held := g.el.HoldsLease(); !held {
 		return errLate
 	}
 	now := g.ck.Now()
@@ -611,7 +611,7 @@
 // recoveryReport tells operators how far the recovery is; false where this controller does
 // not know, because its lease as leader is not there.
 func (g *term) recoveryReport() (r recovery.Report, known bool) {
-	if _, may := g.el.MayOrder(); !may {
+	if _, may := g.el.HoldsLease(); !may {
 		return r, false
 	}
 	g.mu.Lock()
--- a/recover_test.go
+++ b/recover_test.go
@@ -123,7 +123,7 @@
 func TestTaskOfAJobThatIsOverIsStopped(t *testing.T) {
 	s, n, g, w := alone(t)
 	over := spec("j-9", nil)
-	s.write(n, store.OverKey("j-9"), store.Over(&over, wire.JobCancelled, "earlier"))
+	s.write(n, store.FinalKey("j-9"), store.NewFinalRecord(&over, wire.JobCancelled, "earlier"))
 	runsBy(w, g.r.Token, "j-9/0", 3)
 	runsBy(w, g.r.Token, "j-8/0", 1)
 	heartbeat(t, g, w)
@@ -134,7 +134,7 @@
 	}
 	// The leader sees neither the submission nor the cancel: it looks again by itself.
 	sp := spec("j-8", nil)
-	s.write(n, store.OverKey("j-8"), store.Over(&sp, wire.JobCancelled, "later"))
+	s.write(n, store.FinalKey("j-8"), store.NewFinalRecord(&sp, wire.JobCancelled, "later"))
 	s.pass(g, []*standin.Worker{w}, int(lookAgain/clock.Second)+2)
 	s.lookUps(g)
 	s.settle(g)
--- a/recovery/lookup.go
+++ b/recovery/lookup.go
@@ -21,12 +21,12 @@
 		switch {
 		case err != nil:
 			return JobUnreadable, row, nil
-		case record.Over != nil:
+		case record.Final != nil:
 			return JobOver, row, nil
 		}
 		return JobActive, row, nil
 	}
-	_, found, err = source.Get(ctx, store.Urgent, store.OverKey(uid))
+	_, found, err = source.Get(ctx, store.Urgent, store.FinalKey(uid))
 	if err != nil {
 		return JobNotRead, row, fmt.Errorf("final state of %s: %w", uid, err)
 	}
--- a/recovery/records.go
+++ b/recovery/records.go
@@ -42,11 +42,11 @@
 type SettledRow struct {
 	UID    string
 	Stamp  uint64
-	Record store.OverRecord
+	Record store.FinalRecord
 }
 
 // FinalRecord is a job's final state.
-type FinalRecord = store.OverRecord
+type FinalRecord = store.FinalRecord
 
 // ChunkRow is the record of some of a job's tasks.
 type ChunkRow struct {
@@ -55,7 +55,7 @@
 	Stamp      uint64
 	Unreadable bool // it can't be decoded: which attempts there are is not known
 	Done       []bool
-	Runs       []store.Placed
+	Runs       []store.TaskAttempt
 }
 
 // SharedRow is a record that single tasks of many jobs share.
@@ -112,10 +112,10 @@
 		case err != nil:
 			r.States[uid] = JobUnreadable
 			r.damage(Damage{Key: row.Key, Kind: DamageJob, Job: uid, Detail: err.Error()})
-		case record.Over != nil:
+		case record.Final != nil:
 			r.States[uid] = JobOver
-			r.Over[uid] = *record.Over
-			r.Settled = append(r.Settled, SettledRow{UID: uid, Stamp: row.ModRevision, Record: *record.Over})
+			r.Over[uid] = *record.Final
+			r.Settled = append(r.Settled, SettledRow{UID: uid, Stamp: row.ModRevision, Record: *record.Final})
 		default:
 			r.States[uid] = JobActive
 			r.Jobs = append(r.Jobs, JobRow{Key: row.Key, Stamp: row.ModRevision, Record: record})
@@ -133,14 +133,14 @@
 	if store.JobKey(spec.UID) != row.Key || !wire.ValidUID(spec.UID) {
 		return record, fmt.Errorf("record %s: not this job's", row.Key)
 	}
-	if record.Over == nil && (spec.Tasks < 1 || spec.Tasks > wire.MaxTasks) {
+	if record.Final == nil && (spec.Tasks < 1 || spec.Tasks > wire.MaxTasks) {
 		return record, fmt.Errorf("record %s: %d tasks", row.Key, spec.Tasks)
 	}
 	return record, nil
 }
 
 func (r *Records) readChunks(ctx context.Context, source Source) error {
-	rows, _, err := source.List(ctx, store.Urgent, store.PrefixRuns)
+	rows, _, err := source.List(ctx, store.Urgent, store.PrefixAttempts)
 	if err != nil {
 		return fmt.Errorf("attempts: %w", err)
 	}
@@ -155,7 +155,7 @@
 		err := wire.Unmarshal(row.Value, &record)
 		if err == nil {
 			// Bounds that depend on the job are checked when that is known.
-			chunk.Done, chunk.Runs, err = record.Unpack(store.ChunkTasks)
+			chunk.Done, chunk.Runs, err = record.Decode(store.TasksPerChunk)
 		}
 		if err != nil {
 			chunk.Unreadable = true
@@ -223,7 +223,7 @@
 		if r.States[uid] != JobNotRead {
 			continue
 		}
-		row, found, err := source.Get(ctx, store.Urgent, store.OverKey(uid))
+		row, found, err := source.Get(ctx, store.Urgent, store.FinalKey(uid))
 		if err != nil {
 			return fmt.Errorf("final state of %s: %w", uid, err)
 		}
@@ -235,7 +235,7 @@
 		case err != nil:
 			// Whatever it says, a job that has moved there is over.
 			r.States[uid] = JobOver
-			r.damage(Damage{Key: store.OverKey(uid), Kind: DamageFinalState, Job: uid, Detail: err.Error()})
+			r.damage(Damage{Key: store.FinalKey(uid), Kind: DamageFinalState, Job: uid, Detail: err.Error()})
 		default:
 			r.States[uid], r.Over[uid] = JobOver, over
 		}
@@ -266,7 +266,7 @@
 	kept := r.Chunks[:0]
 	for _, chunk := range r.Chunks {
 		n, active := tasks[chunk.UID]
-		left := n - chunk.Number*store.ChunkTasks
+		left := n - chunk.Number*store.TasksPerChunk
 		switch {
 		case !active:
 		case left <= 0:
--- a/recovery/records_test.go
+++ b/recovery/records_test.go
@@ -52,19 +52,19 @@
 }
 
 func job(uid string, tasks int) store.JobRecord {
-	return store.JobRecord{Spec: wire.Spec{UID: uid, Team: "team", Tasks: tasks, Kind: wire.KindBatch}, AtUS: 1, Node: "node-1"}
+	return store.JobRecord{Spec: wire.Spec{UID: uid, Team: "team", Tasks: tasks, Kind: wire.KindBatch}, AcceptedUS: 1, Node: "node-1"}
 }
 
 // someRecords is one whole job of each kind that a leader may find.
 func someRecords(t *testing.T) *records {
 	r := &records{rows: map[string][]byte{}}
 	r.put(t, "j/j-1", job("j-1", 2))
-	r.put(t, "p/j-1/00000", store.Pack("w", []bool{true, false}, []store.Placed{{Index: 1, Attempt: 3, Host: "n-1", Session: 2}}))
+	r.put(t, "p/j-1/00000", store.NewChunkRecord("w", []bool{true, false}, []store.TaskAttempt{{Index: 1, Attempt: 3, Machine: "n-1", Incarnation: 2}}))
 	r.put(t, "j/j-2", job("j-2", 1))
-	done := store.Over(&wire.Spec{Tasks: 1}, wire.JobDone, "w")
-	r.put(t, "j/j-3", store.JobRecord{Spec: wire.Spec{UID: "j-3"}, Over: &done})
-	r.put(t, "f/j-4", store.Over(&wire.Spec{Team: "team", Cores: 2, Tasks: 1}, wire.JobCancelled, "w"))
-	r.put(t, "s/1.1", store.SharedRecord{Rows: []store.SharedRow{{UID: "j-2", Attempt: 1, Host: "n-1", Session: 2}, {UID: "j-4", Attempt: 2, Host: "n-2", Session: 1}}})
+	done := store.NewFinalRecord(&wire.Spec{Tasks: 1}, wire.JobDone, "w")
+	r.put(t, "j/j-3", store.JobRecord{Spec: wire.Spec{UID: "j-3"}, Final: &done})
+	r.put(t, "f/j-4", store.NewFinalRecord(&wire.Spec{Team: "team", Cores: 2, Tasks: 1}, wire.JobCancelled, "w"))
+	r.put(t, "s/1.1", store.SharedRecord{Rows: []store.SharedRow{{UID: "j-2", Attempt: 1, Machine: "n-1", Incarnation: 2}, {UID: "j-4", Attempt: 2, Machine: "n-2", Incarnation: 1}}})
 	r.put(t, "catalog", wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8}}})
 	r.put(t, "demand", store.DemandRecord{Cores: 3})
 	return r
@@ -82,7 +82,7 @@
 	if len(got.Jobs) != 2 || len(got.Settled) != 1 || len(got.Chunks) != 1 || len(got.Shared) != 1 || got.Epoch != 40 {
 		t.Errorf("read %+v", got)
 	}
-	if c := got.Chunks[0]; c.Unreadable || !c.Done[0] || c.Done[1] || len(c.Runs) != 1 || c.Runs[0].Host != "n-1" {
+	if c := got.Chunks[0]; c.Unreadable || !c.Done[0] || c.Done[1] || len(c.Runs) != 1 || c.Runs[0].Machine != "n-1" {
 		t.Errorf("attempts %+v", c)
 	}
 	if got.Over["j-4"].Cores != 2 || got.Catalog == nil || got.Demand == nil || got.Demand.Cores != 3 {
@@ -111,12 +111,12 @@
 		{"a missing job", func(r *records) { delete(r.rows, "j/j-1") }, DamageMissingJob, "j/j-1", func(r *Records) bool { return r.States["j-1"] == JobUnrecorded }},
 		{"attempts", func(r *records) { r.put(t, "p/j-1/00000", torn) }, DamageAttempts, "p/j-1/00000", func(r *Records) bool { return r.Chunks[0].Unreadable }},
 		{"attempts with a row that can't be", func(r *records) {
-			r.put(t, "p/j-1/00000", store.ChunkRecord{Done: "0", Hosts: []string{"n-1"}, Runs: [][]int64{{1, 1, 5, 1}}})
+			r.put(t, "p/j-1/00000", store.ChunkRecord{Done: "0", Machines: []string{"n-1"}, Attempts: [][]int64{{1, 1, 5, 1}}})
 		}, DamageAttempts, "p/j-1/00000", func(r *Records) bool { return r.Chunks[0].Unreadable && len(r.Chunks[0].Runs) == 0 }},
 		{"attempts of tasks that the job lacks", func(r *records) {
-			r.put(t, "p/j-1/00000", store.Pack("w", make([]bool, 5), []store.Placed{{Index: 4, Attempt: 1, Host: "n-1"}}))
+			r.put(t, "p/j-1/00000", store.NewChunkRecord("w", make([]bool, 5), []store.TaskAttempt{{Index: 4, Attempt: 1, Machine: "n-1"}}))
 		}, DamageAttempts, "p/j-1/00000", func(r *Records) bool { return r.Chunks[0].Unreadable && len(r.Chunks[0].Runs) == 0 }},
-		{"attempts beyond the job", func(r *records) { r.put(t, "p/j-1/00003", store.Pack("w", nil, nil)) }, DamageUnknownKey, "p/j-1/00003",
+		{"attempts beyond the job", func(r *records) { r.put(t, "p/j-1/00003", store.NewChunkRecord("w", nil, nil)) }, DamageUnknownKey, "p/j-1/00003",
 			func(r *Records) bool { return len(r.Chunks) == 1 }},
 		{"a strange key among the attempts", func(r *records) { r.put(t, "p/j-1/x", torn) }, DamageUnknownKey, "p/j-1/x", func(r *Records) bool { return len(r.Chunks) == 1 }},
 		{"shared attempts", func(r *records) { r.put(t, "s/1.1", torn) }, DamageShared, "s/1.1", func(r *Records) bool { return r.Shared[0].Unreadable }},
--- a/rules_test.go
+++ b/rules_test.go
@@ -380,7 +380,7 @@
 		t.Fatalf("token %d after %d", ga.r.Token, before.Token)
 	}
 	s.state.Deliver()
-	if got := s.state.Keys(store.PrefixRuns); len(got) != 0 {
+	if got := s.state.Keys(store.PrefixAttempts); len(got) != 0 {
 		t.Errorf("the earlier process's late record was written: %v", got)
 	}
 	heartbeat(t, ga, w)
--- a/service.go
+++ b/service.go
@@ -166,7 +166,7 @@
 	for ctx.Err() == nil {
 		g := newTerm(s, r)
 		s.term.Store(g)
-		s.st.Lead(true)
+		s.st.SetLeading(true)
 		if err := g.run(ctx); err != nil {
 			s.log.Error("leading", "error", err)
 		}
@@ -176,7 +176,7 @@
 		}
 	}
 	s.term.Store(nil)
-	s.st.Lead(len(s.cfg.Others) == 0)
+	s.st.SetLeading(len(s.cfg.Others) == 0)
 }
 
 // Heartbeat implements agent.Steward.
@@ -233,10 +233,10 @@
 // state service refuses it now, it knows of no later leader, and it can name
 // every cancel that the asker may have missed.
 func (s *Service) word(ctx context.Context, o peer.Outage) (w peer.Word) {
-	if !s.st.Probe(ctx, 500*clock.Millisecond) || s.el.Newest() > o.Lead {
+	if !s.st.Refused(ctx, 500*clock.Millisecond) || s.el.NewestRevision() > o.Lead {
 		return w
 	}
-	w.Cancelled, w.Attests = s.users.Cancels.Since(o.Epoch, s.st.First())
+	w.Cancelled, w.Attests = s.users.Cancels.Since(o.Epoch, s.st.FirstRevision())
 	return w
 }
 
@@ -304,8 +304,8 @@
 	if g == nil {
 		return false
 	}
-	o := peer.Outage{Asked: true, Lead: g.r.Stamp, Epoch: g.knows()}
-	cancelled, all := s.users.Cancels.Since(o.Epoch, s.st.First())
+	o := peer.Outage{Asked: true, Lead: g.r.Revision, Epoch: g.knows()}
+	cancelled, all := s.users.Cancels.Since(o.Epoch, s.st.FirstRevision())
 	answers := make(chan peer.Word, len(s.links))
 	for _, l := range s.links {
 		go func() {
--- a/silence.go
+++ b/silence.go
@@ -62,7 +62,7 @@
 		return
 	}
 	g.probedAt = now
-	if _, may := g.el.MayOrder(); !may || !g.op.Fleet.Enabled {
+	if _, may := g.el.HoldsLease(); !may || !g.op.Fleet.Enabled {
 		return
 	}
 	var silent []*fleet.Machine
@@ -293,7 +293,7 @@
 	}
 	if silent || unheard {
 		g.log.Info("no worker is heard, or none hears: giving leadership up", "deaf", g.deaf)
-		g.el.Abdicate()
+		g.el.Resign()
 	}
 }
 
--- a/size_test.go
+++ b/size_test.go
@@ -154,7 +154,7 @@
 	if code, _, _ := s.ask(n, "POST", wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
-	if _, err := n.el.Raise(t.Context()); err != nil {
+	if _, err := n.el.RaiseToken(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	type told struct {
@@ -181,7 +181,7 @@
 	if code, v, _ := s.ask(n, "POST", wire.PathJobs, spec("j-2", nil)); code != 200 || v.Status != wire.JobCancelled {
 		t.Errorf("a submission that comes again after the abort: %d %+v", code, v)
 	}
-	if _, ok := n.el.MayAnswer(); !ok {
+	if _, ok := n.el.MayAnswerHeartbeats(); !ok {
 		t.Error("the lead was lost")
 	}
 }
--- a/stall_test.go
+++ b/stall_test.go
@@ -97,7 +97,7 @@
 			t.Errorf("%s is to be returned", h)
 		}
 	}
-	if _, ok := n.el.MayAnswer(); !ok {
+	if _, ok := n.el.MayAnswerHeartbeats(); !ok {
 		t.Error("gave the lead up on waking")
 	}
 	// From then on silence counts as ever, while one is heard.
--- a/step.go
+++ b/step.go
@@ -45,7 +45,7 @@
 	g.prove(now)
 	g.settleUnreadable(now)
 	g.tellProgress()
-	if _, may := g.el.MayOrder(); may {
+	if _, may := g.el.HoldsLease(); may {
 		g.plan(now)
 	}
 	took = g.ck.Now() - now
@@ -225,7 +225,7 @@
 func (g *term) dispatch(ctx context.Context) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	token, _ := g.el.MayOrder()
+	token, _ := g.el.HoldsLease()
 	scope := g.scope()
 	now := g.ck.Now()
 	for m := range g.toTell {
@@ -268,7 +268,7 @@
 // mayFly tells whether a direct command may still go out: what it says of runs
 // and results needs the lease and all that was cancelled, a stop needs neither.
 func (g *term) mayFly(fl *fleet.Flight) bool {
-	token, may := g.el.MayOrder()
+	token, may := g.el.HoldsLease()
 	if token != fl.Token {
 		return false
 	}
@@ -325,7 +325,7 @@
 func (g *term) fence(ctx context.Context) {
 	now := g.ck.Now()
 	g.mu.Lock()
-	token, may := g.el.MayOrder()
+	token, may := g.el.HoldsLease()
 	due := may && (g.raisedAt == 0 || now-g.raisedAt > 4*clock.Second) && g.fl.Doubts(now, token) > 0
 	// A worker tells of a new token at once, but not again within half a lease, so
 	// raising it often would keep a next leader from being told of its own; and what
@@ -341,7 +341,7 @@
 	if !due {
 		return
 	}
-	if next, err := g.el.Raise(ctx); err != nil {
+	if next, err := g.el.RaiseToken(ctx); err != nil {
 		g.log.Debug("raise token", "error", err)
 	} else {
 		g.log.Info("token raised: copies of direct commands are void", "token", next)
--- a/store/client.go
+++ b/store/client.go
@@ -24,16 +24,16 @@
 var (
 	// ErrRefused means that the service did not execute the request.
 	ErrRefused = errors.New("state service refused")
-	// ErrBusy goes with ErrRefused when the nodes together asked for too much at once.
-	ErrBusy = errors.New("too many requests")
+	// ErrOverloaded goes with ErrRefused when the nodes together asked for too much at once.
+	ErrOverloaded = errors.New("too many requests")
 	// ErrUnknown means that the request may have been executed, or still may be.
 	ErrUnknown = errors.New("state service gave no answer")
 	// ErrNoLease means that a lease has ended.
 	ErrNoLease = errors.New("no such lease")
 	// ErrMalformed means that the service would not take a transaction as it is.
 	ErrMalformed = errors.New("state service calls the transaction malformed")
-	// ErrTooOld means that a watch began too far back.
-	ErrTooOld = errors.New("watch is too old")
+	// ErrCompacted means that a watch began too far back.
+	ErrCompacted = errors.New("watch is too old")
 	// ErrBadAnswer means that the service's answer could not be understood.
 	ErrBadAnswer = errors.New("bad answer from the state service")
 )
@@ -60,19 +60,19 @@
 
 // Client is one node's link to the state service.
 type Client struct {
-	base     string
-	http     *http.Client
-	watch    *http.Client
-	requests *rate.Limiter
-	writes   *rate.Limiter
-	limits   config.State
-	nodes    int
-	timeout  time.Duration
-	retry    *rate.Limiter
-	pressed  atomic.Int64 // when the service last had too much to do for a request, in microseconds
-	failing  atomic.Int32 // requests in a row without an answer, or refused by the service
-	spells   atomic.Uint64
-	first    atomic.Uint64
+	base          string
+	http          *http.Client
+	watch         *http.Client
+	requests      *rate.Limiter
+	writes        *rate.Limiter
+	limits        config.State
+	nodes         int
+	timeout       time.Duration
+	retry         *rate.Limiter
+	overloadedAt  atomic.Int64 // when the service last had too much to do for a request, in microseconds
+	failing       atomic.Int32 // requests in a row without an answer, or refused by the service
+	interruptions atomic.Uint64
+	firstRevision atomic.Uint64
 }
 
 // failingAt is how many requests in a row must fail for the service to count as failing.
@@ -81,33 +81,33 @@
 // Failing tells whether the service has answered none of the last requests.
 func (c *Client) Failing() bool { return c.failing.Load() >= failingAt }
 
-// Spells counts the times at which the service began to fail this node.
-func (c *Client) Spells() uint64 { return c.spells.Load() }
+// Interruptions counts the times at which the service began to fail this node.
+func (c *Client) Interruptions() uint64 { return c.interruptions.Load() }
 
-// First is the epoch that the service named in its first answer to this process;
+// FirstRevision is the epoch that the service named in its first answer to this process;
 // zero while there was none. Whatever an earlier process of this node told
 // anybody was durable by then.
-func (c *Client) First() uint64 { return c.first.Load() }
+func (c *Client) FirstRevision() uint64 { return c.firstRevision.Load() }
 
-// saw notes an epoch that the service named.
-func (c *Client) saw(epoch uint64) { c.first.CompareAndSwap(0, epoch) }
+// observeRevision notes an epoch that the service named.
+func (c *Client) observeRevision(revision uint64) { c.firstRevision.CompareAndSwap(0, revision) }
 
 // Shares of what the service takes: the leader writes nearly everything, the
 // others have moments in which many users come at once. Together they may ask
 // for more than there is; what the service then refuses is tried again.
 const (
-	leadRequests, otherRequests = 0.6, 0.3
-	leadWrites, otherWrites     = 0.8, 0.35
+	leaderRequestShare, followerRequestShare = 0.6, 0.3
+	leaderWriteShare, followerWriteShare     = 0.8, 0.35
 	// What users' changes through one node may take at most, and what is left to
 	// them, through all nodes together, when the service has more to do than it can.
-	mostUsers, leastUsers = 0.35, 0.2
+	maxUserWriteShare, minUserWriteShare = 0.35, 0.2
 )
 
 // retryEvery is how often a service that fails is tried for users' sake.
 const retryEvery = 250 * time.Millisecond
 
-// Retry tells whether it is time to try a failing service again.
-func (c *Client) Retry() bool { return c.retry.Allow() }
+// AllowRetry tells whether it is time to try a failing service again.
+func (c *Client) AllowRetry() bool { return c.retry.Allow() }
 
 // New makes a Client for one of so many nodes. The limits are the whole
 // service's, so each node plans with a share of them; see Lead.
@@ -116,15 +116,15 @@
 	c := &Client{base: "http://" + addr, http: link.Client(dial, 24, 0), watch: link.Client(dial, 4, 0), timeout: 2 * time.Second,
 		limits: limits, nodes: max(1, nodes), requests: rate.NewLimiter(0, 0), writes: rate.NewLimiter(0, 0),
 		retry: rate.NewLimiter(rate.Every(retryEvery), 1)}
-	c.Lead(nodes <= 1)
+	c.SetLeading(nodes <= 1)
 	return c
 }
 
-// Lead sets this node's share of the service's limits.
-func (c *Client) Lead(leads bool) {
-	r, w := c.limits.RPS*otherRequests, c.limits.WriteRPS*otherWrites
+// SetLeading sets this node's share of the service's limits.
+func (c *Client) SetLeading(leads bool) {
+	r, w := c.limits.RPS*followerRequestShare, c.limits.WriteRPS*followerWriteShare
 	if leads {
-		r, w = c.limits.RPS*leadRequests, c.limits.WriteRPS*leadWrites
+		r, w = c.limits.RPS*leaderRequestShare, c.limits.WriteRPS*leaderWriteShare
 	}
 	c.requests.SetLimit(rate.Limit(r))
 	c.requests.SetBurst(max(4, int(r)))
@@ -132,9 +132,9 @@
 	c.writes.SetBurst(max(4, int(w), c.limits.TxnOps))
 }
 
-// Pause is how far apart reads that many questions share should be.
-func (c *Client) Pause() clock.Micros {
-	own := c.limits.RPS * (1 - leadRequests) / float64(max(1, c.nodes-1))
+// ReadInterval is how far apart reads that many questions share should be.
+func (c *Client) ReadInterval() clock.Micros {
+	own := c.limits.RPS * (1 - leaderRequestShare) / float64(max(1, c.nodes-1))
 	pause := min(250*clock.Millisecond, clock.FromSeconds(2/own))
 	if pause < clock.Millisecond {
 		return 0
@@ -145,7 +145,7 @@
 // UserWrites are how many changes a second this node may ask for in its users' name: at
 // most, and at the least, when the service has more to do than it can.
 func (c *Client) UserWrites() (most, least float64) {
-	return mostUsers * c.limits.WriteRPS, leastUsers * c.limits.WriteRPS / float64(c.nodes)
+	return maxUserWriteShare * c.limits.WriteRPS, minUserWriteShare * c.limits.WriteRPS / float64(c.nodes)
 }
 
 // TxnOps is how many changes a transaction may hold.
@@ -154,16 +154,16 @@
 // Waiting is how many requests wait for this node's share of the service's.
 func (c *Client) Waiting() int { return int(-c.requests.Tokens()) }
 
-// Spare is how many changes could be made right now without waiting.
-func (c *Client) Spare() int { return int(c.writes.Tokens()) }
+// SpareWrites is how many changes could be made right now without waiting.
+func (c *Client) SpareWrites() int { return int(c.writes.Tokens()) }
 
-// pressedFor is how long the service counts as short after it has said so.
-const pressedFor = 3 * clock.Second
+// overloadedFor is how long the service counts as short after it has said so.
+const overloadedFor = 3 * clock.Second
 
-// Pressed tells whether the service has lately had too much to do for a request:
+// Overloaded tells whether the service has lately had too much to do for a request:
 // what can wait, waits.
-func (c *Client) Pressed() bool {
-	return clock.Micros(time.Now().UnixMicro()-c.pressed.Load()) < pressedFor
+func (c *Client) Overloaded() bool {
+	return clock.Micros(time.Now().UnixMicro()-c.overloadedAt.Load()) < overloadedFor
 }
 
 func (c *Client) admit(ctx context.Context, prio Priority, puts int) error {
@@ -197,13 +197,13 @@
 		if err == nil && status != http.StatusServiceUnavailable {
 			c.failing.Store(0)
 		} else if !errors.Is(ctx.Err(), context.Canceled) && c.failing.Add(1) == failingAt {
-			c.spells.Add(1)
+			c.interruptions.Add(1)
 		}
 	}
 	switch {
 	case err == nil && status == http.StatusTooManyRequests:
-		c.pressed.Store(time.Now().UnixMicro())
-		return status, nil, fmt.Errorf("%w: %w", ErrRefused, ErrBusy)
+		c.overloadedAt.Store(time.Now().UnixMicro())
+		return status, nil, fmt.Errorf("%w: %w", ErrRefused, ErrOverloaded)
 	case err == nil && status == http.StatusServiceUnavailable:
 		return status, nil, fmt.Errorf("%w: status %d", ErrRefused, status)
 	case err == nil:
@@ -267,26 +267,26 @@
 	}
 	err = decode(raw, &rows)
 	if err == nil {
-		c.saw(rows.Revision)
+		c.observeRevision(rows.Revision)
 	}
 	return rows, err
 }
 
 // List reads every key with a prefix. The epoch is the first page's, so that a
 // watch from it misses nothing that changed while later pages were read.
-func (c *Client) List(ctx context.Context, prio Priority, prefix string) (rows []wire.Row, epoch uint64, err error) {
+func (c *Client) List(ctx context.Context, prio Priority, prefix string) (rows []wire.Row, revision uint64, err error) {
 	since := ""
 	for {
 		page, err := c.Page(ctx, prio, prefix, since, 1000)
 		if err != nil {
 			return nil, 0, fmt.Errorf("list %s: %w", prefix, err)
 		}
-		if epoch == 0 {
-			epoch = page.Revision
+		if revision == 0 {
+			revision = page.Revision
 		}
 		rows = append(rows, page.Rows...)
 		if !page.HasNext || len(page.Rows) == 0 {
-			return rows, epoch, nil
+			return rows, revision, nil
 		}
 		since = page.Rows[len(page.Rows)-1].Key
 	}
@@ -315,7 +315,7 @@
 		if err := decode(raw, &ans); err != nil {
 			return 0, fmt.Errorf("%w: %w", ErrUnknown, err)
 		}
-		c.saw(ans.Revision)
+		c.observeRevision(ans.Revision)
 		return ans.Revision, nil
 	case http.StatusConflict:
 		if err := decode(raw, &ans); err != nil {
@@ -332,8 +332,8 @@
 	return 0, unexpected(status, raw)
 }
 
-// Grant asks for a lease.
-func (c *Client) Grant(ctx context.Context, ttl clock.Micros) (uint64, error) {
+// GrantLease asks for a lease.
+func (c *Client) GrantLease(ctx context.Context, ttl clock.Micros) (uint64, error) {
 	if err := c.admit(ctx, Vital, 0); err != nil {
 		return 0, err
 	}
@@ -350,8 +350,8 @@
 	return ans.Lease, decode(raw, &ans)
 }
 
-// Renew keeps a lease; ErrNoLease tells that it has ended.
-func (c *Client) Renew(ctx context.Context, lease uint64, timeout clock.Micros) error {
+// RenewLease keeps a lease; ErrNoLease tells that it has ended.
+func (c *Client) RenewLease(ctx context.Context, lease uint64, timeout clock.Micros) error {
 	if err := c.admit(ctx, Vital, 0); err != nil {
 		return err
 	}
@@ -369,8 +369,8 @@
 	return unexpected(status, raw)
 }
 
-// Drop ends a lease at once.
-func (c *Client) Drop(ctx context.Context, lease uint64) error {
+// RevokeLease ends a lease at once.
+func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	if err := c.admit(ctx, Vital, 0); err != nil {
 		return err
 	}
@@ -380,17 +380,17 @@
 	return err
 }
 
-// News gives what has changed after since, without waiting; ErrTooOld asks the
+// ChangesSince gives what has changed after since, without waiting; ErrTooOld asks the
 // caller to read again.
-func (c *Client) News(ctx context.Context, prefix string, since uint64) (wire.WatchResponse, error) {
+func (c *Client) ChangesSince(ctx context.Context, prefix string, since uint64) (wire.WatchResponse, error) {
 	var ch wire.WatchResponse
 	if err := c.admit(ctx, Urgent, 0); err != nil {
 		return ch, err
 	}
-	return c.changes(ctx, c.http, prefix, since, 0)
+	return c.readChanges(ctx, c.http, prefix, since, 0)
 }
 
-func (c *Client) changes(ctx context.Context, hc *http.Client, prefix string, since uint64, block clock.Micros) (wire.WatchResponse, error) {
+func (c *Client) readChanges(ctx context.Context, hc *http.Client, prefix string, since uint64, block clock.Micros) (wire.WatchResponse, error) {
 	var ch wire.WatchResponse
 	q := url.Values{"starts": {prefix}, "since": {strconv.FormatUint(since, 10)}, "block_ms": {strconv.FormatInt(int64(block/clock.Millisecond), 10)}}
 	status, raw, err := c.call(ctx, hc, http.MethodGet, wire.PathChanges+"?"+q.Encode(), nil)
@@ -400,17 +400,17 @@
 	case status == http.StatusOK:
 		err := decode(raw, &ch)
 		if err == nil {
-			c.saw(ch.Revision)
+			c.observeRevision(ch.Revision)
 		}
 		return ch, err
 	case status == http.StatusGone:
-		return ch, ErrTooOld
+		return ch, ErrCompacted
 	}
 	return ch, unexpected(status, raw)
 }
 
-// Changes waits for changes after since; ErrTooOld asks the caller to read again.
-func (c *Client) Changes(ctx context.Context, prefix string, since uint64, block clock.Micros) (wire.WatchResponse, error) {
+// Watch waits for changes after since; ErrTooOld asks the caller to read again.
+func (c *Client) Watch(ctx context.Context, prefix string, since uint64, block clock.Micros) (wire.WatchResponse, error) {
 	var ch wire.WatchResponse
 	if err := c.admit(ctx, Urgent, 0); err != nil {
 		return ch, err
@@ -418,12 +418,12 @@
 	// A watch stays open through an outage, so its limit is only there against a dead link.
 	ctx, cancel := context.WithTimeout(ctx, block.Duration()+5*time.Second)
 	defer cancel()
-	return c.changes(ctx, c.watch, prefix, since, block)
+	return c.readChanges(ctx, c.watch, prefix, since, block)
 }
 
-// Probe asks once whether the service refuses this node right now: true only
+// Refused asks once whether the service refuses this node right now: true only
 // after a definite refusal, never after silence.
-func (c *Client) Probe(ctx context.Context, timeout clock.Micros) bool {
+func (c *Client) Refused(ctx context.Context, timeout clock.Micros) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
 	status, _, err := c.call(ctx, c.http, http.MethodGet, wire.PathKV+"/lead", nil)
--- a/store/golden_test.go
+++ b/store/golden_test.go
@@ -18,23 +18,23 @@
 	spec := wire.Spec{UID: "j-17", Class: "nightly", Team: "orders", Kind: wire.KindBatch, Priority: "high", Tasks: 3, Cores: 1.5, Accelerators: 1, RAM: 2.25,
 		Image: "b-1", ImageGB: 0.5, MachineTypes: []string{"m1"}, Zone: "north", SameZone: true, Spread: true, Preemptible: true, ExpectedS: 30,
 		CheckpointIntervalS: 10, CheckpointGraceS: 2, DeadlineS: &due}
-	over := OverRecord{Status: wire.JobDone, Tasks: 3, Nonce: "9.4", Owner: "orders", Cores: 1.5, Accel: 1, RAM: 2.25}
-	done := make([]bool, ChunkTasks)
+	over := FinalRecord{Status: wire.JobDone, Tasks: 3, Nonce: "9.4", Team: "orders", Cores: 1.5, Accelerators: 1, RAM: 2.25}
+	done := make([]bool, TasksPerChunk)
 	done[0], done[5], done[119] = true, true, true
 	return map[string]any{
 		"lead":          LeadRecord{Node: "node-a", Nonce: "node-a.1.2"},
 		"token":         TokenRecord{Token: 41, Nonce: "node-a.1.2"},
-		"job":           JobRecord{Spec: spec, AtUS: 1_700_000_000_000_001, Node: "node-b"},
+		"job":           JobRecord{Spec: spec, AcceptedUS: 1_700_000_000_000_001, Node: "node-b"},
 		"job_least":     JobRecord{Spec: wire.Spec{UID: "j-1", Tasks: 1}},
-		"job_over":      JobRecord{Spec: wire.Spec{UID: "j-17"}, AtUS: 1_700_000_000_000_001, Over: &over},
+		"job_over":      JobRecord{Spec: wire.Spec{UID: "j-17"}, AcceptedUS: 1_700_000_000_000_001, Final: &over},
 		"over":          over,
-		"over_of_spec":  Over(&spec, wire.JobCancelled, "9.5"),
-		"chunk":         Pack("9.4", done, []Placed{{Index: 1, Attempt: 2, Host: "h-1", Session: 7}, {Index: 2, Attempt: 1}, {Index: 118, Attempt: 3, Host: "h-2", Session: 1}}),
-		"chunk_empty":   Pack("9.4", make([]bool, 3), nil),
-		"shared":        SharedRecord{Nonce: "9.4", Rows: []SharedRow{{UID: "j-3", Attempt: 2, Host: "h-1", Session: 7}, {UID: "j-4", Attempt: 1}}},
+		"over_of_spec":  NewFinalRecord(&spec, wire.JobCancelled, "9.5"),
+		"chunk":         NewChunkRecord("9.4", done, []TaskAttempt{{Index: 1, Attempt: 2, Machine: "h-1", Incarnation: 7}, {Index: 2, Attempt: 1}, {Index: 118, Attempt: 3, Machine: "h-2", Incarnation: 1}}),
+		"chunk_empty":   NewChunkRecord("9.4", make([]bool, 3), nil),
+		"shared":        SharedRecord{Nonce: "9.4", Rows: []SharedRow{{UID: "j-3", Attempt: 2, Machine: "h-1", Incarnation: 7}, {UID: "j-4", Attempt: 1}}},
 		"shared_empty":  SharedRecord{Nonce: "9.4", Rows: []SharedRow{}},
-		"demand":        DemandRecord{Cores: 12.5, RAM: 30, Accel: 1, Classes: map[string][2]int64{"nightly": {8, 24_000_000}}},
-		"demand_recent": DemandRecord{Cores: 12.5, RAM: 30, Accel: 1},
+		"demand":        DemandRecord{Cores: 12.5, RAM: 30, Accelerators: 1, Classes: map[string][2]int64{"nightly": {8, 24_000_000}}},
+		"demand_recent": DemandRecord{Cores: 12.5, RAM: 30, Accelerators: 1},
 	}
 }
 
@@ -71,7 +71,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		over, err := OverIn(raw)
+		over, err := FinalStateIn(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 
 // TestKeys holds the keys under which records are stored.
 func TestKeys(t *testing.T) {
-	got := []string{KeyLead, KeyToken, KeyCatalog, KeyDemand, JobKey("j-17"), OverKey("j-17"), ChunkKey("j-17", 3), SharedKey(9, 4)}
+	got := []string{KeyLead, KeyToken, KeyCatalog, KeyDemand, JobKey("j-17"), FinalKey("j-17"), ChunkKey("j-17", 3), SharedKey(9, 4)}
 	want := []string{"lead", "warrant", "catalog", "demand", "j/j-17", "f/j-17", "p/j-17/00003", "s/9.4"}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("keys %q, want %q", got, want)
@@ -106,7 +106,7 @@
 		{SharedRecord{}, "w r"},
 		{SharedRow{}, "u t h,omitempty s"},
 		{DemandRecord{}, "c r a l"},
-		{OverRecord{}, "s p w o c a r"},
+		{FinalRecord{}, "s p w o c a r"},
 		{ChunkRecord{}, "w d h r"},
 	}
 	for _, tt := range tests {
--- a/store/records.go
+++ b/store/records.go
@@ -15,30 +15,32 @@
 // read to the unfinished jobs. A job that is done is noted so in its record
 // under "j/", by one change, and moves when there are changes to spare.
 const (
-	KeyLead      = "lead"
-	KeyToken     = "warrant"
-	KeyCatalog   = "catalog"
-	KeyDemand    = "demand"
-	PrefixJob    = "j/"
-	PrefixOver   = "f/"
-	PrefixRuns   = "p/"
-	PrefixShared = "s/"
+	KeyLead        = "lead"
+	KeyToken       = "warrant"
+	KeyCatalog     = "catalog"
+	KeyDemand      = "demand"
+	PrefixJob      = "j/"
+	PrefixFinal    = "f/"
+	PrefixAttempts = "p/"
+	PrefixShared   = "s/"
 )
 
 // JobKey names the record of an unfinished job.
 func JobKey(uid string) string { return PrefixJob + uid }
 
-// OverKey names the record of a job that is over.
-func OverKey(uid string) string { return PrefixOver + uid }
+// FinalKey names the record of a job that is over.
+func FinalKey(uid string) string { return PrefixFinal + uid }
 
 // ChunkKey names the record of one run of a job's tasks.
-func ChunkKey(uid string, chunk int) string { return fmt.Sprintf("%s%s/%05d", PrefixRuns, uid, chunk) }
+func ChunkKey(uid string, chunk int) string {
+	return fmt.Sprintf("%s%s/%05d", PrefixAttempts, uid, chunk)
+}
 
 // ParseChunkKey is the inverse of ChunkKey.
 func ParseChunkKey(key string) (uid string, chunk int, ok bool) {
-	uid, num, found := strings.Cut(strings.TrimPrefix(key, PrefixRuns), "/")
+	uid, num, found := strings.Cut(strings.TrimPrefix(key, PrefixAttempts), "/")
 	chunk, err := strconv.Atoi(num)
-	return uid, chunk, found && err == nil && chunk >= 0 && strings.HasPrefix(key, PrefixRuns)
+	return uid, chunk, found && err == nil && chunk >= 0 && strings.HasPrefix(key, PrefixAttempts)
 }
 
 // SharedKey names the n-th record of single tasks' attempts that a term made;
@@ -59,12 +61,12 @@
 
 // JobRecord is an accepted, unfinished job.
 type JobRecord struct {
-	Spec wire.Spec `msgpack:"s"`
-	AtUS int64     `msgpack:"a"`
-	Node string    `msgpack:"n"`
-	// Over is its final state, when it is over and has not moved yet; of the
+	Spec       wire.Spec `msgpack:"s"`
+	AcceptedUS int64     `msgpack:"a"`
+	Node       string    `msgpack:"n"`
+	// Final is its final state, when it is over and has not moved yet; of the
 	// specification only the name is kept then.
-	Over *OverRecord `msgpack:"o,omitempty"`
+	Final *FinalRecord `msgpack:"o,omitempty"`
 }
 
 // SharedRecord holds the attempts of single tasks of many jobs, so that thousands
@@ -76,50 +78,50 @@
 
 // SharedRow is the recorded attempt of a job's only task: an empty Host means that it waits.
 type SharedRow struct {
-	UID     string `msgpack:"u"`
-	Attempt uint64 `msgpack:"t"`
-	Host    string `msgpack:"h,omitempty"`
-	Session uint64 `msgpack:"s"`
+	UID         string `msgpack:"u"`
+	Attempt     uint64 `msgpack:"t"`
+	Machine     string `msgpack:"h,omitempty"`
+	Incarnation uint64 `msgpack:"s"`
 }
 
-// SharedJobs is how many jobs share a record of attempts: rows of at most about
+// JobsPerSharedRecord is how many jobs share a record of attempts: rows of at most about
 // 100 bytes in JSON form stay under the smallest value limit.
-const SharedJobs = 60
+const JobsPerSharedRecord = 60
 
 // DemandRecord is the rate of arriving work as the leader last saw it, and
 // each class's run times as a count and a sum in microseconds.
 type DemandRecord struct {
-	Cores   float64             `msgpack:"c"`
-	RAM     float64             `msgpack:"r"`
-	Accel   float64             `msgpack:"a"`
-	Classes map[string][2]int64 `msgpack:"l"`
+	Cores        float64             `msgpack:"c"`
+	RAM          float64             `msgpack:"r"`
+	Accelerators float64             `msgpack:"a"`
+	Classes      map[string][2]int64 `msgpack:"l"`
 }
 
-// OverRecord is a job's final state, with what its tasks take: some may still
+// FinalRecord is a job's final state, with what its tasks take: some may still
 // be on their machines, and count for room and for their team's limit.
-type OverRecord struct {
-	Status string  `msgpack:"s"`
-	Tasks  int     `msgpack:"p"`
-	Nonce  string  `msgpack:"w"`
-	Owner  string  `msgpack:"o"`
-	Cores  float64 `msgpack:"c"`
-	Accel  float64 `msgpack:"a"`
-	RAM    float64 `msgpack:"r"`
+type FinalRecord struct {
+	Status       string  `msgpack:"s"`
+	Tasks        int     `msgpack:"p"`
+	Nonce        string  `msgpack:"w"`
+	Team         string  `msgpack:"o"`
+	Cores        float64 `msgpack:"c"`
+	Accelerators float64 `msgpack:"a"`
+	RAM          float64 `msgpack:"r"`
 }
 
-// Over makes the final record of a job.
-func Over(s *wire.Spec, status, nonce string) OverRecord {
-	return OverRecord{Status: status, Tasks: s.Tasks, Nonce: nonce, Owner: s.Team, Cores: s.Cores, Accel: s.Accelerators, RAM: s.RAM}
+// NewFinalRecord makes the final record of a job.
+func NewFinalRecord(s *wire.Spec, status, nonce string) FinalRecord {
+	return FinalRecord{Status: status, Tasks: s.Tasks, Nonce: nonce, Team: s.Team, Cores: s.Cores, Accelerators: s.Accelerators, RAM: s.RAM}
 }
 
-// OverIn gives the final state that a job's record holds; nil when the job is
+// FinalStateIn gives the final state that a job's record holds; nil when the job is
 // not over. A record that can't be decoded tells neither.
-func OverIn(value []byte) (*OverRecord, error) {
+func FinalStateIn(value []byte) (*FinalRecord, error) {
 	var rec struct {
 		Spec struct {
 			UID string `msgpack:"uid"`
 		} `msgpack:"s"`
-		Over *OverRecord `msgpack:"o"`
+		Over *FinalRecord `msgpack:"o"`
 	}
 	if err := wire.Unmarshal(value, &rec); err != nil {
 		return nil, fmt.Errorf("job record: %w", err)
@@ -130,31 +132,31 @@
 	return rec.Over, nil
 }
 
-// Placed is a task's recorded attempt: an empty Host means that it waits.
-type Placed struct {
-	Index   int
-	Attempt uint64
-	Host    string
-	Session uint64
+// TaskAttempt is a task's recorded attempt: an empty Host means that it waits.
+type TaskAttempt struct {
+	Index       int
+	Attempt     uint64
+	Machine     string
+	Incarnation uint64
 }
 
 // ChunkRecord holds the attempts and results of up to ChunkPieces tasks.
 // Done is a hexadecimal bitmap; Runs holds [index, attempt, host number, session],
 // with host number -1 for a task that waits after an attempt.
 type ChunkRecord struct {
-	Nonce string    `msgpack:"w"`
-	Done  string    `msgpack:"d"`
-	Hosts []string  `msgpack:"h"`
-	Runs  [][]int64 `msgpack:"r"`
+	Nonce    string    `msgpack:"w"`
+	Done     string    `msgpack:"d"`
+	Machines []string  `msgpack:"h"`
+	Attempts [][]int64 `msgpack:"r"`
 }
 
-// ChunkTasks is how many tasks one record holds: 120 rows of at most about 30
+// TasksPerChunk is how many tasks one record holds: 120 rows of at most about 30
 // bytes in JSON form and as many host names stay under the smallest value limit.
-const ChunkTasks = 120
+const TasksPerChunk = 120
 
-// Pack builds a chunk's record. Indexes count from the chunk's first task.
-func Pack(nonce string, done []bool, runs []Placed) ChunkRecord {
-	rec := ChunkRecord{Nonce: nonce, Hosts: []string{}, Runs: make([][]int64, 0, len(runs))}
+// NewChunkRecord builds a chunk's record. Indexes count from the chunk's first task.
+func NewChunkRecord(nonce string, done []bool, runs []TaskAttempt) ChunkRecord {
+	rec := ChunkRecord{Nonce: nonce, Machines: []string{}, Attempts: make([][]int64, 0, len(runs))}
 	var b strings.Builder
 	for i := 0; i < len(done); i += 4 {
 		v := 0
@@ -168,19 +170,19 @@
 	rec.Done = b.String()
 	number := map[string]int64{"": -1}
 	for _, r := range runs {
-		n, ok := number[r.Host]
+		n, ok := number[r.Machine]
 		if !ok {
-			n = int64(len(rec.Hosts))
-			number[r.Host] = n
-			rec.Hosts = append(rec.Hosts, r.Host)
+			n = int64(len(rec.Machines))
+			number[r.Machine] = n
+			rec.Machines = append(rec.Machines, r.Machine)
 		}
-		rec.Runs = append(rec.Runs, []int64{int64(r.Index), int64(r.Attempt), n, int64(r.Session)})
+		rec.Attempts = append(rec.Attempts, []int64{int64(r.Index), int64(r.Attempt), n, int64(r.Incarnation)})
 	}
 	return rec
 }
 
-// Unpack is the inverse of Pack for a chunk of n tasks.
-func (rec ChunkRecord) Unpack(n int) (done []bool, runs []Placed, err error) {
+// Decode is the inverse of Pack for a chunk of n tasks.
+func (rec ChunkRecord) Decode(n int) (done []bool, runs []TaskAttempt, err error) {
 	done = make([]bool, n)
 	for i, c := range rec.Done {
 		v, err := strconv.ParseInt(string(c), 16, 8)
@@ -197,13 +199,13 @@
 			done[i*4+k] = true
 		}
 	}
-	for _, r := range rec.Runs {
-		if len(r) != 4 || r[0] < 0 || r[0] >= int64(n) || r[1] < 0 || r[2] < -1 || r[2] >= int64(len(rec.Hosts)) || r[3] < 0 {
+	for _, r := range rec.Attempts {
+		if len(r) != 4 || r[0] < 0 || r[0] >= int64(n) || r[1] < 0 || r[2] < -1 || r[2] >= int64(len(rec.Machines)) || r[3] < 0 {
 			return nil, nil, fmt.Errorf("chunk row %v", r)
 		}
-		p := Placed{Index: int(r[0]), Attempt: uint64(r[1]), Session: uint64(r[3])}
+		p := TaskAttempt{Index: int(r[0]), Attempt: uint64(r[1]), Incarnation: uint64(r[3])}
 		if r[2] >= 0 {
-			p.Host = rec.Hosts[r[2]]
+			p.Machine = rec.Machines[r[2]]
 		}
 		runs = append(runs, p)
 	}
--- a/store/records_test.go
+++ b/store/records_test.go
@@ -9,21 +9,21 @@
 )
 
 func TestChunkRoundTripAndSize(t *testing.T) {
-	done := make([]bool, ChunkTasks)
-	var runs []Placed
+	done := make([]bool, TasksPerChunk)
+	var runs []TaskAttempt
 	for i := range done {
 		if i%3 == 0 {
 			done[i] = true
 			continue
 		}
-		p := Placed{Index: i, Attempt: 123456}
+		p := TaskAttempt{Index: i, Attempt: 123456}
 		if i%3 == 1 {
-			p.Host, p.Session = fmt.Sprintf("n-%09d", i), 98765
+			p.Machine, p.Incarnation = fmt.Sprintf("n-%09d", i), 98765
 		}
 		runs = append(runs, p)
 	}
-	rec := Pack("1234567.890123", done, runs)
-	gotDone, gotRuns, err := rec.Unpack(ChunkTasks)
+	rec := NewChunkRecord("1234567.890123", done, runs)
+	gotDone, gotRuns, err := rec.Decode(TasksPerChunk)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,9 +41,9 @@
 
 func TestUnpackRefusesNonsense(t *testing.T) {
 	for _, rec := range []ChunkRecord{
-		{Done: "f"}, {Done: "z"}, {Runs: [][]int64{{0, 1, 0, 1}}}, {Runs: [][]int64{{5, 1, -1, 0}}}, {Runs: [][]int64{{0, 1}}},
+		{Done: "f"}, {Done: "z"}, {Attempts: [][]int64{{0, 1, 0, 1}}}, {Attempts: [][]int64{{5, 1, -1, 0}}}, {Attempts: [][]int64{{0, 1}}},
 	} {
-		if _, _, err := rec.Unpack(2); err == nil {
+		if _, _, err := rec.Decode(2); err == nil {
 			t.Errorf("%+v: no error", rec)
 		}
 	}
--- a/teams.go
+++ b/teams.go
@@ -91,7 +91,7 @@
 // teamReports tells what each team uses and what of its work waits; false where this
 // controller does not know, because its lease as leader or its records are not there.
 func (g *term) teamReports() ([]quota.TeamReport, bool) {
-	if _, may := g.el.MayOrder(); !may {
+	if _, may := g.el.HoldsLease(); !may {
 		return nil, false
 	}
 	g.mu.Lock()
