--- a/agent/agent.go
+++ b/agent/agent.go
@@ -55,7 +55,7 @@
 	status, body, err := c.call(ctx, http.MethodPost, "http://"+endpoint+wire.PathCommand, do)
 	if err != nil {
 		if link.NotSent(err) {
-			out = fleet.Void
+			out = fleet.OutcomeNotExecuted
 		}
 		return nil, out, fmt.Errorf("commands to %s: %w", endpoint, err)
 	}
@@ -63,19 +63,19 @@
 	case http.StatusOK, http.StatusConflict:
 		b, err := wire.DecodeHeartbeat(body)
 		if err != nil {
-			return nil, fleet.Open, fmt.Errorf("report of %s: %w", endpoint, err)
+			return nil, fleet.OutcomeUnknown, fmt.Errorf("report of %s: %w", endpoint, err)
 		}
 		switch {
 		case status == http.StatusOK:
-			out = fleet.Executed
+			out = fleet.OutcomeExecuted
 		case b.Token > do.Token || b.Incarnation > do.Incarnation:
-			out = fleet.Void // for ever: neither goes back
+			out = fleet.OutcomeNotExecuted // for ever: neither goes back
 		}
 		return &b, out, nil
 	case http.StatusBadRequest:
-		return nil, fleet.Void, fmt.Errorf("commands to %s: refused as malformed", endpoint)
+		return nil, fleet.OutcomeNotExecuted, fmt.Errorf("commands to %s: refused as malformed", endpoint)
 	}
-	return nil, fleet.Open, fmt.Errorf("commands to %s: status %d", endpoint, status)
+	return nil, fleet.OutcomeUnknown, fmt.Errorf("commands to %s: status %d", endpoint, status)
 }
 
 // Show asks a worker for its report.
--- a/bench_test.go
+++ b/bench_test.go
@@ -368,10 +368,10 @@
 		for round := range 3 {
 			g.mu.Lock()
 			on := map[int][]wire.TaskReport{}
-			g.fl.All(func(m *fleet.Machine) {
+			g.fl.EachMachine(func(m *fleet.Machine) {
 				var at int
 				fmt.Sscanf(m.Name, "n-%d", &at)
-				m.Each(func(bk *fleet.Booking) {
+				m.EachAllocation(func(bk *fleet.Allocation) {
 					st := wire.TaskReport{Task: bk.Task.String(), Attempt: bk.Attempt, Status: wire.TaskRunning}
 					if round == 2 {
 						st.Status, st.Cause = wire.TaskEnded, wire.CauseDone
--- a/boots_test.go
+++ b/boots_test.go
@@ -25,8 +25,8 @@
 	now := g.ck.Now()
 	for i := from; i < from+n; i++ {
 		m := g.fl.Ensure(fmt.Sprintf("n-%02d", i), now)
-		g.fl.Place(m, "e", "b", "x", true)
-		m.Listed, m.ListedAt = wire.MachineBooting, now
+		g.fl.Describe(m, "e", "b", "x", true)
+		m.CloudStatus, m.ListedAt = wire.MachineBooting, now
 		g.asked[m.Name] = now
 	}
 }
--- a/changes.go
+++ b/changes.go
@@ -30,12 +30,12 @@
 // scope is what may be told to workers right now. The caller holds mu.
 func (g *term) scope() fleet.Scope {
 	if _, may := g.el.HoldsLease(); !may {
-		return fleet.OnlyHalts
+		return fleet.StopsOnly
 	}
 	if !g.upToDate() {
 		return fleet.NoRuns
 	}
-	return fleet.Everything
+	return fleet.AllCommands
 }
 
 // knows is the epoch up to which this leader knows the changes of jobs.
@@ -182,7 +182,7 @@
 				g.fl.Remove(pc.target, now)
 				pc.target = nil
 			}
-			if b := pc.booking; b != nil && !b.Halt {
+			if b := pc.booking; b != nil && !b.Stopping {
 				told = true
 				// Nobody has any use for what it does after this: no time to save.
 				if g.fl.Stop(b, 0, now) {
--- a/engine.go
+++ b/engine.go
@@ -37,9 +37,9 @@
 type task struct {
 	state     taskState
 	attempt   uint64
-	booking   *fleet.Booking // where it is, when placed
-	target    *fleet.Booking // where it goes once it has left, when it moves
-	notBefore clock.Micros   // backing off until
+	booking   *fleet.Allocation // where it is, when placed
+	target    *fleet.Allocation // where it goes once it has left, when it moves
+	notBefore clock.Micros      // backing off until
 	fails     int
 	ran       bool
 	listed    bool // among its job's waiting tasks
@@ -52,7 +52,7 @@
 	stamp  uint64
 	seq    uint64 // raised by every change
 	saved  uint64 // seq of what is durable
-	ending []*fleet.Booking
+	ending []*fleet.Allocation
 	// unreadable is how many of its tasks may run somewhere by a record that can't be
 	// decoded: it is not written over before all of them are known.
 	unreadable int
@@ -73,8 +73,8 @@
 	waiting   []int
 	done      int
 	chunks    []chunk
-	result    *fleet.Booking // of its only task, until that is durable
-	shared    *sharedRecord  // the record of its only task, when it has one, instead
+	result    *fleet.Allocation // of its only task, until that is durable
+	shared    *sharedRecord     // the record of its only task, when it has one, instead
 	started   bool
 	failures  failureHistory // what its tasks' failures tell of it
 	ran       runStat
@@ -227,17 +227,17 @@
 		unheard: map[*fleet.Machine]bool{}, holds: map[string]string{}, mute: map[*fleet.Machine]bool{}, probed: map[string]clock.Micros{},
 	}
 	g.pic = &plan.Picture{Quota: ledger, MoveCap: s.op.Repair.Restarts, Sample: s.op.Plan.Sample, Preempt: true, Turns: plan.MostTurns}
-	g.fl.Touched = func(m *fleet.Machine) { g.touched[m] = true }
-	g.fl.Room = g.room
-	g.fl.Decide = g.decideUnbooked
+	g.fl.OnMachineChange = func(m *fleet.Machine) { g.touched[m] = true }
+	g.fl.OnCapacityChange = g.room
+	g.fl.DecideOrphan = g.decideUnbooked
 	g.readRecords, g.alone = s.readRecords, s.alone
 	return g
 }
 
 // room keeps the counts that the rules look at: of a job's tasks by zone and
 // machine. The caller holds mu.
-func (g *term) room(b *fleet.Booking, zone string, sign int) {
-	j, ok := b.Tag.(*job)
+func (g *term) room(b *fleet.Allocation, zone string, sign int) {
+	j, ok := b.Owner.(*job)
 	if !ok {
 		return
 	}
@@ -297,10 +297,10 @@
 	return nil
 }
 
-func (g *term) booking(j *job, index int, attempt uint64) *fleet.Booking {
+func (g *term) booking(j *job, index int, attempt uint64) *fleet.Allocation {
 	s := &j.spec
-	return &fleet.Booking{Tag: j, Task: fleet.TaskID{Job: j.uid, Index: index}, Attempt: attempt, Team: s.Team, Cores: s.Cores, Accel: s.Accelerators, RAM: s.RAM,
-		Bundle: s.Image, Priority: j.priority, Loaned: s.Preemptible, Stow: s.CheckpointGraceS, Saves: s.CheckpointIntervalS > 0, WithHeartbeat: j.unhurried()}
+	return &fleet.Allocation{Owner: j, Task: fleet.TaskID{Job: j.uid, Index: index}, Attempt: attempt, Team: s.Team, Cores: s.Cores, Accelerators: s.Accelerators, RAM: s.RAM,
+		Image: s.Image, Priority: j.priority, Preemptible: s.Preemptible, CheckpointGrace: s.CheckpointGraceS, Checkpoints: s.CheckpointIntervalS > 0, HeartbeatOnly: j.unhurried()}
 }
 
 // addJob takes an accepted job in. The caller holds mu.
@@ -392,7 +392,7 @@
 	delete(g.queue, j)
 	g.acquit(j)
 	if j.result != nil {
-		j.result.Settled = true // nobody has any use for it any more
+		j.result.ResultDurable = true // nobody has any use for it any more
 	}
 	for i := range j.tasks {
 		pc := &j.tasks[i]
@@ -420,25 +420,25 @@
 }
 
 // news takes in what the fleet has learned. The caller holds mu.
-func (g *term) news(list []fleet.News, now clock.Micros) {
+func (g *term) news(list []fleet.Event, now clock.Micros) {
 	for _, n := range list {
-		b := n.Booking
+		b := n.Allocation
 		if n.Gone && b.Adopted {
 			g.progress.Settle(b.Machine.Name, recovery.MachineGone, now)
 		}
 		j := g.jobs[b.Task.Job]
 		if j == nil || b.Task.Index >= len(j.tasks) {
-			b.Settled = true
+			b.ResultDurable = true
 			continue
 		}
 		pc := &j.tasks[b.Task.Index]
 		if pc.target == b {
 			pc.target = nil
-			b.Settled = true
+			b.ResultDurable = true
 			continue
 		}
 		if pc.booking != b {
-			b.Settled = true
+			b.ResultDurable = true
 			continue
 		}
 		if n.Started {
@@ -447,7 +447,7 @@
 			j.running++
 			g.met.Start(now - j.seen)
 			g.log.Debug("task started", "task", b.Task.String(), "class", j.spec.Class, "host", b.Machine.Name, "after", (now - j.seen).Seconds(),
-				"placed", (b.Since - j.seen).Seconds(), "fetch", (now - b.Since).Seconds())
+				"placed", (b.ReservedAt - j.seen).Seconds(), "fetch", (now - b.ReservedAt).Seconds())
 			continue
 		}
 		g.ended(j, pc, b, n.Gone, now)
@@ -455,9 +455,9 @@
 }
 
 // ended takes in the end of a task's attempt. The caller holds mu.
-func (g *term) ended(j *job, pc *task, b *fleet.Booking, gone bool, now clock.Micros) {
+func (g *term) ended(j *job, pc *task, b *fleet.Allocation, gone bool, now clock.Micros) {
 	unplace(pc)
-	if b.Running > 0 {
+	if b.RunningSince > 0 {
 		j.running--
 	}
 	c := j.touch(b.Task.Index)
@@ -466,7 +466,7 @@
 	}
 	if j.cancelled {
 		g.dirty[j.uid] = true
-		b.Settled = true
+		b.ResultDurable = true
 		return
 	}
 	g.later(j, now)
@@ -501,17 +501,17 @@
 		j.failures.good = true
 		// The start of an adopted attempt was not seen: it would look short, and
 		// every other machine slow beside it.
-		if b.Running > 0 && !b.Adopted {
-			g.observe(j, m, now-b.Running)
+		if b.RunningSince > 0 && !b.Adopted {
+			g.observe(j, m, now-b.RunningSince)
 		}
 		return
 	}
-	g.log.Debug("task ended", "task", b.Task.String(), "attempt", b.Attempt, "cause", cause, "host", m.Name, "halt", b.Halt)
+	g.log.Debug("task ended", "task", b.Task.String(), "attempt", b.Attempt, "cause", cause, "host", m.Name, "halt", b.Stopping)
 	switch cause {
 	case wire.CauseError:
 		ran := clock.Micros(0)
-		if b.Running > 0 {
-			ran = now - b.Running
+		if b.RunningSince > 0 {
+			ran = now - b.RunningSince
 		}
 		g.failed(j, pc, m, ran, now)
 	case wire.CauseFull, wire.CauseInUse, wire.CauseAlone:
@@ -523,7 +523,7 @@
 	if t := pc.target; t != nil {
 		// The source's stop is confirmed: the room booked at the target is taken up.
 		pc.target = nil
-		if !t.Ended && t.Session == t.Machine.Session && t.Machine.Banned == "" {
+		if !t.Ended && t.Incarnation == t.Machine.Incarnation && t.Machine.QuarantineReason == "" {
 			pc.state, pc.booking, pc.attempt = taskPlaced, t, t.Attempt
 			g.dirty[j.uid] = true
 			return
@@ -535,7 +535,7 @@
 		// Without this task the others cannot go on: they stop now, and the group
 		// is started again whole.
 		for i := range j.tasks {
-			if o := j.tasks[i].booking; o != nil && !o.Halt {
+			if o := j.tasks[i].booking; o != nil && !o.Stopping {
 				g.halt(j, o, now)
 			}
 		}
@@ -551,8 +551,8 @@
 func (g *term) observe(j *job, m *fleet.Machine, took clock.Micros) {
 	if j.ran.n >= 3 && j.ran.mean() > 0 {
 		ratio := float64(took) / float64(j.ran.mean())
-		m.Slow += (ratio - m.Slow) / float64(min(m.SlowN+2, 6))
-		m.SlowN++
+		m.Slowness += (ratio - m.Slowness) / float64(min(m.SlownessSamples+2, 6))
+		m.SlownessSamples++
 		g.touched[m] = true
 	}
 	j.ran.n++
@@ -589,7 +589,7 @@
 	if !fresh {
 		// A late copy, or a new process that counts from the start again: its lease
 		// is counted as renewed, and the worker itself is asked which it is.
-		g.fl.Answered(m, now, token)
+		g.fl.HeartbeatAnswered(m, now, token)
 		g.askOld(m, now)
 		return ans, true
 	}
@@ -605,15 +605,15 @@
 	}
 	g.news(news, now)
 	g.adoptShown(m, now)
-	g.fl.Answered(m, now, token)
+	g.fl.HeartbeatAnswered(m, now, token)
 	if len(news) > 0 {
 		g.wake()
 	}
 	scope := g.scope()
-	if scope == fleet.Everything && g.busy[m.Name] {
+	if scope == fleet.AllCommands && g.busy[m.Name] {
 		scope = fleet.NoRuns
 	}
-	ans.Commands = g.fl.Orders(m, now, true, scope)
+	ans.Commands = g.fl.Commands(m, now, true, scope)
 	return ans, true
 }
 
--- a/engine_test.go
+++ b/engine_test.go
@@ -847,7 +847,7 @@
 	g.fl.Machine("n-1").Endpoint = "127.0.0.1:1" // nobody answers there
 	for i := range 5 {                           // booting machines are not silent ones
 		m := g.fl.Ensure(fmt.Sprintf("n-9%d", i), g.ck.Now()+8*clock.Second)
-		m.Endpoint, m.Build, m.Zone, m.Listed = "127.0.0.1:1", "b", "x", wire.MachineBooting
+		m.Endpoint, m.Type, m.Zone, m.CloudStatus = "127.0.0.1:1", "b", "x", wire.MachineBooting
 	}
 	g.mu.Unlock()
 	for range 3 {
@@ -1001,7 +1001,7 @@
 	g.halt(j, j.tasks[0].booking, now) // never sent, so it is gone at once
 	g.fresh = true
 	g.plan(now)
-	if got := g.fl.Machine("n-1").Bookings(); got != 1 {
+	if got := g.fl.Machine("n-1").AllocationCount(); got != 1 {
 		t.Errorf("%d bookings of one task", got)
 	}
 	g.mu.Unlock()
--- a/failures.go
+++ b/failures.go
@@ -77,8 +77,8 @@
 	if len(t.faults) == 1 && t.faults[m.Name] == 1 {
 		t.probeAt = pc.notBefore
 	}
-	if unclear := g.unclear(m); unclear >= 2 && m.Banned == "" {
-		m.FailingUntil = now + failingFor
+	if unclear := g.unclear(m); unclear >= 2 && m.QuarantineReason == "" {
+		m.SuspendedUntil = now + failingFor
 		g.touched[m] = true
 	}
 	g.weigh(j, now)
@@ -96,7 +96,7 @@
 	}
 	j.pj.Shun[host] = true
 	t.shunned = append(t.shunned, host)
-	for len(t.shunned) > min(maxShunned, g.fl.Reporting()/2) {
+	for len(t.shunned) > min(maxShunned, g.fl.ReportingCount()/2) {
 		delete(j.pj.Shun, t.shunned[0])
 		t.shunned = t.shunned[1:]
 	}
@@ -135,13 +135,13 @@
 			n += k
 		}
 	}
-	if n < 2 || m.Banned != "" || g.fl.Machine(m.Name) != m {
+	if n < 2 || m.QuarantineReason != "" || g.fl.Machine(m.Name) != m {
 		return
 	}
 	lasting, young := false, false
-	m.Each(func(b *fleet.Booking) {
-		if b.Live() && b.Status == wire.TaskRunning && b.Running >= s.first {
-			lasts := m.LastHeartbeat-b.Running > lastsFor
+	m.EachAllocation(func(b *fleet.Allocation) {
+		if b.Live() && b.Status == wire.TaskRunning && b.RunningSince >= s.first {
+			lasts := m.LastHeartbeat-b.RunningSince > lastsFor
 			lasting, young = lasting || lasts, young || !lasts
 		}
 	})
@@ -150,9 +150,9 @@
 	case lasting:
 		delete(g.strikes, m)
 	case young:
-		m.FailingUntil = max(m.FailingUntil, now+lastsFor+clock.Second)
+		m.SuspendedUntil = max(m.SuspendedUntil, now+lastsFor+clock.Second)
 	default:
-		m.Banned = "sick"
+		m.QuarantineReason = "sick"
 		g.log.Info("machine is sick: its tasks fail", "host", m.Name, "strikes", n)
 	}
 }
@@ -188,7 +188,7 @@
 	enough := max(lastsFor, 2*j.failures.ranFor+clock.Second)
 	for i := range j.tasks {
 		b := j.tasks[i].booking
-		if b != nil && b.Status == wire.TaskRunning && b.Running > 0 && !b.Ended && b.Machine.Reported && b.Machine.LastHeartbeat-b.Running > enough {
+		if b != nil && b.Status == wire.TaskRunning && b.RunningSince > 0 && !b.Ended && b.Machine.Reported && b.Machine.LastHeartbeat-b.RunningSince > enough {
 			return true
 		}
 	}
@@ -226,8 +226,8 @@
 			delete(g.strikes, m)
 			g.touched[m] = true
 		}
-		if m.FailingUntil > 0 && g.unclear(m) < 2 {
-			m.FailingUntil = 0
+		if m.SuspendedUntil > 0 && g.unclear(m) < 2 {
+			m.SuspendedUntil = 0
 			g.touched[m] = true
 		}
 	}
--- a/failures_test.go
+++ b/failures_test.go
@@ -43,8 +43,8 @@
 
 func banned(g *term, ws []*standin.Worker) (out []string) {
 	for _, w := range ws {
-		if m := g.fl.Machine(w.Beats.Machine); m.Banned != "" {
-			out = append(out, m.Name+" "+m.Banned)
+		if m := g.fl.Machine(w.Beats.Machine); m.QuarantineReason != "" {
+			out = append(out, m.Name+" "+m.QuarantineReason)
 		}
 	}
 	return out
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -18,9 +18,9 @@
 var task0 = TaskID{Job: "j-1", Index: 0}
 
 // reserve books an attempt of a team without limits.
-func reserve(t testing.TB, f *Fleet, m *Machine, b *Booking, now clock.Micros) {
+func reserve(t testing.TB, f *Fleet, m *Machine, allocation *Allocation, now clock.Micros) {
 	t.Helper()
-	if err := f.Reserve(m, b, now); err != nil {
+	if err := f.Reserve(m, allocation, now); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -34,21 +34,21 @@
 }
 
 // booked is a fleet with one machine that has reported, and one recorded booking.
-func booked(t *testing.T) (*Fleet, *Machine, *Booking) {
+func booked(t *testing.T) (*Fleet, *Machine, *Allocation) {
 	t.Helper()
 	f := New(lease, report, 5, quota.NewLedger(nil))
 	f.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8, RAM: 32}}})
 	f.Report(1, rep(1, 1, 0), true)
 	m := f.Machine("n-1")
-	f.Answered(m, 1, 5)
-	b := &Booking{Task: task0, Attempt: 1, Session: 1, Cores: 2, RAM: 4}
-	reserve(t, f, m, b, 1)
-	b.Recorded = true
-	return f, m, b
+	f.HeartbeatAnswered(m, 1, 5)
+	allocation := &Allocation{Task: task0, Attempt: 1, Incarnation: 1, Cores: 2, RAM: 4}
+	reserve(t, f, m, allocation, 1)
+	allocation.Durable = true
+	return f, m, allocation
 }
 
-func gone(news []News) bool {
-	for _, n := range news {
+func gone(events []Event) bool {
+	for _, n := range events {
 		if n.Gone {
 			return true
 		}
@@ -59,15 +59,15 @@
 // The answer to a heartbeat is dead once a later heartbeat has come, not before: the
 // body of a /do made in between proves nothing.
 func TestAbsenceAfterBeatAnswer(t *testing.T) {
-	f, m, b := booked(t)
-	if o := f.Orders(m, 2, true, Everything); len(o) != 1 || o[0].Verb != wire.VerbRun {
+	f, m, allocation := booked(t)
+	if o := f.Commands(m, 2, true, AllCommands); len(o) != 1 || o[0].Verb != wire.VerbRun {
 		t.Fatalf("orders %v", o)
 	}
-	f.Stop(b, 0, 3)
-	if news, _ := f.Report(4, rep(1, 2, 5), false); gone(news) {
+	f.Stop(allocation, 0, 3)
+	if events, _ := f.Report(4, rep(1, 2, 5), false); gone(events) {
 		t.Fatal("freed by the body of a /do while a heartbeat's answer may be under way")
 	}
-	if news, _ := f.Report(5, rep(1, 3, 5), true); !gone(news) {
+	if events, _ := f.Report(5, rep(1, 3, 5), true); !gone(events) {
 		t.Fatal("not freed by a later heartbeat that does not show it")
 	}
 	if c, _, _ := m.Free(); c != 8 {
@@ -76,17 +76,17 @@
 }
 
 func TestDoubtEndsWithHigherToken(t *testing.T) {
-	f, m, b := booked(t)
-	fl := f.Launch(m, 2, 5, Everything)
-	f.Landed(fl, Open)
-	f.Stop(b, 0, 3)
-	if news, _ := f.Report(4, rep(1, 2, 5), true); gone(news) {
+	f, m, allocation := booked(t)
+	fl := f.PrepareCommand(m, 2, 5, AllCommands)
+	f.CommandCompleted(fl, OutcomeUnknown)
+	f.Stop(allocation, 0, 3)
+	if events, _ := f.Report(4, rep(1, 2, 5), true); gone(events) {
 		t.Fatal("absence believed under the token of the lost run")
 	}
-	if f.Doubts(4, 5) != 1 {
+	if f.UnfencedCount(4, 5) != 1 {
 		t.Error("no doubt counted")
 	}
-	if news, _ := f.Report(5, rep(1, 3, 6), true); !gone(news) {
+	if events, _ := f.Report(5, rep(1, 3, 6), true); !gone(events) {
 		t.Fatal("absence not believed after a higher token was seen")
 	}
 }
@@ -98,22 +98,22 @@
 	for _, tt := range []struct {
 		out    Outcome
 		forget bool
-	}{{Open, false}, {Executed, false}, {Void, true}} {
-		f, m, b := booked(t)
-		f.Landed(f.Launch(m, 2, 5, Everything), tt.out)
+	}{{OutcomeUnknown, false}, {OutcomeExecuted, false}, {OutcomeNotExecuted, true}} {
+		f, m, allocation := booked(t)
+		f.CommandCompleted(f.PrepareCommand(m, 2, 5, AllCommands), tt.out)
 		f.Report(3, rep(1, 2, 5, shown(wire.TaskEnded, wire.CauseDone)), false)
-		if !b.Ended || m.LiveCount() != 0 {
+		if !allocation.Ended || m.LiveCount() != 0 {
 			t.Fatal("end not taken in")
 		}
-		b.Settled = true
-		if o := f.Orders(m, 4, true, Everything); (len(o) == 1 && o[0].Verb == wire.VerbForget) != tt.forget {
+		allocation.ResultDurable = true
+		if o := f.Commands(m, 4, true, AllCommands); (len(o) == 1 && o[0].Verb == wire.VerbForget) != tt.forget {
 			t.Errorf("outcome %v: orders %v, forget: %t", tt.out, o, tt.forget)
 		}
-		if waits := f.Repeats(5); waits != (tt.out == Executed) {
+		if waits := f.ResultsAwaitFencing(5); waits != (tt.out == OutcomeExecuted) {
 			t.Errorf("outcome %v: waits for a higher token: %t", tt.out, waits)
 		}
 		f.Report(5, rep(1, 3, 6, shown(wire.TaskEnded, wire.CauseDone)), true)
-		if o := f.Orders(m, 6, true, Everything); len(o) != 1 || o[0].Verb != wire.VerbForget {
+		if o := f.Commands(m, 6, true, AllCommands); len(o) != 1 || o[0].Verb != wire.VerbForget {
 			t.Errorf("outcome %v: orders %v under a higher token, want forget", tt.out, o)
 		}
 	}
@@ -122,31 +122,31 @@
 // Results that wait on a worker to be forgotten must not outgrow its reports.
 func TestManyResultsPress(t *testing.T) {
 	f, m, _ := booked(t)
-	for i := range crowd + 1 {
-		if f.Crowded() {
+	for i := range maxUnforgottenResults + 1 {
+		if f.TakeReportOverloaded() {
 			t.Fatalf("presses after %d results", i)
 		}
-		b := &Booking{Task: TaskID{Job: "j-2", Index: i}, Attempt: 1, Session: 1}
-		reserve(t, f, m, b, 2)
-		f.release(b, 3)
+		allocation := &Allocation{Task: TaskID{Job: "j-2", Index: i}, Attempt: 1, Incarnation: 1}
+		reserve(t, f, m, allocation, 2)
+		f.release(allocation, 3)
 	}
-	if !f.Crowded() || f.Crowded() {
-		t.Errorf("does not press once after %d results", crowd+1)
+	if !f.TakeReportOverloaded() || f.TakeReportOverloaded() {
+		t.Errorf("does not press once after %d results", maxUnforgottenResults+1)
 	}
 }
 
 // An answer to a worker stays within 64 KiB; the next one goes on.
 func TestAnswersStaySmall(t *testing.T) {
 	f, m, _ := booked(t)
-	const n = 3 * maxOrders / 2
+	const n = 3 * maxCommands / 2
 	for i := range n {
-		b := &Booking{Task: TaskID{Job: "j-123456789", Index: 10000 + i}, Attempt: 123456, Session: 1, Cores: 0.001}
-		reserve(t, f, m, b, 2)
-		b.Recorded = true
+		allocation := &Allocation{Task: TaskID{Job: "j-123456789", Index: 10000 + i}, Attempt: 123456, Incarnation: 1, Cores: 0.001}
+		reserve(t, f, m, allocation, 2)
+		allocation.Durable = true
 	}
 	seen := 0
 	for tally := uint64(2); tally < 4; tally++ {
-		o := f.Orders(m, 3, true, Everything)
+		o := f.Commands(m, 3, true, AllCommands)
 		if raw, err := wire.Marshal(wire.HeartbeatResponse{Token: 5, Commands: o}); err != nil || len(raw) > wire.MaxBody {
 			t.Fatalf("%d orders take %d bytes", len(o), len(raw))
 		}
@@ -164,19 +164,19 @@
 
 // A stale or reordered report never overwrites a newer one.
 func TestOldReportsChangeNothing(t *testing.T) {
-	f, m, b := booked(t)
-	f.Orders(m, 2, true, Everything)
+	f, m, allocation := booked(t)
+	f.Commands(m, 2, true, AllCommands)
 	f.Report(3, rep(1, 9, 5, shown(wire.TaskRunning, "")), true)
 	for _, old := range []*wire.Heartbeat{rep(1, 8, 5), rep(1, 9, 5)} {
-		if news, fresh := f.Report(4, old, true); fresh || len(news) > 0 {
-			t.Fatalf("report %d/%d taken in: %v", old.Incarnation, old.Sequence, news)
+		if events, fresh := f.Report(4, old, true); fresh || len(events) > 0 {
+			t.Fatalf("report %d/%d taken in: %v", old.Incarnation, old.Sequence, events)
 		}
 	}
-	if b.Status != wire.TaskRunning {
+	if allocation.Status != wire.TaskRunning {
 		t.Error("state overwritten")
 	}
 	// A newer session ends it; then reports of the old one are stale whatever their tally.
-	if news, _ := f.Report(5, rep(2, 1, 5), true); !gone(news) {
+	if events, _ := f.Report(5, rep(2, 1, 5), true); !gone(events) {
 		t.Fatal("a new session did not free it")
 	}
 	if _, fresh := f.Report(6, rep(1, 50, 5, shown(wire.TaskRunning, "")), true); fresh {
@@ -186,21 +186,21 @@
 
 func TestLeaseCountsFromLastAnswer(t *testing.T) {
 	f, m, _ := booked(t)
-	f.Answered(m, 10*clock.Second, 5)
-	if gone(f.Expire(10*clock.Second + lease)) {
+	f.HeartbeatAnswered(m, 10*clock.Second, 5)
+	if gone(f.ExpireLeases(10*clock.Second + lease)) {
 		t.Fatal("freed at the lease without its drift")
 	}
-	if !gone(f.Expire(10*clock.Second + lease + clock.Second)) {
+	if !gone(f.ExpireLeases(10*clock.Second + lease + clock.Second)) {
 		t.Fatal("never freed")
 	}
-	if f.Launch(m, 40*clock.Second, 5, Everything) != nil {
+	if f.PrepareCommand(m, 40*clock.Second, 5, AllCommands) != nil {
 		t.Error("ordered into a session that must be over")
 	}
 }
 
 func TestReturnFreesAll(t *testing.T) {
 	f, _, _ := booked(t)
-	if !gone(f.Returned("n-1", 2)) || f.Machine("n-1") != nil {
+	if !gone(f.MachineReturned("n-1", 2)) || f.Machine("n-1") != nil {
 		t.Error("the return's 200 did not free the machine")
 	}
 }
@@ -209,17 +209,17 @@
 	f, m, _ := booked(t)
 	other := wire.TaskReport{Task: "j-9/4", Attempt: 3, Status: wire.TaskRunning}
 	f.Report(2, rep(1, 2, 0, other), true)
-	if o := f.Orders(m, 2, true, NoRuns); len(o) != 1 || o[0].Verb != wire.VerbStop {
+	if o := f.Commands(m, 2, true, NoRuns); len(o) != 1 || o[0].Verb != wire.VerbStop {
 		t.Fatalf("orders %v, want a halt", o)
 	}
 	other.Status = wire.TaskEnded
 	// Ended, but a predecessor's run may still be out until this term's token was seen.
 	f.Report(3, rep(1, 3, 4, other), true)
-	if o := f.Orders(m, 3, true, NoRuns); len(o) != 0 {
+	if o := f.Commands(m, 3, true, NoRuns); len(o) != 0 {
 		t.Fatalf("orders %v before the token was seen", o)
 	}
 	f.Report(4, rep(1, 4, 5, other), true)
-	if o := f.Orders(m, 4, true, NoRuns); len(o) != 1 || o[0].Verb != wire.VerbForget {
+	if o := f.Commands(m, 4, true, NoRuns); len(o) != 1 || o[0].Verb != wire.VerbForget {
 		t.Fatalf("orders %v, want forget", o)
 	}
 }
@@ -229,13 +229,13 @@
 func TestAdoptedRunIsRepeated(t *testing.T) {
 	f := New(lease, report, 5, quota.NewLedger(nil))
 	m := f.Ensure("n-1", 1)
-	b := &Booking{Task: task0, Attempt: 1, Session: 1, Cores: 2}
-	f.Adopt(m, b, 1)
+	allocation := &Allocation{Task: task0, Attempt: 1, Incarnation: 1, Cores: 2}
+	f.Adopt(m, allocation, 1)
 	f.Report(2, rep(1, 7, 4), true)
-	f.Answered(m, 2, 5)
+	f.HeartbeatAnswered(m, 2, 5)
 	f.Report(3, rep(1, 8, 5), true)
-	if o := f.Orders(m, 3, true, Everything); len(o) != 1 || o[0].Verb != wire.VerbRun || b.Ended {
-		t.Errorf("orders %v, ended %t", o, b.Ended)
+	if o := f.Commands(m, 3, true, AllCommands); len(o) != 1 || o[0].Verb != wire.VerbRun || allocation.Ended {
+		t.Errorf("orders %v, ended %t", o, allocation.Ended)
 	}
 }
 
@@ -251,16 +251,16 @@
 				f.Report(1, rep(2, 6, 4), true)
 			}
 			for _, session := range sessions {
-				f.Adopt(m, &Booking{Task: TaskID{Job: "j-1", Index: int(session)}, Attempt: 1, Session: session, Cores: 2}, 1)
+				f.Adopt(m, &Allocation{Task: TaskID{Job: "j-1", Index: int(session)}, Attempt: 1, Incarnation: session, Cores: 2}, 1)
 			}
-			if news, _ := f.Report(2, rep(2, 7, 4), true); len(news) > 0 {
-				t.Errorf("news %+v of what may be a copy from before the term", news)
+			if events, _ := f.Report(2, rep(2, 7, 4), true); len(events) > 0 {
+				t.Errorf("news %+v of what may be a copy from before the term", events)
 			}
-			news, _ := f.Report(3, rep(2, 8, 5), true)
-			if len(news) != 1 || !news[0].Gone || news[0].Booking.Session != 1 {
-				t.Errorf("news %+v, want that the attempt of the earlier session is gone", news)
+			events, _ := f.Report(3, rep(2, 8, 5), true)
+			if len(events) != 1 || !events[0].Gone || events[0].Allocation.Incarnation != 1 {
+				t.Errorf("news %+v, want that the attempt of the earlier session is gone", events)
 			}
-			if n := m.Bookings(); n != len(sessions)-1 {
+			if n := m.AllocationCount(); n != len(sessions)-1 {
 				t.Errorf("%d attempts are left, want %d", n, len(sessions)-1)
 			}
 		})
@@ -272,56 +272,56 @@
 func TestCopyFromBeforeTheRunFreesNothing(t *testing.T) {
 	heard := func(f *Fleet, tally uint64) { // the worker knows this term
 		f.Report(2, rep(1, tally, 5), true)
-		f.Answered(f.Machine("n-1"), 2, 5)
+		f.HeartbeatAnswered(f.Machine("n-1"), 2, 5)
 	}
 	tests := []struct {
 		name string
 		copy *wire.Heartbeat
-		run  func(f *Fleet, m *Machine, b *Booking)
+		run  func(f *Fleet, m *Machine, allocation *Allocation)
 	}{
-		{"run in a heartbeat's answer, then shown", rep(1, 3, 5), func(f *Fleet, m *Machine, _ *Booking) {
+		{"run in a heartbeat's answer, then shown", rep(1, 3, 5), func(f *Fleet, m *Machine, _ *Allocation) {
 			heard(f, 4)
-			f.Orders(m, 3, true, Everything)
+			f.Commands(m, 3, true, AllCommands)
 			f.Report(4, rep(1, 5, 5, shown(wire.TaskRunning, "")), true)
 		}},
-		{"run in a heartbeat's answer, stopped before it was shown", rep(1, 3, 5), func(f *Fleet, m *Machine, b *Booking) {
+		{"run in a heartbeat's answer, stopped before it was shown", rep(1, 3, 5), func(f *Fleet, m *Machine, allocation *Allocation) {
 			heard(f, 4)
-			f.Orders(m, 3, true, Everything)
-			f.Stop(b, 0, 4)
+			f.Commands(m, 3, true, AllCommands)
+			f.Stop(allocation, 0, 4)
 		}},
-		{"run in a /do that is under way", rep(1, 3, 5), func(f *Fleet, m *Machine, b *Booking) {
+		{"run in a /do that is under way", rep(1, 3, 5), func(f *Fleet, m *Machine, allocation *Allocation) {
 			heard(f, 2)
-			f.Launch(m, 3, 5, Everything)
-			f.Stop(b, 0, 4)
+			f.PrepareCommand(m, 3, 5, AllCommands)
+			f.Stop(allocation, 0, 4)
 		}},
-		{"run in a /do without an answer", rep(1, 3, 5), func(f *Fleet, m *Machine, b *Booking) {
+		{"run in a /do without an answer", rep(1, 3, 5), func(f *Fleet, m *Machine, allocation *Allocation) {
 			heard(f, 2)
-			f.Landed(f.Launch(m, 3, 5, Everything), Open)
-			f.Stop(b, 0, 4)
+			f.CommandCompleted(f.PrepareCommand(m, 3, 5, AllCommands), OutcomeUnknown)
+			f.Stop(allocation, 0, 4)
 		}},
-		{"run in a /do that was answered", rep(1, 3, 5), func(f *Fleet, m *Machine, _ *Booking) {
+		{"run in a /do that was answered", rep(1, 3, 5), func(f *Fleet, m *Machine, _ *Allocation) {
 			heard(f, 2)
-			fl := f.Launch(m, 3, 5, Everything)
-			f.Landed(fl, Executed)
+			fl := f.PrepareCommand(m, 3, 5, AllCommands)
+			f.CommandCompleted(fl, OutcomeExecuted)
 			f.Report(4, rep(1, 4, 5, shown(wire.TaskRunning, "")), false)
 		}},
-		{"an older session", rep(1, 9, 5), func(f *Fleet, m *Machine, _ *Booking) {
+		{"an older session", rep(1, 9, 5), func(f *Fleet, m *Machine, _ *Allocation) {
 			f.Report(3, rep(2, 1, 5), true)
-			b2 := &Booking{Task: task0, Attempt: 2, Session: 2, Cores: 2}
+			b2 := &Allocation{Task: task0, Attempt: 2, Incarnation: 2, Cores: 2}
 			reserve(t, f, m, b2, 3)
-			b2.Recorded = true
-			f.Orders(m, 3, true, Everything)
+			b2.Durable = true
+			f.Commands(m, 3, true, AllCommands)
 		}},
 	}
 	for _, tt := range tests {
-		f, m, b := booked(t)
-		tt.run(f, m, b)
-		live, session, tally := m.LiveCount(), m.Session, m.Tally
-		if news, _ := f.Report(6, tt.copy, true); gone(news) || m.LiveCount() != live {
+		f, m, allocation := booked(t)
+		tt.run(f, m, allocation)
+		live, session, tally := m.LiveCount(), m.Incarnation, m.Sequence
+		if events, _ := f.Report(6, tt.copy, true); gone(events) || m.LiveCount() != live {
 			t.Errorf("%s: freed by the copy", tt.name)
 		}
-		if m.Session < session || m.Session == session && m.Tally < tally {
-			t.Errorf("%s: reports went back from %d/%d to %d/%d", tt.name, session, tally, m.Session, m.Tally)
+		if m.Incarnation < session || m.Incarnation == session && m.Sequence < tally {
+			t.Errorf("%s: reports went back from %d/%d to %d/%d", tt.name, session, tally, m.Incarnation, m.Sequence)
 		}
 	}
 }
@@ -332,16 +332,16 @@
 	f := New(lease, report, 5, quota.NewLedger(nil))
 	f.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8, RAM: 32}}})
 	m := f.Ensure("n-1", 1)
-	b := &Booking{Task: task0, Attempt: 1, Session: 1, Cores: 2}
-	f.Adopt(m, b, 1)
-	if news, _ := f.Report(2, rep(1, 3, 4), true); gone(news) || !b.Live() {
+	allocation := &Allocation{Task: task0, Attempt: 1, Incarnation: 1, Cores: 2}
+	f.Adopt(m, allocation, 1)
+	if events, _ := f.Report(2, rep(1, 3, 4), true); gone(events) || !allocation.Live() {
 		t.Fatal("a copy from before the run proved it absent")
 	}
 	if m.Reported {
 		t.Error("a copy from before the term made the machine trusted")
 	}
 	f.Report(3, rep(1, 8, 5, shown(wire.TaskRunning, "")), true)
-	if !m.Reported || b.Status != wire.TaskRunning {
+	if !m.Reported || allocation.Status != wire.TaskRunning {
 		t.Error("a report under this term's token was not believed")
 	}
 }
@@ -359,10 +359,10 @@
 	if !m.Suspect || m.LastHeartbeat != 2 {
 		t.Fatalf("suspect %t, last heartbeat at %d after a report that may be late", m.Suspect, m.LastHeartbeat)
 	}
-	if got := f.Hush(late, 2*report); len(got) != 1 {
+	if got := f.SilentMachines(late, 2*report); len(got) != 1 {
 		t.Errorf("silent: %d machines, want 1", len(got))
 	}
-	f.Answers(late+1, m.Mark(), rep(1, 4, 5))
+	f.ProbeAnswered(late+1, m.ReportVersion(), rep(1, 4, 5))
 	if m.Suspect || m.LastHeartbeat != late+1 {
 		t.Error("still suspect after it answered a question")
 	}
@@ -372,22 +372,22 @@
 // heartbeats, tells it from late copies; what its predecessor ran is gone, except
 // what a copy of a run still under way might start.
 func TestNewProcessCountsAgain(t *testing.T) {
-	f, m, b := booked(t)
+	f, m, allocation := booked(t)
 	f.Report(2, rep(3, 40, 5), true)
-	sure := &Booking{Task: TaskID{Job: "j-2"}, Attempt: 1, Session: 3, Cores: 1}
-	doubtful := &Booking{Task: TaskID{Job: "j-3"}, Attempt: 1, Session: 3, Cores: 1}
+	sure := &Allocation{Task: TaskID{Job: "j-2"}, Attempt: 1, Incarnation: 3, Cores: 1}
+	doubtful := &Allocation{Task: TaskID{Job: "j-3"}, Attempt: 1, Incarnation: 3, Cores: 1}
 	reserve(t, f, m, sure, 3)
-	sure.Recorded = true
-	f.Orders(m, 3, true, Everything)
+	sure.Durable = true
+	f.Commands(m, 3, true, AllCommands)
 	reserve(t, f, m, doubtful, 3)
-	doubtful.Recorded = true
-	f.Landed(f.Launch(m, 3, 5, Everything), Open)
-	f.setDoubt(sure, 0, false)
+	doubtful.Durable = true
+	f.CommandCompleted(f.PrepareCommand(m, 3, 5, AllCommands), OutcomeUnknown)
+	f.setUnfenced(sure, 0, false)
 	if _, fresh := f.Report(4, rep(1, 1, 0), true); fresh {
 		t.Fatal("a report that counts lower was taken in as it came")
 	}
-	news := f.Answers(5, m.Mark(), rep(1, 2, 0))
-	if !gone(news) || sure.Live() || !doubtful.Live() {
+	events := f.ProbeAnswered(5, m.ReportVersion(), rep(1, 2, 0))
+	if !gone(events) || sure.Live() || !doubtful.Live() {
 		t.Fatalf("sure live %t, doubtful live %t", sure.Live(), doubtful.Live())
 	}
 	if m.Reported {
@@ -401,10 +401,10 @@
 		t.Fatal("in doubt, and freed")
 	}
 	f.Stop(doubtful, 0, 6)
-	if news, _ := f.Report(7, rep(1, 4, 6), true); !gone(news) {
+	if events, _ := f.Report(7, rep(1, 4, 6), true); !gone(events) {
 		t.Error("the doubt never ends")
 	}
-	_ = b
+	_ = allocation
 }
 
 // A worker began to count anew, and copies of what its earlier process reported come
@@ -427,35 +427,35 @@
 		t.Run(tt.name, func(t *testing.T) {
 			f, m, _ := booked(t)
 			f.Report(2, rep(tt.session, tt.tally, 5), true)
-			f.Answers(3, m.Mark(), rep(1, 2, 5))
-			b := &Booking{Task: TaskID{Job: "j-2"}, Attempt: 1, Session: 1, Cores: 1, WithHeartbeat: true}
-			reserve(t, f, m, b, 4)
-			b.Recorded = true
-			if fl := f.Launch(m, 4, 5, Everything); fl == nil || !fl.Runs() {
+			f.ProbeAnswered(3, m.ReportVersion(), rep(1, 2, 5))
+			allocation := &Allocation{Task: TaskID{Job: "j-2"}, Attempt: 1, Incarnation: 1, Cores: 1, HeartbeatOnly: true}
+			reserve(t, f, m, allocation, 4)
+			allocation.Durable = true
+			if fl := f.PrepareCommand(m, 4, 5, AllCommands); fl == nil || !fl.HasRuns() {
 				t.Fatal("its run waits for a heartbeat that may not be believed")
 			} else {
-				f.Landed(fl, Void)
+				f.CommandCompleted(fl, OutcomeNotExecuted)
 			}
 			runs := wire.TaskReport{Task: "j-2/0", Attempt: 1, Status: wire.TaskRunning}
-			f.Answers(5, m.Mark(), rep(1, 3, 5, runs))
-			if b.Running == 0 {
+			f.ProbeAnswered(5, m.ReportVersion(), rep(1, 3, 5, runs))
+			if allocation.RunningSince == 0 {
 				t.Fatal("the answer of the new process is not believed")
 			}
-			if news, fresh := f.Report(6, rep(tt.copied, tt.copiedAt, 5), true); fresh || gone(news) || !b.Live() {
-				t.Fatalf("the copy was believed: fresh %t, live %t", fresh, b.Live())
+			if events, fresh := f.Report(6, rep(tt.copied, tt.copiedAt, 5), true); fresh || gone(events) || !allocation.Live() {
+				t.Fatalf("the copy was believed: fresh %t, live %t", fresh, allocation.Live())
 			}
-			if f.Answers(7, m.Mark(), rep(1, 5, 5, runs)); !b.Live() || m.Session != 1 {
-				t.Fatalf("after a question: live %t, session %d", b.Live(), m.Session)
+			if f.ProbeAnswered(7, m.ReportVersion(), rep(1, 5, 5, runs)); !allocation.Live() || m.Incarnation != 1 {
+				t.Fatalf("after a question: live %t, session %d", allocation.Live(), m.Incarnation)
 			}
 			beyond := uint64(6)
 			if tt.session == 1 {
-				beyond = tt.tally + f.unseen() + 1
+				beyond = tt.tally + f.maxUnseenReports() + 1
 			}
 			if _, fresh := f.Report(8, rep(1, beyond, 5, runs), true); !fresh {
 				t.Error("beats of the new process are never believed again")
 			}
 			// Its next session is told by an answer.
-			if news := f.Answers(9, m.Mark(), rep(2, beyond+1, 5)); !gone(news) || b.Live() {
+			if events := f.ProbeAnswered(9, m.ReportVersion(), rep(2, beyond+1, 5)); !gone(events) || allocation.Live() {
 				t.Error("a later session of the new process does not free what ran before")
 			}
 		})
@@ -464,23 +464,23 @@
 
 // What is told to a deaf machine takes no effect although it reports.
 func TestDeaf(t *testing.T) {
-	f, m, b := booked(t)
+	f, m, allocation := booked(t)
 	f.Report(2, rep(1, 2, 5), true)
-	for tally := uint64(3); tally < 3+deafSigns; tally++ {
-		if m.Deaf() {
+	for tally := uint64(3); tally < 3+maxUnacknowledged; tally++ {
+		if m.NotAcknowledging() {
 			t.Fatalf("deaf after %d answers", tally-3)
 		}
-		f.Orders(m, 3, true, Everything)
+		f.Commands(m, 3, true, AllCommands)
 		f.Report(4, rep(1, tally, 5), true)
 	}
-	if !m.Deaf() {
+	if !m.NotAcknowledging() {
 		t.Fatal("not deaf though each answer had no effect")
 	}
-	if !b.Live() {
+	if !allocation.Live() {
 		t.Error("its task was freed without proof")
 	}
 	f.Report(5, rep(1, 20, 5, shown(wire.TaskRunning, "")), true)
-	if m.Deaf() {
+	if m.NotAcknowledging() {
 		t.Error("still deaf after it obeyed")
 	}
 }
@@ -496,30 +496,30 @@
 			name := fmt.Sprintf("n-%d", i)
 			f.Report(1, &wire.Heartbeat{Machine: name, Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 1, Token: 5}, true)
 			for k := range tasks {
-				b := &Booking{Task: TaskID{Job: "j-1", Index: i*tasks + k}, Attempt: 1, Session: 1, Cores: 1}
-				reserve(t, f, f.Machine(name), b, 1)
-				b.Recorded = true
+				allocation := &Allocation{Task: TaskID{Job: "j-1", Index: i*tasks + k}, Attempt: 1, Incarnation: 1, Cores: 1}
+				reserve(t, f, f.Machine(name), allocation, 1)
+				allocation.Durable = true
 				if i == 0 {
-					list = append(list, wire.TaskReport{Task: b.Task.String(), Attempt: 1, Status: wire.TaskRunning})
+					list = append(list, wire.TaskReport{Task: allocation.Task.String(), Attempt: 1, Status: wire.TaskRunning})
 				}
 			}
 		}
 		m := f.Machine("n-0")
-		f.Orders(m, 2, true, Everything)
+		f.Commands(m, 2, true, AllCommands)
 		raw, err := wire.Marshal(list)
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.Report(2, &wire.Heartbeat{Machine: "n-0", Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 2, Token: 5, RawTasks: raw}, true)
-		f.Visits = 0
+		f.Examined = 0
 		f.Report(3, &wire.Heartbeat{Machine: "n-0", Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 3, Token: 5, RawTasks: raw}, true)
-		f.Orders(m, 3, true, Everything)
-		plain = f.Visits
-		f.Visits = 0
-		f.Expire(4)
-		f.Hush(4, report)
-		f.Doubts(4, 5)
-		return plain, f.Visits
+		f.Commands(m, 3, true, AllCommands)
+		plain = f.Examined
+		f.Examined = 0
+		f.ExpireLeases(4)
+		f.SilentMachines(4, report)
+		f.UnfencedCount(4, 5)
+		return plain, f.Examined
 	}
 	sp, se := visits(10, 3)
 	lp, le := visits(2000, 30)
@@ -536,28 +536,28 @@
 func TestSignsOfDeafness(t *testing.T) {
 	f, m, _ := booked(t)
 	f.Report(2, rep(1, 2, 5, shown(wire.TaskRunning, "")), true)
-	for tally := uint64(3); tally < 3+deafSigns; tally++ {
-		f.Answered(m, 2, 6)
+	for tally := uint64(3); tally < 3+maxUnacknowledged; tally++ {
+		f.HeartbeatAnswered(m, 2, 6)
 		f.Report(3, rep(1, tally, 5, shown(wire.TaskRunning, "")), true)
 	}
-	if !m.Deaf() {
+	if !m.NotAcknowledging() {
 		t.Error("not deaf though it never showed the token it was told")
 	}
 	f.Report(4, rep(1, 20, 6, shown(wire.TaskRunning, "")), true)
-	if m.Deaf() {
+	if m.NotAcknowledging() {
 		t.Error("still deaf after it showed the token")
 	}
-	for range 2 * deafSigns {
-		f.Missed(m)
+	for range 2 * maxUnacknowledged {
+		f.CommandFailed(m)
 	}
-	if m.Deaf() {
+	if m.NotAcknowledging() {
 		t.Error("deaf on failed commands alone, though it may just be silent")
 	}
-	for tally := uint64(21); tally < 21+deafSigns; tally++ {
-		f.Missed(m)
+	for tally := uint64(21); tally < 21+maxUnacknowledged; tally++ {
+		f.CommandFailed(m)
 		f.Report(5, rep(1, tally, 6, shown(wire.TaskRunning, "")), true)
 	}
-	if !m.Deaf() {
+	if !m.NotAcknowledging() {
 		t.Error("not deaf though commands fail while its reports come")
 	}
 }
@@ -568,8 +568,8 @@
 	ledger := quota.NewLedger(map[string]quota.Limits{"team": {Limit: quota.NewAmount(4, 0)}})
 	f := New(lease, report, 5, ledger)
 	m := f.Ensure("n-1", 0)
-	attempt := func(index int) *Booking {
-		return &Booking{Task: TaskID{Job: "j-1", Index: index}, Attempt: 1, Session: 1, Team: "team", Cores: 2}
+	attempt := func(index int) *Allocation {
+		return &Allocation{Task: TaskID{Job: "j-1", Index: index}, Attempt: 1, Incarnation: 1, Team: "team", Cores: 2}
 	}
 	first, second := attempt(0), attempt(1)
 	reserve(t, f, m, first, 1)
@@ -577,10 +577,10 @@
 	if err := f.Reserve(m, attempt(2), 1); !errors.Is(err, quota.ErrOverLimit) {
 		t.Fatalf("a third task of 2 cores under a limit of 4: %v", err)
 	}
-	if m.Bookings() != 2 {
-		t.Fatalf("%d bookings, want 2", m.Bookings())
+	if m.AllocationCount() != 2 {
+		t.Fatalf("%d bookings, want 2", m.AllocationCount())
 	}
-	f.Confirm(first)
+	f.MarkDurable(first)
 	if got := first.Reservation().State(); got != quota.InDoubt {
 		t.Errorf("recorded and not shown: %v", got)
 	}
@@ -591,7 +591,7 @@
 	if err := f.Reserve(m, attempt(3), 2); !errors.Is(err, quota.ErrOverLimit) {
 		t.Fatalf("before the stopped task is proved gone: %v", err)
 	}
-	f.Expire(m.LeaseEnd + 1)
+	f.ExpireLeases(m.LeaseEnd + 1)
 	f.Remove(second, m.LeaseEnd+2) // proved gone a second time
 	if got := ledger.Usage("team").Total; got != (quota.Amount{}) {
 		t.Errorf("all is proved gone, and %+v is in use", got)
--- a/fleet/order_test.go
+++ b/fleet/order_test.go
@@ -75,32 +75,32 @@
 func (h history) play(order []int) (o outcome) {
 	f := New(lease, report, termToken, quota.NewLedger(nil))
 	f.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8, RAM: 32}}})
-	f.Decide = func(_ TaskID, sign recovery.Sign) recovery.Decision {
+	f.DecideOrphan = func(_ TaskID, sign recovery.Sign) recovery.Decision {
 		return recovery.Decide(recovery.Case{Job: recovery.JobUnrecorded, Attempt: recovery.AttemptOther, Sign: sign})
 	}
 	m := f.Ensure("n-1", 1)
-	var bookings []*Booking
+	var bookings []*Allocation
 	for i := range h.recorded {
-		b := &Booking{Task: TaskID{Job: "j-1", Index: i}, Attempt: 1, Session: 1, Cores: 1, RAM: 1}
-		f.Adopt(m, b, 1)
-		bookings = append(bookings, b)
+		allocation := &Allocation{Task: TaskID{Job: "j-1", Index: i}, Attempt: 1, Incarnation: 1, Cores: 1, RAM: 1}
+		f.Adopt(m, allocation, 1)
+		bookings = append(bookings, allocation)
 	}
 	now := clock.Micros(1)
 	for _, r := range order {
 		now += 100 * clock.Millisecond
 		copied := *h.reports[r]
 		f.Report(now, &copied, true)
-		f.Answered(m, now, termToken)
-		for _, order := range f.Orders(m, now, true, Everything) {
+		f.HeartbeatAnswered(m, now, termToken)
+		for _, order := range f.Commands(m, now, true, AllCommands) {
 			if order.Verb == wire.VerbStop {
 				o.Stopped = append(o.Stopped, order.Task)
 			}
 		}
 	}
-	for _, b := range bookings {
-		o.Live = append(o.Live, b.Live())
+	for _, allocation := range bookings {
+		o.Live = append(o.Live, allocation.Live())
 	}
-	o.Strange, o.Trusted = m.Unbooked(), m.Reported
+	o.Strange, o.Trusted = m.RunningOrphans(), m.Reported
 	return o
 }
 
--- a/fleetsize.go
+++ b/fleetsize.go
@@ -161,9 +161,9 @@
 			m.FirstSeen = now - clock.FromSeconds(h.HeldS)
 		}
 		if m.Zone == "" {
-			g.fl.Place(m, h.Endpoint, h.Type, h.Zone, h.Preemptible)
+			g.fl.Describe(m, h.Endpoint, h.Type, h.Zone, h.Preemptible)
 		}
-		m.Listed, m.ListedAt = h.Status, now
+		m.CloudStatus, m.ListedAt = h.Status, now
 	}
 	g.fl.SetCatalog(g.catalog)
 	for _, m := range g.fl.Machines() {
@@ -171,7 +171,7 @@
 			continue
 		}
 		quiet := m.LastHeartbeat == 0 || now-m.LastHeartbeat > 2*lag
-		if quiet && now-m.FirstSeen > 3*lag && now-m.ListedAt > 3*lag && m.Lapsed(now) && m.Bookings() == 0 {
+		if quiet && now-m.FirstSeen > 3*lag && now-m.ListedAt > 3*lag && m.LeaseExpired(now) && m.AllocationCount() == 0 {
 			g.fl.Drop(m.Name)
 		}
 	}
@@ -417,7 +417,7 @@
 		k := key{zone: s.Zone, builds: strings.Join(s.MachineTypes, " "), loaned: s.Preemptible}
 		fits := false
 		for h := range kinds {
-			if b, known := g.fl.Build(h.build); known && w.Holds(b, h.zone, h.loaned) {
+			if b, known := g.fl.MachineType(h.build); known && w.Holds(b, h.zone, h.loaned) {
 				fits = true
 				break
 			}
@@ -584,48 +584,48 @@
 	quiet, known := map[string]int{}, map[string]int{}
 	overdue, reconnecting := g.overdue(now), g.reconnecting(now)
 	for _, m := range g.fl.Machines() {
-		if m.Build == "" || !m.Reported && m.ListedAt == 0 && m.Bookings() == 0 {
+		if m.Type == "" || !m.Reported && m.ListedAt == 0 && m.AllocationCount() == 0 {
 			continue // nothing but an old report may speak of it
 		}
-		h := cloud.Held{Name: m.Name, Build: m.Build, Zone: m.Zone, Loaned: m.Loaned, Up: m.Reported, Cordoned: m.Cordoned,
+		h := cloud.Held{Name: m.Name, Build: m.Type, Zone: m.Zone, Loaned: m.Preemptible, Up: m.Reported, Cordoned: m.Cordoned,
 			UsedCores: m.UsedCores}
-		m.Each(func(b *fleet.Booking) {
+		m.EachAllocation(func(b *fleet.Allocation) {
 			if b.Live() {
 				h.Live++
-				if j, known := b.Tag.(*job); known && j.standing() {
+				if j, known := b.Owner.(*job); known && j.standing() {
 					h.Standing++
 				}
-				if !b.Loaned {
+				if !b.Preemptible {
 					h.Firm += b.Cores
 				}
 			}
 		})
 		if g.usable(m, now) {
 			h.Free.Cores, h.Free.Accel, h.Free.RAM = m.Free()
-		} else if b, known := g.fl.Build(m.Build); known && !h.Up {
+		} else if b, known := g.fl.MachineType(m.Type); known && !h.Up {
 			h.Free = cloud.Load{Cores: b.Cores, RAM: b.RAM, Accel: b.Accelerators}
 		}
-		h.Live += m.Unbooked()
-		if m.IdleFrom > 0 && m.Unbooked() == 0 {
-			h.Idle = now - m.IdleFrom
+		h.Live += m.RunningOrphans()
+		if m.IdleSince > 0 && m.RunningOrphans() == 0 {
+			h.Idle = now - m.IdleSince
 		}
 		// What was up and has been silent for two reports is replaced at once: a
 		// machine takes longer to boot than a lease to run out.
-		h.Lost = m.Banned != "" || m.Returning || m.Listed == wire.MachineFailed || m.Reported && (m.Hushed || m.Suspect) ||
-			!m.Reported && m.ListedAt > 0 && m.Listed != wire.MachineBooting && now-m.FirstSeen > silent ||
+		h.Lost = m.QuarantineReason != "" || m.Returning || m.CloudStatus == wire.MachineFailed || m.Reported && (m.Unresponsive || m.Suspect) ||
+			!m.Reported && m.ListedAt > 0 && m.CloudStatus != wire.MachineBooting && now-m.FirstSeen > silent ||
 			g.unheard[m] && !m.Reported && now-g.r.Since > 2*report+2*clock.Second && !reconnecting || overdue.CountedOut[m.Name]
 		held = append(held, h)
-		if g.unheard[m] && !m.Reported && now-g.r.Since > 2*report || m.Reported && (m.Hushed || m.Suspect) {
+		if g.unheard[m] && !m.Reported && now-g.r.Since > 2*report || m.Reported && (m.Unresponsive || m.Suspect) {
 			quiet[m.Zone]++
 			known[m.Zone]++
 		} else if m.Reported {
 			known[m.Zone]++
 		}
-		dead := m.Listed == wire.MachineFailed ||
+		dead := m.CloudStatus == wire.MachineFailed ||
 			overdue.GivenUp[m.Name] ||
 			m.Reported && now-max(m.LastHeartbeat, g.awake) > silent ||
-			!m.Reported && m.Listed == wire.MachineRunning && now-max(m.FirstSeen, g.r.Since, g.awake) > silent ||
-			(m.Banned == "sick" || m.Banned == "slow") && h.Live == 0 ||
+			!m.Reported && m.CloudStatus == wire.MachineRunning && now-max(m.FirstSeen, g.r.Since, g.awake) > silent ||
+			(m.QuarantineReason == "sick" || m.QuarantineReason == "slow") && h.Live == 0 ||
 			m.Returning
 		if dead && !m.Returning {
 			m.Returning = true
@@ -637,8 +637,8 @@
 	}
 	for _, p := range g.pending {
 		for h := range p.hosts {
-			if m := g.fl.Machine(h); m == nil || m.Build == "" {
-				b, _ := g.fl.Build(p.req.MachineType)
+			if m := g.fl.Machine(h); m == nil || m.Type == "" {
+				b, _ := g.fl.MachineType(p.req.MachineType)
 				held = append(held, cloud.Held{Name: h, Build: p.req.MachineType, Zone: p.req.Zone, Loaned: p.req.Preemptible,
 					Free: cloud.Load{Cores: b.Cores, RAM: b.RAM, Accel: b.Accelerators}})
 			}
@@ -661,7 +661,7 @@
 	var cores, idle [2]float64 // ordinary and loaned ones that count, and what of them is unused
 	for _, h := range held {
 		live += h.Live
-		if b, known := g.fl.Build(h.Build); known && !h.Lost && h.Up {
+		if b, known := g.fl.MachineType(h.Build); known && !h.Lost && h.Up {
 			kind := 0
 			if h.Loaned {
 				kind = 1
@@ -685,7 +685,7 @@
 	}
 	for _, name := range v.Return {
 		m := g.fl.Machine(name)
-		if m.LiveCount() == 0 && m.Unbooked() == 0 && m.Cordoned {
+		if m.LiveCount() == 0 && m.RunningOrphans() == 0 && m.Cordoned {
 			m.Returning = true
 			g.touched[m] = true
 			giveUp = append(giveUp, name)
@@ -759,7 +759,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, name := range names {
-		g.news(g.fl.Returned(name, now), now)
+		g.news(g.fl.MachineReturned(name, now), now)
 		if _, known := g.gone[name]; !known {
 			g.goneList = append(g.goneList, name)
 		}
@@ -822,12 +822,12 @@
 		return
 	}
 	delete(g.asked, m.Name)
-	g.boots.Up(now, now-asked, g.ready(m.Build))
+	g.boots.Up(now, now-asked, g.ready(m.Type))
 }
 
 // ready is how long a type takes to boot, by the catalogue.
 func (g *term) ready(build string) clock.Micros {
-	if b, ok := g.fl.Build(build); ok && b.BootS > 0 {
+	if b, ok := g.fl.MachineType(build); ok && b.BootS > 0 {
 		return clock.FromSeconds(b.BootS)
 	}
 	return 60 * clock.Second
@@ -839,8 +839,8 @@
 	// and on its way here.
 	settled := now-max(g.awake, g.r.Since) > 3*clock.FromSeconds(g.cfg.Facts.Cloud.ListLagS)
 	var booting []cloud.Booting
-	g.fl.All(func(m *fleet.Machine) {
-		if m.Reported || m.Listed != wire.MachineBooting || m.Returning || m.AnsweredAt > 0 {
+	g.fl.EachMachine(func(m *fleet.Machine) {
+		if m.Reported || m.CloudStatus != wire.MachineBooting || m.Returning || m.AnsweredAt > 0 {
 			return
 		}
 		from, rented := g.asked[m.Name]
@@ -849,7 +849,7 @@
 				return
 			}
 		}
-		booting = append(booting, cloud.Booting{Name: m.Name, Age: now - max(from, g.awake), Ready: g.ready(m.Build)})
+		booting = append(booting, cloud.Booting{Name: m.Name, Age: now - max(from, g.awake), Ready: g.ready(m.Type)})
 	})
 	overdue := g.boots.Judge(now, booting, g.op.Fleet.BootFactor)
 	if overdue.Late > 0 {
--- a/gap_test.go
+++ b/gap_test.go
@@ -311,7 +311,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { defer close(done); g.watchJobs(ctx, g.knows()) }()
-			for scope != fleet.Everything { // it reads at once, and without waiting
+			for scope != fleet.AllCommands { // it reads at once, and without waiting
 				g.mu.Lock()
 				scope = g.scope()
 				g.mu.Unlock()
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -766,8 +766,8 @@
 	slices.Reverse(copies) // the oldest comes last
 	all()
 	g.mu.Lock()
-	if m := g.fl.Machine("n-1"); m.Session != 2 || !m.Reported || m.LiveCount() != 1 {
-		t.Errorf("after copies came behind newer reports: session %d, trusted %t, %d tasks", m.Session, m.Reported, m.LiveCount())
+	if m := g.fl.Machine("n-1"); m.Incarnation != 2 || !m.Reported || m.LiveCount() != 1 {
+		t.Errorf("after copies came behind newer reports: session %d, trusted %t, %d tasks", m.Incarnation, m.Reported, m.LiveCount())
 	}
 	g.mu.Unlock()
 	if got := w.Live(); !slices.Equal(got, []string{"j-1/0"}) {
@@ -783,7 +783,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	bookings := 0
-	g.fl.All(func(m *fleet.Machine) { bookings += m.Bookings() })
+	g.fl.EachMachine(func(m *fleet.Machine) { bookings += m.AllocationCount() })
 	rows := 0
 	for _, k := range s.state.Keys(store.PrefixShared) {
 		var rec store.SharedRecord
--- a/model_test.go
+++ b/model_test.go
@@ -1376,9 +1376,9 @@
 	token, _ = g.el.HoldsLease()
 	text += fmt.Sprintf("token %d, on record %d; ", token, rec.Token)
 	for _, m := range g.fl.Machines() {
-		text += fmt.Sprintf("\n%s %s %s cores %v banned %q cordoned %v usable %v tally %d token %d unheard %d;", m.Name, m.Build, m.Zone, m.UsedCores, m.Banned, m.Cordoned,
-			g.usable(m, g.ck.Now()), m.Tally, m.Token, m.Unheard)
-		m.Each(func(b *fleet.Booking) { text += fmt.Sprintf("\n  %v#%d %+v", b.Task, b.Attempt, *b) })
+		text += fmt.Sprintf("\n%s %s %s cores %v banned %q cordoned %v usable %v tally %d token %d unheard %d;", m.Name, m.Type, m.Zone, m.UsedCores, m.QuarantineReason, m.Cordoned,
+			g.usable(m, g.ck.Now()), m.Sequence, m.Token, m.Unacknowledged)
+		m.EachAllocation(func(b *fleet.Allocation) { text += fmt.Sprintf("\n  %v#%d %+v", b.Task, b.Attempt, *b) })
 	}
 	return text
 }
--- a/picture.go
+++ b/picture.go
@@ -13,28 +13,28 @@
 
 // usable tells whether a machine may be given tasks.
 func (g *term) usable(m *fleet.Machine, now clock.Micros) bool {
-	return m.Reported && !m.Suspect && !m.Hushed && m.Unbooked() == 0 && m.Cores > 0 && !m.Lapsed(now) && !m.Returning && m.WarnUntil == 0 && m.FailingUntil <= now
+	return m.Reported && !m.Suspect && !m.Unresponsive && m.RunningOrphans() == 0 && m.Cores > 0 && !m.LeaseExpired(now) && !m.Returning && m.PreemptionAt == 0 && m.SuspendedUntil <= now
 }
 
 // judge bans a machine that has a notice, is slow or does not hear, and lifts
 // the ban when its reason ends. The caller holds mu.
 func (g *term) judge(m *fleet.Machine) {
-	if m.Banned == banDeaf && !m.Deaf() {
-		m.Banned = ""
+	if m.QuarantineReason == banDeaf && !m.NotAcknowledging() {
+		m.QuarantineReason = ""
 		g.deaf--
 		g.log.Info("machine hears again", "host", m.Name)
 	}
 	switch {
-	case m.WarnUntil > 0 && m.Banned == "":
-		m.Banned = "notice"
-	case m.WarnUntil == 0 && m.Banned == "notice":
-		m.Banned = ""
-	case m.Banned == "" && m.SlowN >= 3 && m.Slow > 1.6:
-		m.Banned = "slow"
-		g.log.Info("machine is slow", "host", m.Name, "factor", fmt.Sprintf("%.2f", m.Slow))
+	case m.PreemptionAt > 0 && m.QuarantineReason == "":
+		m.QuarantineReason = "notice"
+	case m.PreemptionAt == 0 && m.QuarantineReason == "notice":
+		m.QuarantineReason = ""
+	case m.QuarantineReason == "" && m.SlownessSamples >= 3 && m.Slowness > 1.6:
+		m.QuarantineReason = "slow"
+		g.log.Info("machine is slow", "host", m.Name, "factor", fmt.Sprintf("%.2f", m.Slowness))
 	}
-	if m.Deaf() && m.Banned == "" {
-		m.Banned = banDeaf
+	if m.NotAcknowledging() && m.QuarantineReason == "" {
+		m.QuarantineReason = banDeaf
 		g.deaf++
 		g.log.Info("machine is deaf: it reports, but nothing told to it takes effect", "host", m.Name)
 	}
@@ -50,9 +50,9 @@
 func (g *term) refresh(m *fleet.Machine, now clock.Micros) (again bool) {
 	pm := g.pic.Machine(m.Name)
 	if g.fl.Machine(m.Name) != m {
-		if m.Banned == banDeaf {
+		if m.QuarantineReason == banDeaf {
 			g.deaf--
-			m.Banned = ""
+			m.QuarantineReason = ""
 		}
 		if g.fl.Machine(m.Name) == nil && pm != nil {
 			g.pic.Drop(m.Name)
@@ -62,8 +62,8 @@
 		delete(g.strikes, m)
 		return false
 	}
-	if m.FailingUntil > 0 && m.FailingUntil <= now {
-		m.FailingUntil = 0
+	if m.SuspendedUntil > 0 && m.SuspendedUntil <= now {
+		m.SuspendedUntil = 0
 		g.sicken(m, now)
 	}
 	g.judge(m)
@@ -71,9 +71,9 @@
 		pm = &plan.Machine{Name: m.Name, Images: map[string]plan.Image{}}
 	}
 	c, a, r := m.Free()
-	pm.Build, pm.Zone, pm.Loaned, pm.Cores, pm.Accel, pm.RAM = m.Build, m.Zone, m.Loaned, c, a, r
-	pm.Usable, pm.Banned, pm.Cordoned, pm.Held = g.usable(m, now), m.Banned, m.Cordoned, g.holds[m.Name]
-	if b, known := g.fl.Build(m.Build); known {
+	pm.Build, pm.Zone, pm.Loaned, pm.Cores, pm.Accel, pm.RAM = m.Type, m.Zone, m.Preemptible, c, a, r
+	pm.Usable, pm.Banned, pm.Cordoned, pm.Held = g.usable(m, now), m.QuarantineReason, m.Cordoned, g.holds[m.Name]
+	if b, known := g.fl.MachineType(m.Type); known {
 		pm.Fetch = b.FetchGBs
 	}
 	for b := range pm.Images {
@@ -88,30 +88,30 @@
 		}
 	}
 	pm.Struck = g.strikes[m] != nil
-	again = m.FailingUntil > now // looked at again when that is over
+	again = m.SuspendedUntil > now // looked at again when that is over
 	pm.StopCores, pm.StopAccel, pm.StopRAM = 0, 0, 0
 	pm.Lower = pm.Lower[:0]
 	guarantees := g.quota.Guarantees()
-	m.Each(func(b *fleet.Booking) {
+	m.EachAllocation(func(b *fleet.Allocation) {
 		if !b.Live() {
 			return
 		}
-		if b.Halt {
+		if b.Stopping {
 			// One that does not obey leaves room that may be long in coming.
-			if now-b.HaltAt <= stopSoon {
+			if now-b.StopRequestedAt <= stopSoon {
 				again = true
 				pm.StopCores += b.Cores
-				pm.StopAccel += b.Accel
+				pm.StopAccel += b.Accelerators
 				pm.StopRAM += b.RAM
 			}
 			return
 		}
-		j, ok := b.Tag.(*job)
+		j, ok := b.Owner.(*job)
 		if !ok || j.standing() && !guarantees || j.group() || j.cancelled || j.spared && len(j.tasks)-j.done-len(j.waiting) <= plan.AgedTasks || j.tasks[b.Task.Index].booking != b {
 			return
 		}
 		pm.Lower = append(pm.Lower, plan.Victim{Task: plan.TaskID{Job: j.uid, Index: b.Task.Index}, Job: j.pj, Priority: j.priority,
-			Cores: b.Cores, Accel: b.Accel, RAM: b.RAM, Since: b.Running, Replica: j.standing()})
+			Cores: b.Cores, Accel: b.Accelerators, RAM: b.RAM, Since: b.RunningSince, Replica: j.standing()})
 	})
 	slices.SortStableFunc(pm.Lower, func(a, b plan.Victim) int {
 		// Least progress first: not begun, then begun last. Replicas come after all else.
@@ -145,7 +145,7 @@
 
 // avoidsStruck tells whether jobs on trial keep away from machines on which
 // anything has failed: not where that is most of them. The caller holds mu.
-func (g *term) avoidsStruck() bool { return 2*len(g.strikes) < g.fl.Reporting() }
+func (g *term) avoidsStruck() bool { return 2*len(g.strikes) < g.fl.ReportingCount() }
 
 // picture readies the picture for a plan: it lists the tasks that wait. The
 // caller holds mu.
@@ -160,7 +160,7 @@
 	wall := g.ck.Wall()
 	const perPass = 400 // tasks of one job offered to one pass
 	low := g.allowance(now)
-	unbooked := g.fl.HasUnbooked()
+	unbooked := g.fl.HasOrphans()
 	for j := range g.queue {
 		j.prune()
 		if j.cancelled || len(j.waiting) == 0 {
@@ -185,7 +185,7 @@
 		idx := make([]int, 0, min(len(tries), most))
 		lost := false
 		for _, i := range tries {
-			if j.tasks[i].notBefore > now || unbooked && g.fl.MayRunUnbooked(fleet.TaskID{Job: j.uid, Index: i}, now) {
+			if j.tasks[i].notBefore > now || unbooked && g.fl.MayRunAsOrphan(fleet.TaskID{Job: j.uid, Index: i}, now) {
 				continue
 			}
 			idx = append(idx, i)
@@ -295,9 +295,9 @@
 		machines = slices.Concat(machines[at:], machines[:at])
 	}
 	for _, m := range machines {
-		m.Each(func(b *fleet.Booking) {
-			j, known := b.Tag.(*job)
-			if !b.Live() || b.Halt || !known || j.cancelled || j.group() {
+		m.EachAllocation(func(b *fleet.Allocation) {
+			j, known := b.Owner.(*job)
+			if !b.Live() || b.Stopping || !known || j.cancelled || j.group() {
 				return
 			}
 			pc := &j.tasks[b.Task.Index]
@@ -306,9 +306,9 @@
 			}
 			reason := ""
 			switch {
-			case m.Banned != "" && (j.standing() || b.Saves || m.Banned == "sick"):
+			case m.QuarantineReason != "" && (j.standing() || b.Checkpoints || m.QuarantineReason == "sick"):
 				reason = plan.ReasonBan
-			case m.Cordoned && j.standing() && now-b.Since > settled:
+			case m.Cordoned && j.standing() && now-b.ReservedAt > settled:
 				reason = plan.ReasonDrain
 			case j.standing() && j.pj.Machines[m.Name] > 1 && sharing > 0:
 				reason = plan.ReasonSpread
--- a/record.go
+++ b/record.go
@@ -35,8 +35,8 @@
 	j        *job          // whose tasks it holds, or
 	shared   *sharedRecord // the record that it is of
 	seq      uint64
-	recorded []*fleet.Booking
-	ended    []*fleet.Booking
+	recorded []*fleet.Allocation
+	ended    []*fleet.Allocation
 	deleted  bool
 }
 
@@ -215,8 +215,8 @@
 		case pc.state == taskDone:
 			done[i-base] = true
 		case pc.booking != nil:
-			runs = append(runs, store.TaskAttempt{Index: i - base, Attempt: pc.attempt, Machine: pc.booking.Machine.Name, Incarnation: pc.booking.Session})
-			if !pc.booking.Recorded {
+			runs = append(runs, store.TaskAttempt{Index: i - base, Attempt: pc.attempt, Machine: pc.booking.Machine.Name, Incarnation: pc.booking.Incarnation})
+			if !pc.booking.Durable {
 				wr.recorded = append(wr.recorded, pc.booking)
 			}
 		case pc.attempt > 0:
@@ -243,8 +243,8 @@
 		pc := &j.tasks[0]
 		switch {
 		case pc.booking != nil:
-			rec.Rows = append(rec.Rows, store.SharedRow{UID: j.uid, Attempt: pc.attempt, Machine: pc.booking.Machine.Name, Incarnation: pc.booking.Session})
-			if !pc.booking.Recorded && !j.cancelled {
+			rec.Rows = append(rec.Rows, store.SharedRow{UID: j.uid, Attempt: pc.attempt, Machine: pc.booking.Machine.Name, Incarnation: pc.booking.Incarnation})
+			if !pc.booking.Durable && !j.cancelled {
 				wr.recorded = append(wr.recorded, pc.booking)
 				when = append(when, wire.Condition{Key: store.JobKey(j.uid), ModRevision: j.stamp})
 			}
@@ -399,11 +399,11 @@
 		}
 		c.stamp, c.saved = epoch, wr.seq
 		for _, b := range wr.recorded {
-			g.fl.Confirm(b)
+			g.fl.MarkDurable(b)
 			g.toTell[b.Machine] = true
 		}
 		for _, b := range wr.ended {
-			b.Settled = true
+			b.ResultDurable = true
 		}
 		switch {
 		case c.seq == c.saved:
@@ -416,11 +416,11 @@
 	for _, j := range w.over {
 		g.finalMoves = append(g.finalMoves, &finalMove{uid: j.uid, stamp: epoch, rec: store.NewFinalRecord(&j.spec, wire.JobDone, w.nonce), shared: j.shared})
 		if j.result != nil {
-			j.result.Settled = true
+			j.result.ResultDurable = true
 		}
 		for n := range j.chunks {
 			for _, b := range j.chunks[n].ending {
-				b.Settled = true
+				b.ResultDurable = true
 			}
 			j.chunks[n].ending = nil
 		}
@@ -440,7 +440,7 @@
 	for _, j := range s.jobs {
 		switch b := j.tasks[0].booking; {
 		case j.cancelled:
-		case b != nil && !b.Recorded || j.done == 1:
+		case b != nil && !b.Durable || j.done == 1:
 			g.dirty[j.uid] = true
 		}
 	}
@@ -463,7 +463,7 @@
 		}
 		base := n * store.TasksPerChunk
 		for i := base; i < min(base+store.TasksPerChunk, len(j.tasks)); i++ {
-			if b := j.tasks[i].booking; b != nil && !b.Recorded {
+			if b := j.tasks[i].booking; b != nil && !b.Durable {
 				g.dirty[j.uid] = true
 				return
 			}
@@ -551,7 +551,7 @@
 		g.dirty[wr.j.uid] = true
 		if wr.j.cancelled {
 			for _, b := range c.ending {
-				b.Settled = true
+				b.ResultDurable = true
 			}
 			c.ending = nil
 		}
--- a/recover.go
+++ b/recover.go
@@ -260,7 +260,7 @@
 	m.LeaseEnd = max(m.LeaseEnd, now+g.predecessorsLease())
 	g.progress.Await(m.Name, m.LeaseEnd)
 	b := g.booking(j, index, p.Attempt)
-	b.Session = p.Incarnation
+	b.Incarnation = p.Incarnation
 	g.fl.Adopt(m, b, now)
 	if j.cancelled {
 		g.fl.Stop(b, 0, now)
@@ -319,7 +319,7 @@
 		attempt uint64
 	}
 	var found []shown
-	g.fl.EachUnbooked(m, func(task fleet.TaskID, attempt uint64, sign recovery.Sign) {
+	g.fl.EachOrphan(m, func(task fleet.TaskID, attempt uint64, sign recovery.Sign) {
 		if d := g.decideUnbooked(task, sign); d == recovery.Adopt || d == recovery.TakeResult {
 			found = append(found, shown{task, attempt})
 		}
@@ -332,10 +332,10 @@
 		}
 		g.reveal(j, s.task.Index)
 		b := g.booking(j, s.task.Index, s.attempt)
-		b.Session = m.Session
-		g.fl.Book(m, b, now)
+		b.Incarnation = m.Incarnation
+		g.fl.AdoptOrphan(m, b, now)
 		pc.state, pc.booking, pc.attempt = taskPlaced, b, s.attempt
-		if b.Running > 0 {
+		if b.RunningSince > 0 {
 			j.running++
 		}
 		j.touch(s.task.Index)
@@ -377,9 +377,9 @@
 // answer to a question shows what runs, but refuses no older command. The caller holds mu.
 func (g *term) allAccounted(now clock.Micros) bool {
 	accounted := true
-	g.fl.All(func(m *fleet.Machine) {
-		trusted := m.Reported && !m.Suspect && !m.Hushed && m.Token >= g.r.Token
-		if !trusted && m.AnsweredAt > 0 && !m.Lapsed(now) {
+	g.fl.EachMachine(func(m *fleet.Machine) {
+		trusted := m.Reported && !m.Suspect && !m.Unresponsive && m.Token >= g.r.Token
+		if !trusted && m.AnsweredAt > 0 && !m.LeaseExpired(now) {
 			accounted = false
 		}
 	})
@@ -444,10 +444,10 @@
 // stopsUnbooked tells whether a machine shows a task to stop that is not on the books. The
 // caller holds mu.
 func (g *term) stopsUnbooked(m *fleet.Machine) (stops bool) {
-	if m.Unbooked() == 0 {
+	if m.RunningOrphans() == 0 {
 		return false
 	}
-	g.fl.EachUnbooked(m, func(task fleet.TaskID, _ uint64, sign recovery.Sign) {
+	g.fl.EachOrphan(m, func(task fleet.TaskID, _ uint64, sign recovery.Sign) {
 		stops = stops || g.decideUnbooked(task, sign) == recovery.Stop
 	})
 	return stops
@@ -510,7 +510,7 @@
 func (g *term) shown(uid string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.fl.ShowingUnbooked(uid)) > 0
+	return len(g.fl.MachinesWithOrphansOf(uid)) > 0
 }
 
 // wantedJobs takes the jobs that are to be read.
@@ -552,7 +552,7 @@
 	case g.jobs[uid] == nil:
 		g.lookups[uid] = lookup{state: state, at: now}
 	}
-	for _, m := range g.fl.ShowingUnbooked(uid) {
+	for _, m := range g.fl.MachinesWithOrphansOf(uid) {
 		g.toTell[m] = true
 	}
 	g.wake()
@@ -619,7 +619,7 @@
 	g.progress.Fill(&r, g.ck.Now())
 	g.countAttempts(&r.Attempts)
 	var unrecorded []recovery.Unrecorded
-	g.fl.AllUnbooked(func(m *fleet.Machine, task fleet.TaskID, attempt uint64) {
+	g.fl.EachRunningOrphan(func(m *fleet.Machine, task fleet.TaskID, attempt uint64) {
 		unrecorded = append(unrecorded, recovery.Unrecorded{Task: task.String(), Attempt: attempt, Machine: m.Name, Zone: m.Zone,
 			Why: g.decideUnbooked(task, recovery.SignRunning).String()})
 	})
@@ -629,9 +629,9 @@
 
 // countAttempts counts the attempts on the books by state. The caller holds mu.
 func (g *term) countAttempts(counts *recovery.AttemptCounts) {
-	g.fl.All(func(m *fleet.Machine) {
+	g.fl.EachMachine(func(m *fleet.Machine) {
 		awaited := g.progress.Awaited(m.Name)
-		m.Each(func(b *fleet.Booking) {
+		m.EachAllocation(func(b *fleet.Allocation) {
 			switch {
 			case !b.Live():
 			case b.Adopted && awaited:
--- a/rules_test.go
+++ b/rules_test.go
@@ -211,15 +211,15 @@
 		deliver(t, g, w.Report())
 		s.settle(g)
 	}
-	if s.usable(g, "n-1") && g.fl.Machine("n-1").Banned == "" {
+	if s.usable(g, "n-1") && g.fl.Machine("n-1").QuarantineReason == "" {
 		t.Fatal("not banned")
 	}
 	w.Unreachable(false)
 	heartbeat(t, g, w)
 	heartbeat(t, g, w)
 	s.settle(g)
-	if !s.usable(g, "n-1") || g.fl.Machine("n-1").Banned != "" || len(w.Starts()) != 1 {
-		t.Errorf("banned %q after it heard again, starts %v", g.fl.Machine("n-1").Banned, w.Starts())
+	if !s.usable(g, "n-1") || g.fl.Machine("n-1").QuarantineReason != "" || len(w.Starts()) != 1 {
+		t.Errorf("banned %q after it heard again, starts %v", g.fl.Machine("n-1").QuarantineReason, w.Starts())
 	}
 }
 
--- a/silence.go
+++ b/silence.go
@@ -66,8 +66,8 @@
 		return
 	}
 	var silent []*fleet.Machine
-	for _, m := range g.fl.Hush(now, report+report/4+300*clock.Millisecond) {
-		if !m.Returning && !m.Lapsed(now) {
+	for _, m := range g.fl.SilentMachines(now, report+report/4+300*clock.Millisecond) {
+		if !m.Returning && !m.LeaseExpired(now) {
 			silent = append(silent, m)
 		}
 	}
@@ -76,9 +76,9 @@
 	// not silent; counting them once kept a hung one from being returned.
 	if now-g.r.Since > 2*report+2*clock.Second {
 		for m := range g.unheard {
-			if m.Reported || m.Bookings() == 0 || g.fl.Machine(m.Name) != m {
+			if m.Reported || m.AllocationCount() == 0 || g.fl.Machine(m.Name) != m {
 				delete(g.unheard, m)
-			} else if m.Endpoint != "" && !m.Returning && !m.Lapsed(now) {
+			} else if m.Endpoint != "" && !m.Returning && !m.LeaseExpired(now) {
 				silent = append(silent, m)
 			}
 		}
@@ -119,7 +119,7 @@
 	for _, m := range silent {
 		quiet[m.Zone]++
 	}
-	g.fl.All(func(m *fleet.Machine) {
+	g.fl.EachMachine(func(m *fleet.Machine) {
 		if m.Reported || g.unheard[m] {
 			all[m.Zone]++
 		}
@@ -128,7 +128,7 @@
 	var names []string
 	for m := range g.mute {
 		switch {
-		case g.fl.Machine(m.Name) != m || m.Returning || m.Mute < muteAfter || !g.hasReplica(m):
+		case g.fl.Machine(m.Name) != m || m.Returning || m.UnansweredProbes < muteAfter || !g.hasReplica(m):
 			delete(g.mute, m)
 		case cut[m.Zone] && m.Reported:
 		case len(names) < wire.MaxReturnPerRequest:
@@ -148,8 +148,8 @@
 // deafOnes finds the machines that are banned as deaf. The caller holds mu.
 func (g *term) deafOnes() map[string]*fleet.Machine {
 	out := map[string]*fleet.Machine{}
-	g.fl.All(func(m *fleet.Machine) {
-		if m.Banned == banDeaf {
+	g.fl.EachMachine(func(m *fleet.Machine) {
+		if m.QuarantineReason == banDeaf {
 			out[m.Name] = m
 		}
 	})
@@ -159,8 +159,8 @@
 // hasReplica tells whether a replica may be on a machine. The caller holds mu.
 func (g *term) hasReplica(m *fleet.Machine) bool {
 	found := false
-	m.Each(func(b *fleet.Booking) {
-		j, known := b.Tag.(*job)
+	m.EachAllocation(func(b *fleet.Allocation) {
+		j, known := b.Owner.(*job)
 		found = found || b.Live() && known && j.standing() && !j.cancelled
 	})
 	return found
@@ -210,8 +210,8 @@
 	}
 	m.Probing = true
 	g.probes++
-	g.log.Debug("worker is asked for its report", "host", m.Name, "silent", (g.ck.Now() - m.LastHeartbeat).Seconds(), "mute", m.Mute)
-	go g.probe(g.ctx, m, m.Endpoint, m.Mark())
+	g.log.Debug("worker is asked for its report", "host", m.Name, "silent", (g.ck.Now() - m.LastHeartbeat).Seconds(), "mute", m.UnansweredProbes)
+	go g.probe(g.ctx, m, m.Endpoint, m.ReportVersion())
 }
 
 func (g *term) probe(ctx context.Context, m *fleet.Machine, endpoint string, known wire.ReportVersion) {
@@ -226,15 +226,15 @@
 	switch {
 	case ctx.Err() != nil || g.fl.Machine(m.Name) != m:
 	case err == nil && rep.Machine == m.Name:
-		g.news(g.fl.Answers(now, known, rep), now)
+		g.news(g.fl.ProbeAnswered(now, known, rep), now)
 		g.adoptShown(m, now)
-		if m.CountsAnew() {
+		if m.Restarted() {
 			g.toTell[m] = true
 		}
 	case now-m.LastHeartbeat < report && !m.Suspect, !m.Reported && !m.Suspect && now-m.AnsweredAt < report:
 		// It reports, trusted or not yet: only this question was lost.
 	default:
-		if m.Mute++; m.Mute >= muteAfter {
+		if m.UnansweredProbes++; m.UnansweredProbes >= muteAfter {
 			g.mute[m] = true
 		}
 	}
@@ -254,7 +254,7 @@
 // cutAfter is how long no heartbeat may come before the leader gives up. A new
 // leader waits longer, since its workers have yet to find it. The caller holds mu.
 func (g *term) cutAfter(report clock.Micros) clock.Micros {
-	if g.fl.Reporting() >= manyReport && g.heard > max(g.r.Since, g.awake) {
+	if g.fl.ReportingCount() >= manyReport && g.heard > max(g.r.Since, g.awake) {
 		return report + report/4 + 2*clock.Second
 	}
 	return cutReports*report + clock.Second
@@ -266,7 +266,7 @@
 func (g *term) hearsNobody(now clock.Micros) bool {
 	report := clock.FromSeconds(g.cfg.Facts.Workers.ReportS)
 	quiet := now - max(g.heard, g.r.Since, g.awake)
-	switch n := g.fl.Reporting(); {
+	switch n := g.fl.ReportingCount(); {
 	case n == 0:
 		return len(g.unheard) >= 2 && quiet > report // nor did any find this new leader
 	case n >= manyReport:
@@ -299,8 +299,8 @@
 
 // expected counts the machines that ought to report. The caller holds mu.
 func (g *term) expected() (n int) {
-	g.fl.All(func(m *fleet.Machine) {
-		if m.Reported || m.Bookings() > 0 || m.Listed == wire.MachineRunning {
+	g.fl.EachMachine(func(m *fleet.Machine) {
+		if m.Reported || m.AllocationCount() > 0 || m.CloudStatus == wire.MachineRunning {
 			n++
 		}
 	})
--- a/size_test.go
+++ b/size_test.go
@@ -40,7 +40,7 @@
 		for i := range machines {
 			m := g.fl.Ensure(fmt.Sprintf("n-%d", i), now)
 			b := g.booking(j, i, 1)
-			b.Session = 1
+			b.Incarnation = 1
 			g.fl.Adopt(m, b, now)
 			j.tasks[i].state, j.tasks[i].booking, j.tasks[i].attempt = taskPlaced, b, 1
 		}
@@ -64,7 +64,7 @@
 	const tasks = 4
 	visits := func(machines int) float64 {
 		_, g := adopted(t, machines, tasks)
-		g.fl.Visits = 0
+		g.fl.Examined = 0
 		for tally, token := range []uint64{0, g.r.Token} {
 			for i := range machines {
 				ans, ok := g.Heartbeat(report(i, tasks, uint64(tally)+1, token))
@@ -73,8 +73,8 @@
 				}
 			}
 		}
-		per := float64(g.fl.Visits) / float64(2*machines)
-		if up := g.fl.Reporting(); up != machines {
+		per := float64(g.fl.Examined) / float64(2*machines)
+		if up := g.fl.ReportingCount(); up != machines {
 			t.Errorf("%d of %d machines are trusted", up, machines)
 		}
 		return per
@@ -101,12 +101,12 @@
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		now := g.ck.Now()
-		g.fl.Visits = 0
-		news := g.fl.Expire(now)
+		g.fl.Examined = 0
+		news := g.fl.ExpireLeases(now)
 		if len(news) != lost*tasks {
 			t.Fatalf("%d of %d machines lost: %d tasks gone, want %d", lost, machines, len(news), lost*tasks)
 		}
-		looked := g.fl.Visits
+		looked := g.fl.Examined
 		g.news(news, now)
 		for uid := range g.lazy {
 			g.dirty[uid] = true
--- a/stall_test.go
+++ b/stall_test.go
@@ -26,9 +26,9 @@
 		t.Fatal("placement not recorded")
 	}
 	g.mu.Lock()
-	fl := g.fl.Launch(g.fl.Machine("n-1"), now, 1, fleet.Everything)
+	fl := g.fl.PrepareCommand(g.fl.Machine("n-1"), now, 1, fleet.AllCommands)
 	g.mu.Unlock()
-	if fl == nil || len(fl.Orders) != 1 {
+	if fl == nil || len(fl.Commands) != 1 {
 		t.Fatalf("no command is about to be sent: %+v", fl)
 	}
 	rep := w.Report()
@@ -50,7 +50,7 @@
 	if _, ok := g.Heartbeat(&rep); ok {
 		t.Error("a heartbeat was answered")
 	}
-	if g.fl.Machine("n-1").Deaf() {
+	if g.fl.Machine("n-1").NotAcknowledging() {
 		t.Error("a command that was not sent counts as a sign of deafness")
 	}
 	// The successor counts the recorded attempt as possible, though it was never sent.
@@ -81,7 +81,7 @@
 	}
 	for _, h := range hosts {
 		g.mu.Lock()
-		g.fl.Machine(h).Listed = wire.MachineRunning
+		g.fl.Machine(h).CloudStatus = wire.MachineRunning
 		g.mu.Unlock()
 	}
 	g.checkStall()
--- a/step.go
+++ b/step.go
@@ -40,7 +40,7 @@
 func (g *term) step(ctx context.Context) (took clock.Micros) {
 	g.mu.Lock()
 	now := g.ck.Now()
-	g.news(g.fl.Expire(now), now)
+	g.news(g.fl.ExpireLeases(now), now)
 	g.hush(now)
 	g.prove(now)
 	g.settleUnreadable(now)
@@ -90,8 +90,8 @@
 		return
 	}
 	g.hushAt = now
-	for _, m := range g.fl.Hush(now, 2*report) {
-		g.fl.Silence(m)
+	for _, m := range g.fl.SilentMachines(now, 2*report) {
+		g.fl.MarkUnresponsive(m)
 	}
 }
 
@@ -177,9 +177,9 @@
 
 // reserve books a task's next attempt on a machine; nil where the ledger refuses it,
 // which knows better than the plan. The caller holds mu.
-func (g *term) reserve(j *job, index int, m *fleet.Machine, now clock.Micros) *fleet.Booking {
+func (g *term) reserve(j *job, index int, m *fleet.Machine, now clock.Micros) *fleet.Allocation {
 	b := g.booking(j, index, j.tasks[index].attempt+1)
-	b.Session = m.Session
+	b.Incarnation = m.Incarnation
 	if err := g.fl.Reserve(m, b, now); err != nil {
 		g.log.Error("the plan goes beyond a team's limit", "error", err)
 		return nil
@@ -208,10 +208,10 @@
 }
 
 // halt stops an attempt, with time to save if it can. The caller holds mu.
-func (g *term) halt(j *job, b *fleet.Booking, now clock.Micros) {
+func (g *term) halt(j *job, b *fleet.Allocation, now clock.Micros) {
 	leeway := 0.0
-	if b.Saves {
-		leeway = b.Stow + 1
+	if b.Checkpoints {
+		leeway = b.CheckpointGrace + 1
 	}
 	if g.fl.Stop(b, leeway, now) {
 		pc := &j.tasks[b.Task.Index]
@@ -235,13 +235,13 @@
 		if g.busy[m.Name] {
 			continue // looked at again when it has landed
 		}
-		if scope == fleet.Everything {
+		if scope == fleet.AllCommands {
 			delete(g.toTell, m)
 		}
 		if !m.Reported || m.Suspect || m.Returning || g.fl.Machine(m.Name) != m || !g.urgent(m, scope) {
 			continue
 		}
-		fl := g.fl.Launch(m, now, token, scope)
+		fl := g.fl.PrepareCommand(m, now, token, scope)
 		if fl == nil {
 			continue
 		}
@@ -252,14 +252,14 @@
 
 // urgent tells whether a machine has commands that should not wait for its next heartbeat.
 func (g *term) urgent(m *fleet.Machine, scope fleet.Scope) bool {
-	urgent := m.CountsAnew() || scope > fleet.OnlyHalts && g.stopsUnbooked(m)
-	m.Each(func(b *fleet.Booking) {
-		if !b.Live() || b.Session != m.Session {
+	urgent := m.Restarted() || scope > fleet.StopsOnly && g.stopsUnbooked(m)
+	m.EachAllocation(func(b *fleet.Allocation) {
+		if !b.Live() || b.Incarnation != m.Incarnation {
 			return
 		}
-		if scope == fleet.Everything && b.Recorded && !b.Halt && b.Sent() == 0 && !b.WithHeartbeat || b.Halt && !b.Urged {
+		if scope == fleet.AllCommands && b.Durable && !b.Stopping && b.Sent() == 0 && !b.HeartbeatOnly || b.Stopping && !b.StopSent {
 			urgent = true
-			b.Urged = b.Halt
+			b.StopSent = b.Stopping
 		}
 	})
 	return urgent
@@ -267,30 +267,30 @@
 
 // mayFly tells whether a direct command may still go out: what it says of runs
 // and results needs the lease and all that was cancelled, a stop needs neither.
-func (g *term) mayFly(fl *fleet.Flight) bool {
+func (g *term) mayFly(fl *fleet.InFlightCommand) bool {
 	token, may := g.el.HoldsLease()
 	if token != fl.Token {
 		return false
 	}
-	if fl.Stops() {
+	if fl.OnlyStops() {
 		return true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return may && (g.upToDate() || !fl.Runs())
+	return may && (g.upToDate() || !fl.HasRuns())
 }
 
 // errLate means that a command was not sent: it is of an earlier token or lease.
 var errLate = errors.New("the token or the lease that it was made under is over")
 
 // fly sends one /do and takes its outcome in.
-func (g *term) fly(ctx context.Context, fl *fleet.Flight) {
+func (g *term) fly(ctx context.Context, fl *fleet.InFlightCommand) {
 	dctx, cancel := context.WithTimeout(ctx, (1500 * clock.Millisecond).Duration())
 	var rep *wire.Heartbeat
-	out, err := fleet.Void, errLate
+	out, err := fleet.OutcomeNotExecuted, errLate
 	// What was computed before this process stood still must not go out after it.
 	if g.mayFly(fl) {
-		rep, out, err = g.workers.Do(dctx, fl.Machine.Endpoint, wire.CommandRequest{Token: fl.Token, Incarnation: fl.Session, Commands: fl.Orders})
+		rep, out, err = g.workers.Do(dctx, fl.Machine.Endpoint, wire.CommandRequest{Token: fl.Token, Incarnation: fl.Incarnation, Commands: fl.Commands})
 	}
 	cancel()
 	if err != nil {
@@ -298,19 +298,19 @@
 	}
 	now := g.ck.Now()
 	g.mu.Lock()
-	g.fl.Landed(fl, out)
+	g.fl.CommandCompleted(fl, out)
 	delete(g.busy, fl.Machine.Name)
 	switch m := fl.Machine; {
 	case rep != nil && rep.Machine == m.Name:
-		g.fl.Obeyed(m)
+		g.fl.Acknowledged(m)
 		news, _ := g.fl.Report(now, rep, false)
 		g.news(news, now)
 		g.adoptShown(m, now)
 	case err != nil && err != errLate && ctx.Err() == nil:
-		g.fl.Missed(m)
+		g.fl.CommandFailed(m)
 	}
 	// Without the lease the loop may be waiting for the state service.
-	more := g.toTell[fl.Machine] && g.scope() == fleet.OnlyHalts
+	more := g.toTell[fl.Machine] && g.scope() == fleet.StopsOnly
 	g.mu.Unlock()
 	g.wake()
 	if more {
@@ -326,13 +326,13 @@
 	now := g.ck.Now()
 	g.mu.Lock()
 	token, may := g.el.HoldsLease()
-	due := may && (g.raisedAt == 0 || now-g.raisedAt > 4*clock.Second) && g.fl.Doubts(now, token) > 0
+	due := may && (g.raisedAt == 0 || now-g.raisedAt > 4*clock.Second) && g.fl.UnfencedCount(now, token) > 0
 	// A worker tells of a new token at once, but not again within half a lease, so
 	// raising it often would keep a next leader from being told of its own; and what
 	// waits takes but a line in the reports, as long as it is not too many.
 	if now-g.repeatsAt > clock.Second && may && !due && now-g.raisedAt > 4*clock.Second {
 		g.repeatsAt = now
-		due = g.fl.Crowded() || now-max(g.raisedAt, g.r.Since) > 2*clock.FromSeconds(g.cfg.Facts.Workers.LeaseS) && g.fl.Repeats(token)
+		due = g.fl.TakeReportOverloaded() || now-max(g.raisedAt, g.r.Since) > 2*clock.FromSeconds(g.cfg.Facts.Workers.LeaseS) && g.fl.ResultsAwaitFencing(token)
 	}
 	if due {
 		g.raisedAt = now
--- a/swarm_test.go
+++ b/swarm_test.go
@@ -211,7 +211,7 @@
 			s.advance(time.Second)
 			g.mu.Lock()
 			done = g.jobs["j-1"].done
-			looked, g.fl.Visits = looked+g.fl.Visits, 0
+			looked, g.fl.Examined = looked+g.fl.Examined, 0
 			g.mu.Unlock()
 		}
 		s.settle(g)
