--- a/boots_test.go
+++ b/boots_test.go
@@ -41,7 +41,7 @@
 
 func counts(g *term) (out, givenUp int) {
 	overdue := g.overdue(g.ck.Now())
-	return len(overdue.CountedOut), len(overdue.GivenUp)
+	return len(overdue.Replace), len(overdue.Return)
 }
 
 // A machine that stays away while others come is replaced and returned long
--- a/cloud/arrivals.go
+++ b/cloud/arrivals.go
@@ -11,10 +11,10 @@
 
 // Arrival is the work that came with a job, in core-seconds and the like.
 type Arrival struct {
-	At   clock.Micros
-	Work Load
-	Old  bool // was there when the first leader began
-	Job  any  // tells it from others
+	At      clock.Micros
+	Work    Load
+	Initial bool // was there when the first leader began
+	Job     any  // tells it from others
 }
 
 // Arrivals is the work that came within a window, oldest first.
@@ -34,19 +34,19 @@
 
 // Window is what the arrivals are looked at by.
 type Window struct {
-	Now    clock.Micros
-	Since  clock.Micros // when this leader began to count
-	Span   clock.Micros
-	Seeded Load    // the predecessor's rate; zero where there was none
-	Most   float64 // the headroom is at most this share
-	Done   bool    // there is no work left at all
+	Now         clock.Micros
+	Since       clock.Micros // when this leader began to count
+	Span        clock.Micros
+	Predecessor Load    // the predecessor's rate; zero where there was none
+	MaxHeadroom float64 // the headroom is at most this share
+	Idle        bool    // there is no work left at all
 }
 
 // Rate is how fast work comes.
 type Rate struct {
 	Load     Load    // what keeps up with it
 	Headroom float64 // share of it that covers how much it varies
-	Fade     float64 // share of the window's rate that the last short while still bears out
+	Decay    float64 // share of the window's rate that the last short while still bears out
 }
 
 // Rate tells how fast work came within a window.
@@ -60,30 +60,30 @@
 	age := (w.Now - w.Since).Seconds()
 	for _, arrival := range a.list {
 		weight := 1.0
-		if arrival.Old {
+		if arrival.Initial {
 			// What a first leader finds says how much work there is at a time, not how
 			// much comes: it stands in for what came before, less and less.
 			weight = max(0, 1-age/w.Span.Seconds())
 		}
 		sum.Cores += arrival.Work.Cores * weight
 		sum.RAM += arrival.Work.RAM * weight
-		sum.Accel += arrival.Work.Accel * weight
+		sum.Accelerators += arrival.Work.Accelerators * weight
 		square += arrival.Work.Cores * arrival.Work.Cores
 		if w.Now-arrival.At <= recently {
 			recent++
 		}
 	}
-	rate := Rate{Headroom: headroom(sum.Cores, square, w.Most), Fade: a.fade(recent, w)}
+	rate := Rate{Headroom: headroom(sum.Cores, square, w.MaxHeadroom), Decay: a.fade(recent, w)}
 	span := w.Span.Seconds()
-	if w.Seeded == (Load{}) {
+	if w.Predecessor == (Load{}) {
 		span = min(span, span/2+age)
 	} else if age < span {
 		// The predecessor's rate stands for the part of the window before this term.
-		sum.Cores += w.Seeded.Cores * (span - age)
-		sum.RAM += w.Seeded.RAM * (span - age)
-		sum.Accel += w.Seeded.Accel * (span - age)
+		sum.Cores += w.Predecessor.Cores * (span - age)
+		sum.RAM += w.Predecessor.RAM * (span - age)
+		sum.Accelerators += w.Predecessor.Accelerators * (span - age)
 	}
-	rate.Load = Load{Cores: sum.Cores * rate.Fade / span, RAM: sum.RAM * rate.Fade / span, Accel: sum.Accel * rate.Fade / span}
+	rate.Load = Load{Cores: sum.Cores * rate.Decay / span, RAM: sum.RAM * rate.Decay / span, Accelerators: sum.Accelerators * rate.Decay / span}
 	return rate
 }
 
@@ -109,7 +109,7 @@
 	}
 	last := a.list[seen-1].At
 	quiet := w.Now - last
-	if usual := (last - a.list[0].At) / clock.Micros(max(1, seen-1)); w.Done && seen >= 5 && quiet > max(recently, 5*usual) {
+	if usual := (last - a.list[0].At) / clock.Micros(max(1, seen-1)); w.Idle && seen >= 5 && quiet > max(recently, 5*usual) {
 		return 0
 	}
 	n := float64(recent)
@@ -127,60 +127,60 @@
 
 // peak is what was needed at one moment.
 type peak struct {
-	at       clock.Micros
-	firm     float64 // cores that only ordinary machines may hold
-	cores    float64
-	ordinary float64 // the same as firm, with what is kept in reserve
-	pressing float64
+	at               clock.Micros
+	onDemand         float64 // cores that only ordinary machines may hold
+	preemptible      float64
+	onDemandReserved float64 // the same as firm, with what is kept in reserve
+	urgent           float64
 }
 
 // Peaks is what was needed over the last while, oldest first.
 type Peaks struct{ list []peak }
 
-// Holding is how long what was needed is held.
-type Holding struct {
-	Now, Since clock.Micros // this moment, and when this leader began to count
-	Loaned     clock.Micros // on spot machines
-	Ordinary   clock.Micros // on ordinary ones
-	Fade       float64      // share of loaned work's rate that is still borne out
+// Retention is how long what was needed is held.
+type Retention struct {
+	Now, Since  clock.Micros // this moment, and when this leader began to count
+	Preemptible clock.Micros // on spot machines
+	OnDemand    clock.Micros // on ordinary ones
+	Decay       float64      // share of loaned work's rate that is still borne out
 }
 
-// Hold notes what is needed now and fills in what is to be held of what was needed
+// Retain notes what is needed now and fills in what is to be held of what was needed
 // before: it is likely to be needed again before a new machine could be up, so only what
 // has been too much for a while is given up.
-func (p *Peaks) Hold(need *Need, pressing float64, h Holding) {
-	need.Growth = p.growth(need.Ordinary.Cores, h)
-	p.list = append(p.list, peak{h.Now, need.Ordinary.Cores, need.Loaned.Cores, need.Ordinary.Cores*(1+need.Reserve) + need.Growth, pressing})
-	for len(p.list) > 0 && h.Now-p.list[0].at > max(h.Loaned, h.Ordinary) {
+func (p *Peaks) Retain(need *Demand, pressing float64, h Retention) {
+	need.Growth = p.growth(need.OnDemand.Cores, h)
+	p.list = append(p.list, peak{h.Now, need.OnDemand.Cores, need.Preemptible.Cores, need.OnDemand.Cores*(1+need.ReserveShare) + need.Growth, pressing})
+	for len(p.list) > 0 && h.Now-p.list[0].at > max(h.Preemptible, h.OnDemand) {
 		p.list = p.list[1:]
 	}
 	for _, peak := range p.list {
-		if h.Now-peak.at <= h.Loaned {
+		if h.Now-peak.at <= h.Preemptible {
 			// What is held for more work to come goes with the signs that it will.
-			need.Hold = max(need.Hold, peak.cores*h.Fade)
-			need.HoldPressing = max(need.HoldPressing, peak.pressing*h.Fade)
+			need.KeepPreemptible = max(need.KeepPreemptible, peak.preemptible*h.Decay)
+			need.KeepUrgent = max(need.KeepUrgent, peak.urgent*h.Decay)
 		}
-		if h.Now-peak.at <= h.Ordinary {
-			need.HoldOrdinary = max(need.HoldOrdinary, peak.ordinary)
+		if h.Now-peak.at <= h.OnDemand {
+			need.KeepOnDemand = max(need.KeepOnDemand, peak.onDemandReserved)
 		}
 	}
 	// A machine that is emptied while replicas come on the whole is rented again
 	// soon, cold: what the last while added is expected once more.
-	if known := h.Now - p.list[0].at; known >= trendFrom && need.Ordinary.Cores > p.list[0].firm {
-		grown := (need.Ordinary.Cores - p.list[0].firm) * h.Ordinary.Seconds() / known.Seconds()
-		need.HoldOrdinary = max(need.HoldOrdinary, (need.Ordinary.Cores+grown)*(1+need.Reserve))
+	if known := h.Now - p.list[0].at; known >= trendFrom && need.OnDemand.Cores > p.list[0].onDemand {
+		grown := (need.OnDemand.Cores - p.list[0].onDemand) * h.OnDemand.Seconds() / known.Seconds()
+		need.KeepOnDemand = max(need.KeepOnDemand, (need.OnDemand.Cores+grown)*(1+need.ReserveShare))
 	}
 }
 
 // growth is what ordinary demand is about to grow by: replicas arrive faster at some
 // times than at others.
-func (p *Peaks) growth(firm float64, h Holding) float64 {
+func (p *Peaks) growth(firm float64, h Retention) float64 {
 	for i := len(p.list) - 1; i >= 0; i-- {
 		if h.Now-p.list[i].at <= growthOver && i > 0 {
 			continue
 		}
 		span := max(10*clock.Second, h.Now-p.list[i].at)
-		if grown := firm - p.list[i].firm; grown > 0 && h.Now-h.Since > 2*growthOver {
+		if grown := firm - p.list[i].onDemand; grown > 0 && h.Now-h.Since > 2*growthOver {
 			return grown * growthOver.Seconds() / span.Seconds()
 		}
 		break
--- a/cloud/arrivals_test.go
+++ b/cloud/arrivals_test.go
@@ -16,7 +16,7 @@
 		for i := range 20 {
 			arrivals.Add(Arrival{At: now - quiet - clock.Micros(19-i)*every})
 		}
-		return arrivals.fade(0, Window{Now: now, Span: 120 * clock.Second, Done: done})
+		return arrivals.fade(0, Window{Now: now, Span: 120 * clock.Second, Idle: done})
 	}
 	const s = clock.Second
 	if a, b := at(2*s, 35*s, false), at(2*s, 70*s, false); a <= b || b <= 0 {
--- a/cloud/boot.go
+++ b/cloud/boot.go
@@ -30,8 +30,8 @@
 // BootTimes is how long machines that were rented lately took to come up.
 type BootTimes struct{ boots []boot }
 
-// Up notes a machine that came up after so long, of a type that is ready after so long.
-func (t *BootTimes) Up(now, took, ready clock.Micros) {
+// Booted notes a machine that came up after so long, of a type that is ready after so long.
+func (t *BootTimes) Booted(now, took, ready clock.Micros) {
 	if ready > 0 {
 		t.boots = append(t.boots, boot{at: now, share: float64(max(0, took)) / float64(ready)})
 	}
@@ -48,27 +48,27 @@
 
 // Booting is a machine that is not up yet.
 type Booting struct {
-	Name  string
-	Age   clock.Micros // since it was rented
-	Ready clock.Micros // how long its type takes, by the catalogue
+	Name     string
+	Age      clock.Micros // since it was rented
+	Expected clock.Micros // how long its type takes, by the catalogue
 }
 
 // share is the machine's age as a share of the stated time.
-func (b Booting) share() float64 { return float64(b.Age) / float64(b.Ready) }
+func (b Booting) share() float64 { return float64(b.Age) / float64(b.Expected) }
 
 // late tells whether it should be up by now.
-func (b Booting) late() bool { return b.Age > clock.Micros(lateShare*float64(b.Ready))+lateMargin }
+func (b Booting) late() bool { return b.Age > clock.Micros(lateShare*float64(b.Expected))+lateMargin }
 
 // Overdue is what is made of the machines that should be up and are not.
 type Overdue struct {
-	CountedOut map[string]bool // others are rented in their stead
-	GivenUp    map[string]bool // they are returned
-	Late       int
-	Longest    float64 // the latest one's age, as a share of the stated time
-	General    bool    // most are late: the cloud is slow, not a machine
+	Replace   map[string]bool // others are rented in their stead
+	Return    map[string]bool // they are returned
+	Late      int
+	Longest   float64 // the latest one's age, as a share of the stated time
+	CloudSlow bool    // most are late: the cloud is slow, not a machine
 }
 
-// Judge tells which of the booting machines are counted out, and which are given up.
+// Evaluate tells which of the booting machines are counted out, and which are given up.
 //
 // One machine among others that come in time is replaced at once, and returned:
 // it may never come. When most are late, the cloud as a whole is: renting all of
@@ -76,22 +76,22 @@
 // replaced, which also finds out when new ones come in time again, and a machine
 // is given up only once it takes clearly longer than those that did come, and
 // longer than the given share of the stated time.
-func (t *BootTimes) Judge(now clock.Micros, booting []Booting, patience float64) Overdue {
+func (t *BootTimes) Evaluate(now clock.Micros, booting []Booting, patience float64) Overdue {
 	inTime, slow, slowest := t.lately(now)
 	late := slices.DeleteFunc(slices.Clone(booting), func(b Booting) bool { return !b.late() })
 	slices.SortFunc(late, func(a, b Booting) int {
 		return cmp.Or(cmp.Compare(b.share(), a.share()), cmp.Compare(a.Name, b.Name))
 	})
-	out := Overdue{CountedOut: map[string]bool{}, GivenUp: map[string]bool{}, Late: len(late)}
-	out.General = len(late)+slow >= allLate && len(late)+slow > inTime
+	out := Overdue{Replace: map[string]bool{}, Return: map[string]bool{}, Late: len(late)}
+	out.CloudSlow = len(late)+slow >= allLate && len(late)+slow > inTime
 	patience = max(patience, 1.5*slowest)
 	for i, b := range late {
 		out.Longest = max(out.Longest, b.share())
 		switch {
-		case !out.General || b.share() > patience:
-			out.CountedOut[b.Name], out.GivenUp[b.Name] = true, true
+		case !out.CloudSlow || b.share() > patience:
+			out.Replace[b.Name], out.Return[b.Name] = true, true
 		case i <= len(late)/replacedPart:
-			out.CountedOut[b.Name] = true
+			out.Replace[b.Name] = true
 		}
 	}
 	return out
--- a/cloud/size_test.go
+++ b/cloud/size_test.go
@@ -17,10 +17,10 @@
 func none(string, string, bool) bool { return false }
 
 func TestRentsCheapestPerCore(t *testing.T) {
-	v := Size(builds, nil, Need{Loaned: Load{Cores: 16, RAM: 32}, Machines: 10}, none)
+	v := Resize(builds, nil, Demand{Preemptible: Load{Cores: 16, RAM: 32}, MaxMachines: 10}, none)
 	n := 0
 	for _, w := range v.Rent {
-		if w.Build != "s" || !w.Loaned {
+		if w.MachineType != "s" || !w.Preemptible {
 			t.Errorf("rents %+v", w)
 		}
 		n += w.Count
@@ -32,20 +32,20 @@
 
 func TestOrdinaryForLoanedOnlyWhenPressing(t *testing.T) {
 	noSpot := func(_, _ string, loaned bool) bool { return loaned }
-	need := Need{Loaned: Load{Cores: 32, RAM: 64}, Machines: 10}
-	if v := Size(builds, nil, need, noSpot); len(v.Rent) != 0 {
+	need := Demand{Preemptible: Load{Cores: 32, RAM: 64}, MaxMachines: 10}
+	if v := Resize(builds, nil, need, noSpot); len(v.Rent) != 0 {
 		t.Errorf("rents %v though nothing presses", v.Rent)
 	}
-	need.Pressing = Load{Cores: 8, RAM: 16}
-	v := Size(builds, nil, need, noSpot)
-	if len(v.Rent) != 1 || v.Rent[0].Loaned || v.Rent[0].Count != 1 {
+	need.Urgent = Load{Cores: 8, RAM: 16}
+	v := Resize(builds, nil, need, noSpot)
+	if len(v.Rent) != 1 || v.Rent[0].Preemptible || v.Rent[0].Count != 1 {
 		t.Errorf("rents %v, want one ordinary machine", v.Rent)
 	}
 }
 
 func TestMemoryBinds(t *testing.T) {
 	// 16 GB a core: a machine of 8 cores and 32 GB holds two cores' worth.
-	v := Size(builds[:1], nil, Need{Ordinary: Load{Cores: 4, RAM: 64}, Machines: 10}, none)
+	v := Resize(builds[:1], nil, Demand{OnDemand: Load{Cores: 4, RAM: 64}, MaxMachines: 10}, none)
 	n := 0
 	for _, w := range v.Rent {
 		n += w.Count
@@ -56,24 +56,24 @@
 }
 
 func TestSurplusIsCordonedThenReturned(t *testing.T) {
-	idle := Held{Name: "a", Build: "s", Zone: "x", Loaned: true, Up: true, Idle: 60 * clock.Second}
-	v := Size(builds, []Held{idle}, Need{Machines: 10, Idle: 25 * clock.Second}, none)
+	idle := Machine{Name: "a", Type: "s", Zone: "x", Preemptible: true, Up: true, Idle: 60 * clock.Second}
+	v := Resize(builds, []Machine{idle}, Demand{MaxMachines: 10, IdleTimeout: 25 * clock.Second}, none)
 	if diff := cmp.Diff([]string{"a"}, v.Cordon); diff != "" {
 		t.Error(diff)
 	}
 	idle.Cordoned = true
-	v = Size(builds, []Held{idle}, Need{Machines: 10}, none)
+	v = Resize(builds, []Machine{idle}, Demand{MaxMachines: 10}, none)
 	if diff := cmp.Diff([]string{"a"}, v.Return); diff != "" {
 		t.Error(diff)
 	}
 	// Needed again: taken back before anything is rented.
-	v = Size(builds, []Held{idle}, Need{Machines: 10, Loaned: Load{Cores: 8, RAM: 8}}, none)
+	v = Resize(builds, []Machine{idle}, Demand{MaxMachines: 10, Preemptible: Load{Cores: 8, RAM: 8}}, none)
 	if len(v.Rent) != 0 || len(v.Uncordon) != 1 || len(v.Return) != 0 {
 		t.Errorf("%+v", v)
 	}
 	// What was needed a moment ago is held.
 	idle.Cordoned = false
-	v = Size(builds, []Held{idle}, Need{Machines: 10, Hold: 8}, none)
+	v = Resize(builds, []Machine{idle}, Demand{MaxMachines: 10, KeepPreemptible: 8}, none)
 	if len(v.Cordon) != 0 {
 		t.Errorf("gives up %v", v.Cordon)
 	}
@@ -81,8 +81,8 @@
 
 // A machine with tasks that cannot be counted on is replaced.
 func TestLostMachinesCountForNothing(t *testing.T) {
-	held := []Held{{Name: "a", Build: "s", Zone: "x", Up: true, Lost: true, Live: 2, Standing: 2, Firm: 8}}
-	v := Size(builds, held, Need{Ordinary: Load{Cores: 8, RAM: 8}, Machines: 10}, none)
+	held := []Machine{{Name: "a", Type: "s", Zone: "x", Up: true, Lost: true, Tasks: 2, Replicas: 2, OnDemandCores: 8}}
+	v := Resize(builds, held, Demand{OnDemand: Load{Cores: 8, RAM: 8}, MaxMachines: 10}, none)
 	if len(v.Rent) != 1 {
 		t.Errorf("rents %v", v.Rent)
 	}
@@ -90,44 +90,44 @@
 
 // Losing any one machine must leave room for its replicas on the others.
 func TestRoomForTheFullestMachine(t *testing.T) {
-	held := []Held{
-		{Name: "a", Build: "s", Zone: "x", Up: true, Live: 3, Standing: 3, Firm: 6},
-		{Name: "b", Build: "s", Zone: "y", Up: true, Live: 2, Standing: 2, Firm: 4},
+	held := []Machine{
+		{Name: "a", Type: "s", Zone: "x", Up: true, Tasks: 3, Replicas: 3, OnDemandCores: 6},
+		{Name: "b", Type: "s", Zone: "y", Up: true, Tasks: 2, Replicas: 2, OnDemandCores: 4},
 	}
-	need := Need{Ordinary: Load{Cores: 10, RAM: 10}, ReserveMachine: 1, Machines: 10}
-	if v := Size(builds, held, need, none); len(v.Rent) != 0 {
+	need := Demand{OnDemand: Load{Cores: 10, RAM: 10}, MachineReserveShare: 1, MaxMachines: 10}
+	if v := Resize(builds, held, need, none); len(v.Rent) != 0 {
 		t.Errorf("rents %v though 6 cores are free", v.Rent)
 	}
-	held[0].Firm, need.Ordinary.Cores = 8, 12
-	if v := Size(builds, held, need, none); len(v.Rent) != 1 {
+	held[0].OnDemandCores, need.OnDemand.Cores = 8, 12
+	if v := Resize(builds, held, need, none); len(v.Rent) != 1 {
 		t.Errorf("rents %v with 4 cores free for 8", v.Rent)
 	}
-	need.ReserveMachine = 0.2
-	if v := Size(builds, held, need, none); len(v.Rent) != 0 {
+	need.MachineReserveShare = 0.2
+	if v := Resize(builds, held, need, none); len(v.Rent) != 0 {
 		t.Errorf("rents %v though the share kept is 2.4 cores", v.Rent)
 	}
 }
 
 func TestApartNeedsRoomInTwoZones(t *testing.T) {
-	held := []Held{{Name: "a", Build: "l", Zone: "x", Up: true, Standing: 2, Firm: 4}}
-	need := Need{Ordinary: Load{Cores: 4, RAM: 8}, MaxCores: 2, Machines: 10}
-	if v := Size(builds, held, need, none); len(v.Rent) != 0 {
+	held := []Machine{{Name: "a", Type: "l", Zone: "x", Up: true, Replicas: 2, OnDemandCores: 4}}
+	need := Demand{OnDemand: Load{Cores: 4, RAM: 8}, MaxCores: 2, MaxMachines: 10}
+	if v := Resize(builds, held, need, none); len(v.Rent) != 0 {
 		t.Errorf("rents %v", v.Rent)
 	}
-	need.Apart = true
-	v := Size(builds, held, need, none)
-	want := []Wish{{Build: "s", Zone: "y", Count: 1}}
+	need.Spread = true
+	v := Resize(builds, held, need, none)
+	want := []Rental{{MachineType: "s", Zone: "y", Count: 1}}
 	if diff := cmp.Diff(want, v.Rent); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func TestMachineLimit(t *testing.T) {
-	held := []Held{{Name: "a", Build: "s", Zone: "x"}, {Name: "b", Build: "s", Zone: "x"}}
-	if v := Size(builds, held, Need{Loaned: Load{Cores: 100, RAM: 8}, Machines: 2}, none); len(v.Rent) != 0 || !v.Capped {
-		t.Errorf("rents %v beyond the limit, tells of it: %t", v.Rent, v.Capped)
+	held := []Machine{{Name: "a", Type: "s", Zone: "x"}, {Name: "b", Type: "s", Zone: "x"}}
+	if v := Resize(builds, held, Demand{Preemptible: Load{Cores: 100, RAM: 8}, MaxMachines: 2}, none); len(v.Rent) != 0 || !v.LimitReached {
+		t.Errorf("rents %v beyond the limit, tells of it: %t", v.Rent, v.LimitReached)
 	}
-	if v := Size(builds, held, Need{Loaned: Load{Cores: 1, RAM: 1}, Machines: 9}, none); v.Capped {
+	if v := Resize(builds, held, Demand{Preemptible: Load{Cores: 1, RAM: 1}, MaxMachines: 9}, none); v.LimitReached {
 		t.Error("tells of a limit that is not reached")
 	}
 }
@@ -136,14 +136,14 @@
 // whole fleet, and no more than that share where it is not.
 func TestRoomForAZone(t *testing.T) {
 	big := wire.MachineType{SKU: "g", Cores: 32, RAM: 128, HourlyPrice: 2, SpotPrice: 0.7, BootS: 30, Zones: []string{"x", "y", "z"}}
-	var held []Held
+	var held []Machine
 	for i := range 9 {
-		held = append(held, Held{Name: string(rune('a' + i)), Build: "g", Zone: []string{"x", "y", "z"}[i%3], Up: true, Live: 20, Standing: 20, Firm: 30})
+		held = append(held, Machine{Name: string(rune('a' + i)), Type: "g", Zone: []string{"x", "y", "z"}[i%3], Up: true, Tasks: 20, Replicas: 20, OnDemandCores: 30})
 	}
 	rented := func(loaned float64) (n int) {
-		need := Need{Ordinary: Load{Cores: 270, RAM: 500}, Loaned: Load{Cores: loaned, RAM: loaned}, ReserveZone: 0.05, Apart: true, Machines: 1000}
-		for _, w := range Size([]wire.MachineType{big}, held, need, func(string, string, bool) bool { return false }).Rent {
-			if !w.Loaned {
+		need := Demand{OnDemand: Load{Cores: 270, RAM: 500}, Preemptible: Load{Cores: loaned, RAM: loaned}, ZoneReserveShare: 0.05, Spread: true, MaxMachines: 1000}
+		for _, w := range Resize([]wire.MachineType{big}, held, need, func(string, string, bool) bool { return false }).Rent {
+			if !w.Preemptible {
 				n += w.Count
 			}
 		}
@@ -161,9 +161,9 @@
 // Loaned work counts on the room that is kept for replicas.
 func TestLoanedWorkFillsTheReserve(t *testing.T) {
 	b := wire.MachineType{SKU: "g", Cores: 32, RAM: 128, HourlyPrice: 2, SpotPrice: 0.7, BootS: 30, Zones: []string{"x"}}
-	held := []Held{{Name: "a", Build: "g", Zone: "x", Up: true}, {Name: "b", Build: "g", Zone: "x", Up: true}}
-	need := Need{Ordinary: Load{Cores: 30, RAM: 60}, Loaned: Load{Cores: 30, RAM: 60}, Reserve: 1, Machines: 10}
-	if v := Size([]wire.MachineType{b}, held, need, func(string, string, bool) bool { return false }); len(v.Rent) != 0 {
+	held := []Machine{{Name: "a", Type: "g", Zone: "x", Up: true}, {Name: "b", Type: "g", Zone: "x", Up: true}}
+	need := Demand{OnDemand: Load{Cores: 30, RAM: 60}, Preemptible: Load{Cores: 30, RAM: 60}, ReserveShare: 1, MaxMachines: 10}
+	if v := Resize([]wire.MachineType{b}, held, need, func(string, string, bool) bool { return false }); len(v.Rent) != 0 {
 		t.Errorf("rented %v though the reserve has room", v.Rent)
 	}
 }
@@ -173,16 +173,16 @@
 	slow := wire.MachineType{SKU: "s", Cores: 16, RAM: 64, HourlyPrice: 0.92, BootS: 50, Zones: []string{"x"}}
 	fast := wire.MachineType{SKU: "f", Cores: 16, RAM: 64, HourlyPrice: 1.1, BootS: 15, Zones: []string{"x"}}
 	rent := func(have float64) string {
-		held := []Held{}
+		held := []Machine{}
 		for have > 0 {
-			held = append(held, Held{Name: string(rune('a' + len(held))), Build: "s", Zone: "x", Up: true})
+			held = append(held, Machine{Name: string(rune('a' + len(held))), Type: "s", Zone: "x", Up: true})
 			have -= 16
 		}
-		v := Size([]wire.MachineType{slow, fast}, held, Need{Ordinary: Load{Cores: 64, RAM: 200}, Reserve: 0.5, Machines: 50}, func(string, string, bool) bool { return false })
+		v := Resize([]wire.MachineType{slow, fast}, held, Demand{OnDemand: Load{Cores: 64, RAM: 200}, ReserveShare: 0.5, MaxMachines: 50}, func(string, string, bool) bool { return false })
 		if len(v.Rent) == 0 {
 			return ""
 		}
-		return v.Rent[0].Build
+		return v.Rent[0].MachineType
 	}
 	if got := rent(32); got != "f" {
 		t.Errorf("rented %q while replicas wait", got)
@@ -197,37 +197,37 @@
 // rented, ordinary ones only where no spot one is to be had; and the last that it
 // needs is not given up.
 func TestBoundWorkGetsItsMachines(t *testing.T) {
-	up := func(name, build, zone string, loaned bool) Held {
-		return Held{Name: name, Build: build, Zone: zone, Loaned: loaned, Up: true, Idle: 60 * clock.Second}
+	up := func(name, build, zone string, loaned bool) Machine {
+		return Machine{Name: name, Type: build, Zone: zone, Preemptible: loaned, Up: true, Idle: 60 * clock.Second}
 	}
 	cordoned := up("c", "s", "y", true)
-	cordoned.Cordoned, cordoned.Live = true, 1
+	cordoned.Cordoned, cordoned.Tasks = true, 1
 	one := Load{Cores: 1, RAM: 1}
 	tests := []struct {
 		name  string
-		held  []Held
-		bound Bound
+		held  []Machine
+		bound Constraint
 		full  string // the zone in which no spot machine is to be had
-		want  Verdict
+		want  Decision
 	}{
-		{"a small task and no machine", nil, Bound{Loaned: true, Task: one}, "", Verdict{Rent: []Wish{{"s", "x", true, 1}}}},
-		{"room in another zone only", []Held{up("a", "s", "x", true)}, Bound{Loaned: true, Zone: "y", Task: one, Cores: 12}, "", Verdict{Rent: []Wish{{"s", "y", true, 2}}}},
-		{"no spot machine there", nil, Bound{Loaned: true, Zone: "y", Task: one}, "y", Verdict{Rent: []Wish{{"s", "y", false, 1}}}},
-		{"another type", []Held{up("a", "s", "x", true)}, Bound{Loaned: true, Builds: []string{"l"}, Task: one}, "", Verdict{Rent: []Wish{{"l", "x", true, 1}}}},
-		{"a task too large for what is held", []Held{up("a", "s", "x", true)}, Bound{Loaned: true, Task: Load{Cores: 9, RAM: 9}}, "", Verdict{Rent: []Wish{{"l", "x", true, 1}}}},
-		{"spot machines will not do", []Held{up("a", "s", "x", true)}, Bound{Zone: "x", Task: one}, "", Verdict{Rent: []Wish{{"s", "x", false, 1}}}},
-		{"one that was to go", []Held{cordoned}, Bound{Loaned: true, Zone: "y", Task: one}, "", Verdict{Uncordon: []string{"c"}}},
-		{"the last one", []Held{up("a", "s", "x", true), up("b", "s", "y", true)}, Bound{Loaned: true, Zone: "y", Task: one}, "", Verdict{Cordon: []string{"a"}}},
-		{"fits nowhere", nil, Bound{Loaned: true, Task: Load{Cores: 64}}, "", Verdict{}},
+		{"a small task and no machine", nil, Constraint{Preemptible: true, Task: one}, "", Decision{Rent: []Rental{{"s", "x", true, 1}}}},
+		{"room in another zone only", []Machine{up("a", "s", "x", true)}, Constraint{Preemptible: true, Zone: "y", Task: one, Cores: 12}, "", Decision{Rent: []Rental{{"s", "y", true, 2}}}},
+		{"no spot machine there", nil, Constraint{Preemptible: true, Zone: "y", Task: one}, "y", Decision{Rent: []Rental{{"s", "y", false, 1}}}},
+		{"another type", []Machine{up("a", "s", "x", true)}, Constraint{Preemptible: true, MachineTypes: []string{"l"}, Task: one}, "", Decision{Rent: []Rental{{"l", "x", true, 1}}}},
+		{"a task too large for what is held", []Machine{up("a", "s", "x", true)}, Constraint{Preemptible: true, Task: Load{Cores: 9, RAM: 9}}, "", Decision{Rent: []Rental{{"l", "x", true, 1}}}},
+		{"spot machines will not do", []Machine{up("a", "s", "x", true)}, Constraint{Zone: "x", Task: one}, "", Decision{Rent: []Rental{{"s", "x", false, 1}}}},
+		{"one that was to go", []Machine{cordoned}, Constraint{Preemptible: true, Zone: "y", Task: one}, "", Decision{Uncordon: []string{"c"}}},
+		{"the last one", []Machine{up("a", "s", "x", true), up("b", "s", "y", true)}, Constraint{Preemptible: true, Zone: "y", Task: one}, "", Decision{Cordon: []string{"a"}}},
+		{"fits nowhere", nil, Constraint{Preemptible: true, Task: Load{Cores: 64}}, "", Decision{}},
 	}
 	for _, tt := range tests {
 		refused := func(_, zone string, loaned bool) bool { return loaned && zone == tt.full }
-		v := Size(builds, tt.held, Need{Bound: []Bound{tt.bound}, Idle: 25 * clock.Second, Machines: 10}, refused)
+		v := Resize(builds, tt.held, Demand{Constrained: []Constraint{tt.bound}, IdleTimeout: 25 * clock.Second, MaxMachines: 10}, refused)
 		if diff := cmp.Diff(tt.want, v); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", tt.name, diff)
 		}
 	}
-	v := Size(builds, nil, Need{Bound: []Bound{{Loaned: true, Task: one, Cores: 800}}, Machines: 3}, none)
+	v := Resize(builds, nil, Demand{Constrained: []Constraint{{Preemptible: true, Task: one, Cores: 800}}, MaxMachines: 3}, none)
 	if len(v.Rent) != 1 || v.Rent[0].Count != 3 {
 		t.Errorf("rents %v, want as many machines as there may be", v.Rent)
 	}
@@ -237,38 +237,38 @@
 // enough in sum and none of it has room for the task; and no machine where one
 // has, where something is rented anyway, or at an ordinary machine's price.
 func TestStuckTaskGetsRoom(t *testing.T) {
-	half := func(name, zone string, free float64) Held {
-		return Held{Name: name, Build: "s", Zone: zone, Loaned: true, Up: true, Live: 1, UsedCores: 8 - free, Free: Load{Cores: free, RAM: 16}}
+	half := func(name, zone string, free float64) Machine {
+		return Machine{Name: name, Type: "s", Zone: zone, Preemptible: true, Up: true, Tasks: 1, UsedCores: 8 - free, Free: Load{Cores: free, RAM: 16}}
 	}
-	task := Bound{Loaned: true, Task: Load{Cores: 3, RAM: 1}}
+	task := Constraint{Preemptible: true, Task: Load{Cores: 3, RAM: 1}}
 	there := task
 	there.Zone = "y"
-	three := Bound{Loaned: true, Task: Load{Cores: 2, RAM: 1}, Together: 3}
+	three := Constraint{Preemptible: true, Task: Load{Cores: 2, RAM: 1}, TogetherInZone: 3}
 	going := half("g", "y", 4)
 	going.Cordoned = true
 	tests := []struct {
 		name  string
-		held  []Held
-		stuck Bound
+		held  []Machine
+		stuck Constraint
 		load  float64
 		spot  bool // spot machines are to be had
-		want  Verdict
+		want  Decision
 	}{
-		{"a little room on each", []Held{half("a", "x", 2), half("b", "x", 2)}, task, 12, true, Verdict{Rent: []Wish{{"s", "x", true, 1}}}},
-		{"room for it", []Held{half("a", "x", 2), half("b", "x", 3)}, task, 12, true, Verdict{}},
-		{"room where it has failed", []Held{half("a", "x", 4)}, Bound{Loaned: true, Task: task.Task, Not: map[string]bool{"a": true}}, 6, true, Verdict{Rent: []Wish{{"s", "x", true, 1}}}},
-		{"room in another zone", []Held{half("a", "x", 4)}, there, 6, true, Verdict{Rent: []Wish{{"s", "y", true, 1}}}},
-		{"room on one that was to go", []Held{half("a", "x", 4), going}, there, 6, true, Verdict{Uncordon: []string{"g"}}},
-		{"something is rented anyway", []Held{half("a", "x", 2)}, there, 12, true, Verdict{Rent: []Wish{{"s", "x", true, 1}}}},
-		{"room for all of them in two zones only", []Held{half("a", "x", 2), half("b", "y", 5)}, three, 9, true, Verdict{Rent: []Wish{{"s", "y", true, 1}}}},
-		{"room for all of them in one", []Held{half("a", "y", 2), half("b", "y", 5)}, three, 9, true, Verdict{}},
-		{"room for all with one that was to go", []Held{half("a", "y", 2), going}, three, 6, true, Verdict{Uncordon: []string{"g"}}},
-		{"no spot machine is to be had", []Held{half("a", "x", 2)}, task, 6, false, Verdict{}},
+		{"a little room on each", []Machine{half("a", "x", 2), half("b", "x", 2)}, task, 12, true, Decision{Rent: []Rental{{"s", "x", true, 1}}}},
+		{"room for it", []Machine{half("a", "x", 2), half("b", "x", 3)}, task, 12, true, Decision{}},
+		{"room where it has failed", []Machine{half("a", "x", 4)}, Constraint{Preemptible: true, Task: task.Task, Avoid: map[string]bool{"a": true}}, 6, true, Decision{Rent: []Rental{{"s", "x", true, 1}}}},
+		{"room in another zone", []Machine{half("a", "x", 4)}, there, 6, true, Decision{Rent: []Rental{{"s", "y", true, 1}}}},
+		{"room on one that was to go", []Machine{half("a", "x", 4), going}, there, 6, true, Decision{Uncordon: []string{"g"}}},
+		{"something is rented anyway", []Machine{half("a", "x", 2)}, there, 12, true, Decision{Rent: []Rental{{"s", "x", true, 1}}}},
+		{"room for all of them in two zones only", []Machine{half("a", "x", 2), half("b", "y", 5)}, three, 9, true, Decision{Rent: []Rental{{"s", "y", true, 1}}}},
+		{"room for all of them in one", []Machine{half("a", "y", 2), half("b", "y", 5)}, three, 9, true, Decision{}},
+		{"room for all with one that was to go", []Machine{half("a", "y", 2), going}, three, 6, true, Decision{Uncordon: []string{"g"}}},
+		{"no spot machine is to be had", []Machine{half("a", "x", 2)}, task, 6, false, Decision{}},
 	}
 	for _, tt := range tests {
 		refused := func(_, _ string, loaned bool) bool { return loaned && !tt.spot }
-		need := Need{Loaned: Load{Cores: tt.load, RAM: 1}, Hold: tt.load, Stuck: []Bound{tt.stuck, tt.stuck}, Idle: 25 * clock.Second, Machines: 10}
-		if diff := cmp.Diff(tt.want, Size(builds, tt.held, need, refused)); diff != "" {
+		need := Demand{Preemptible: Load{Cores: tt.load, RAM: 1}, KeepPreemptible: tt.load, Stuck: []Constraint{tt.stuck, tt.stuck}, IdleTimeout: 25 * clock.Second, MaxMachines: 10}
+		if diff := cmp.Diff(tt.want, Resize(builds, tt.held, need, refused)); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", tt.name, diff)
 		}
 	}
@@ -277,16 +277,16 @@
 // What is rented for the sum of the work is of use to some of it: the cheapest
 // machine is not, where none of the work may go there.
 func TestRentsNothingThatNoWorkMayUse(t *testing.T) {
-	need := Need{Loaned: Load{Cores: 100, RAM: 100}, Pressing: Load{Cores: 100, RAM: 100}, Ordinary: Load{Cores: 20, RAM: 20}, Machines: 20}
-	need.Bound = []Bound{
-		{Builds: []string{"l"}, Zone: "y", Loaned: true, Task: Load{Cores: 2}, Cores: 100},
-		{Builds: []string{"l"}, Zone: "x", Task: Load{Cores: 2}, Cores: 20},
+	need := Demand{Preemptible: Load{Cores: 100, RAM: 100}, Urgent: Load{Cores: 100, RAM: 100}, OnDemand: Load{Cores: 20, RAM: 20}, MaxMachines: 20}
+	need.Constrained = []Constraint{
+		{MachineTypes: []string{"l"}, Zone: "y", Preemptible: true, Task: Load{Cores: 2}, Cores: 100},
+		{MachineTypes: []string{"l"}, Zone: "x", Task: Load{Cores: 2}, Cores: 20},
 	}
 	noSpot := func(_, _ string, loaned bool) bool { return loaned }
 	for name, refused := range map[string]Refused{"spot to be had": none, "none to be had": noSpot} {
 		cores := 0
-		for _, w := range Size(builds, nil, need, refused).Rent {
-			if w.Build != "l" {
+		for _, w := range Resize(builds, nil, need, refused).Rent {
+			if w.MachineType != "l" {
 				t.Errorf("%s: rents %+v, where no work may go", name, w)
 			}
 			if w.Zone == "y" {
@@ -298,10 +298,10 @@
 		}
 	}
 	// With other work beside it, the cheapest will do.
-	need.Bound = append(need.Bound, Bound{Loaned: true, Task: Load{Cores: 2}})
+	need.Constrained = append(need.Constrained, Constraint{Preemptible: true, Task: Load{Cores: 2}})
 	cheap := 0
-	for _, w := range Size(builds, nil, need, none).Rent {
-		if w.Build == "s" {
+	for _, w := range Resize(builds, nil, need, none).Rent {
+		if w.MachineType == "s" {
 			cheap++
 		}
 	}
@@ -313,27 +313,27 @@
 // A machine with room for a task that waits is not given up, however much is held
 // in sum, and one that was to go comes back; nothing is rented for it yet.
 func TestRoomForWaitingTasksIsKept(t *testing.T) {
-	machine := func(name string, used, ram float64, cordoned bool) Held {
-		return Held{Name: name, Build: "s", Zone: "y", Loaned: true, Up: true, Live: 1, UsedCores: used, Free: Load{Cores: 8 - used, RAM: ram}, Cordoned: cordoned}
+	machine := func(name string, used, ram float64, cordoned bool) Machine {
+		return Machine{Name: name, Type: "s", Zone: "y", Preemptible: true, Up: true, Tasks: 1, UsedCores: used, Free: Load{Cores: 8 - used, RAM: ram}, Cordoned: cordoned}
 	}
-	task := Bound{Zone: "y", Loaned: true, Task: Load{Cores: 1, RAM: 6}}
-	need := Need{Loaned: Load{Cores: 2, RAM: 1}, Idle: 25 * clock.Second, Machines: 10}
+	task := Constraint{Zone: "y", Preemptible: true, Task: Load{Cores: 1, RAM: 6}}
+	need := Demand{Preemptible: Load{Cores: 2, RAM: 1}, IdleTimeout: 25 * clock.Second, MaxMachines: 10}
 	full := machine("full", 2, 1, false) // its memory is taken
 	for _, tt := range []struct {
 		name    string
-		held    []Held
-		waiting []Bound
-		want    Verdict
+		held    []Machine
+		waiting []Constraint
+		want    Decision
 	}{
-		{"nothing waits", []Held{full, machine("room", 1, 25, false)}, nil, Verdict{Cordon: []string{"room"}}},
-		{"a task waits", []Held{full, machine("room", 1, 25, false)}, []Bound{task}, Verdict{Cordon: []string{"full"}}},
-		{"a task waits that may not go there", []Held{full, machine("room", 1, 25, false)},
-			[]Bound{{Zone: "x", Loaned: true, Task: task.Task}}, Verdict{Cordon: []string{"room"}}},
-		{"it was to go", []Held{full, machine("room", 1, 25, true)}, []Bound{task, task}, Verdict{Uncordon: []string{"room"}}},
-		{"none has room", []Held{full}, []Bound{task}, Verdict{}},
+		{"nothing waits", []Machine{full, machine("room", 1, 25, false)}, nil, Decision{Cordon: []string{"room"}}},
+		{"a task waits", []Machine{full, machine("room", 1, 25, false)}, []Constraint{task}, Decision{Cordon: []string{"full"}}},
+		{"a task waits that may not go there", []Machine{full, machine("room", 1, 25, false)},
+			[]Constraint{{Zone: "x", Preemptible: true, Task: task.Task}}, Decision{Cordon: []string{"room"}}},
+		{"it was to go", []Machine{full, machine("room", 1, 25, true)}, []Constraint{task, task}, Decision{Uncordon: []string{"room"}}},
+		{"none has room", []Machine{full}, []Constraint{task}, Decision{}},
 	} {
 		need.Waiting = tt.waiting
-		if diff := cmp.Diff(tt.want, Size(builds, tt.held, need, none)); diff != "" {
+		if diff := cmp.Diff(tt.want, Resize(builds, tt.held, need, none)); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", tt.name, diff)
 		}
 	}
--- a/engine.go
+++ b/engine.go
@@ -156,7 +156,7 @@
 	untidy         map[*sharedRecord]bool      // hold rows of jobs that are over
 	careful        int                         // transactions that still hold one change only, since one was refused
 	finalMoves     []*finalMove                // done, and still to move to their final place
-	pic            *plan.Picture               // kept up to date from what was touched
+	pic            *plan.Snapshot              // kept up to date from what was touched
 	touched        map[*fleet.Machine]bool     // machines that the picture is behind on
 	toTell         map[*fleet.Machine]bool     // machines with orders that should not wait for a heartbeat
 	strikes        map[*fleet.Machine]*strikes // failures since anything was done there, by job
@@ -226,7 +226,7 @@
 		calledOff: map[*job]clock.Micros{}, recovering: newRecovering(r.Since),
 		unheard: map[*fleet.Machine]bool{}, holds: map[string]string{}, mute: map[*fleet.Machine]bool{}, probed: map[string]clock.Micros{},
 	}
-	g.pic = &plan.Picture{Quota: ledger, MoveCap: s.op.Repair.Restarts, Sample: s.op.Plan.Sample, Preempt: true, Turns: plan.MostTurns}
+	g.pic = &plan.Snapshot{Quota: ledger, MaxMoves: s.op.Repair.Restarts, SampleSize: s.op.Plan.Sample, Preempt: true, StarvedTurns: plan.MaxStarvedTurns}
 	g.fl.OnMachineChange = func(m *fleet.Machine) { g.touched[m] = true }
 	g.fl.OnCapacityChange = g.room
 	g.fl.DecideOrphan = g.decideUnbooked
@@ -366,9 +366,9 @@
 			within = o.WithinS
 		}
 	}
-	return &plan.Job{ImageGB: s.ImageGB, Within: clock.FromSeconds(within), UID: j.uid, Team: s.Team, Priority: j.priority, Standing: j.standing(), Tasks: s.Tasks,
-		Cores: s.Cores, Accel: s.Accelerators, RAM: s.RAM, Builds: s.MachineTypes, Zone: s.Zone, SamePlace: s.SameZone,
-		Apart: s.Spread, Loaned: s.Preemptible, Bundle: s.Image, Order: j.order, Group: j.group(), Slack: noSlack,
+	return &plan.Job{ImageGB: s.ImageGB, StartWithin: clock.FromSeconds(within), UID: j.uid, Team: s.Team, Priority: j.priority, Service: j.standing(), Tasks: s.Tasks,
+		Cores: s.Cores, Accelerators: s.Accelerators, RAM: s.RAM, MachineTypes: s.MachineTypes, Zone: s.Zone, SameZone: s.SameZone,
+		Spread: s.Spread, Preemptible: s.Preemptible, Image: s.Image, Order: j.order, Gang: j.group(), Slack: noSlack,
 		Zones: map[string]int{}, Machines: map[string]int{}}
 }
 
--- a/engine_test.go
+++ b/engine_test.go
@@ -918,7 +918,7 @@
 	s.settle(g)
 	s.advance(20 * time.Second)
 	g.mu.Lock()
-	held := g.demand(g.ck.Now()).Loaned.Cores
+	held := g.demand(g.ck.Now()).Preemptible.Cores
 	g.mu.Unlock()
 	if held == 0 {
 		t.Error("nothing is held right after work was there")
@@ -927,7 +927,7 @@
 	g.mu.Lock()
 	need := g.demand(g.ck.Now())
 	g.mu.Unlock()
-	if need.Loaned.Cores != 0 || need.Hold != 0 || need.HoldOrdinary != 0 {
+	if need.Preemptible.Cores != 0 || need.KeepPreemptible != 0 || need.KeepOnDemand != 0 {
 		t.Errorf("still held: %+v", need)
 	}
 }
--- a/failures.go
+++ b/failures.go
@@ -88,16 +88,16 @@
 // are others. The caller holds mu.
 func (g *term) shun(j *job, host string) {
 	t := &j.failures
-	if j.pj.Shun[host] {
+	if j.pj.Avoid[host] {
 		return
 	}
-	if j.pj.Shun == nil {
-		j.pj.Shun = map[string]bool{}
+	if j.pj.Avoid == nil {
+		j.pj.Avoid = map[string]bool{}
 	}
-	j.pj.Shun[host] = true
+	j.pj.Avoid[host] = true
 	t.shunned = append(t.shunned, host)
 	for len(t.shunned) > min(maxShunned, g.fl.ReportingCount()/2) {
-		delete(j.pj.Shun, t.shunned[0])
+		delete(j.pj.Avoid, t.shunned[0])
 		t.shunned = t.shunned[1:]
 	}
 }
--- a/failures_test.go
+++ b/failures_test.go
@@ -129,7 +129,7 @@
 	if !g.jobs["j-1"].failures.bad {
 		t.Fatalf("not found bad: %+v", g.jobs["j-1"].failures)
 	}
-	if need := g.demand(g.ck.Now()); need.Loaned.Cores > 0 || need.Pressing.Cores > 0 {
+	if need := g.demand(g.ck.Now()); need.Preemptible.Cores > 0 || need.Urgent.Cores > 0 {
 		t.Errorf("needed for a bad job: %+v", need)
 	}
 	if len(g.holds) > 0 {
@@ -195,7 +195,7 @@
 	s.pass(g, ws, 30)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if need := g.demand(g.ck.Now()); need.Loaned.Cores < 24 || need.Pressing.Cores < 24 {
+	if need := g.demand(g.ck.Now()); need.Preemptible.Cores < 24 || need.Urgent.Cores < 24 {
 		t.Errorf("needed for 12 replicas of 2 cores: %+v", need)
 	}
 }
--- a/fleetsize.go
+++ b/fleetsize.go
@@ -294,9 +294,9 @@
 // arrives, seen over a window that is long against a machine's boot time and
 // its least charge: renting for each burst pays for machines that come up when
 // the burst is over. The queue adds to that only what it needs to drain in time.
-func (g *term) demand(now clock.Micros) cloud.Need {
+func (g *term) demand(now clock.Micros) cloud.Demand {
 	f := &g.op.Fleet
-	need := cloud.Need{Reserve: f.ReserveOD, ReserveMachine: f.ReserveMachine, ReserveZone: f.ReserveZone, Idle: clock.FromSeconds(f.IdleS), Machines: f.MaxMachines}
+	need := cloud.Demand{ReserveShare: f.ReserveOD, MachineReserveShare: f.ReserveMachine, ZoneReserveShare: f.ReserveZone, IdleTimeout: clock.FromSeconds(f.IdleS), MaxMachines: f.MaxMachines}
 	var work, all, pressing, lasting cloud.Load // lasting: replicas that spot machines may hold
 	wall := g.ck.Wall()
 	grantable := g.grantable()
@@ -313,12 +313,12 @@
 		add := func(l *cloud.Load, n float64) {
 			l.Cores += n * s.Cores
 			l.RAM += n * s.RAM
-			l.Accel += n * s.Accelerators
+			l.Accelerators += n * s.Accelerators
 		}
 		if !s.Preemptible {
-			add(&need.Ordinary, running+waiting)
+			add(&need.OnDemand, running+waiting)
 			need.MaxCores = max(need.MaxCores, s.Cores)
-			need.Apart = need.Apart || s.Spread
+			need.Spread = need.Spread || s.Spread
 			continue
 		}
 		if j.standing() {
@@ -344,7 +344,7 @@
 			var l cloud.Load
 			add(&l, run*(float64(j.done)+running+waiting))
 			first := g.seeded == (cloud.Load{}) && now-g.r.Since < firstLook
-			g.arrivals.Add(cloud.Arrival{At: now, Work: l, Old: first, Job: j})
+			g.arrivals.Add(cloud.Arrival{At: now, Work: l, Initial: first, Job: j})
 		}
 		drain, patient := g.drains(j, run)
 		seconds := (waiting + running/2) * run
@@ -352,34 +352,34 @@
 		add(&pressing, min(running+waiting, seconds/patient))
 		add(&all, running+waiting)
 	}
-	arriving := g.arrivals.Rate(cloud.Window{Now: now, Since: g.r.Since, Span: clock.FromSeconds(f.WindowS), Seeded: g.seeded,
-		Most: f.Headroom, Done: all.Cores == 0})
+	arriving := g.arrivals.Rate(cloud.Window{Now: now, Since: g.r.Since, Span: clock.FromSeconds(f.WindowS), Predecessor: g.seeded,
+		MaxHeadroom: f.Headroom, Idle: all.Cores == 0})
 	g.rate = arriving.Load
-	need.Loaned, need.Pressing = arriving.Load, pressing
-	need.Loaned.Cores *= 1 + arriving.Headroom
-	need.Loaned.RAM *= 1 + arriving.Headroom
-	if work.Cores > need.Loaned.Cores {
-		need.Loaned = work
-	}
-	need.Loaned.Cores += lasting.Cores
-	need.Loaned.RAM += lasting.RAM
-	need.Loaned.Accel += lasting.Accel
-	need.Pressing.Cores += lasting.Cores
-	need.Pressing.RAM += lasting.RAM
-	need.Pressing.Accel += lasting.Accel
-	g.peaks.Hold(&need, pressing.Cores, cloud.Holding{Now: now, Since: g.r.Since, Loaned: clock.FromSeconds(f.HoldS),
-		Ordinary: clock.FromSeconds(f.HoldOrdinaryS), Fade: arriving.Fade})
+	need.Preemptible, need.Urgent = arriving.Load, pressing
+	need.Preemptible.Cores *= 1 + arriving.Headroom
+	need.Preemptible.RAM *= 1 + arriving.Headroom
+	if work.Cores > need.Preemptible.Cores {
+		need.Preemptible = work
+	}
+	need.Preemptible.Cores += lasting.Cores
+	need.Preemptible.RAM += lasting.RAM
+	need.Preemptible.Accelerators += lasting.Accelerators
+	need.Urgent.Cores += lasting.Cores
+	need.Urgent.RAM += lasting.RAM
+	need.Urgent.Accelerators += lasting.Accelerators
+	g.peaks.Retain(&need, pressing.Cores, cloud.Retention{Now: now, Since: g.r.Since, Preemptible: clock.FromSeconds(f.HoldS),
+		OnDemand: clock.FromSeconds(f.HoldOrdinaryS), Decay: arriving.Decay})
 	// With no work at all for a while, nothing is held for what might come.
-	if need.Ordinary.Cores > 0 || all.Cores > 0 {
+	if need.OnDemand.Cores > 0 || all.Cores > 0 {
 		g.idleFrom = 0
 	} else if g.idleFrom == 0 {
 		g.idleFrom = now
 	}
-	if g.idleFrom > 0 && now-g.idleFrom > need.Idle {
-		need.Loaned, need.Pressing, need.Growth = cloud.Load{}, cloud.Load{}, 0
-		need.Hold, need.HoldOrdinary, need.HoldPressing = 0, 0, 0
+	if g.idleFrom > 0 && now-g.idleFrom > need.IdleTimeout {
+		need.Preemptible, need.Urgent, need.Growth = cloud.Load{}, cloud.Load{}, 0
+		need.KeepPreemptible, need.KeepOnDemand, need.KeepUrgent = 0, 0, 0
 	}
-	need.Keep = now-max(g.r.Since, g.awake) < 15*clock.Second
+	need.NoScaleIn = now-max(g.r.Since, g.awake) < 15*clock.Second
 	return need
 }
 
@@ -387,7 +387,7 @@
 // what is bound to a zone or to types with all it needs at once, all other work with one
 // task, so that even a little of it has a machine. A task that no machine held is
 // large enough for stands by itself. The caller holds mu.
-func (g *term) bound(held []cloud.Held) []cloud.Bound {
+func (g *term) bound(held []cloud.Machine) []cloud.Constraint {
 	type kind struct {
 		build, zone string
 		loaned      bool
@@ -395,7 +395,7 @@
 	kinds := map[kind]bool{}
 	for _, h := range held {
 		if !h.Lost {
-			kinds[kind{h.Build, h.Zone, h.Loaned}] = true
+			kinds[kind{h.Type, h.Zone, h.Preemptible}] = true
 		}
 	}
 	type key struct {
@@ -403,7 +403,7 @@
 		loaned       bool
 		alone        cloud.Load // its task, where nothing held could take it
 	}
-	found := map[key]*cloud.Bound{}
+	found := map[key]*cloud.Constraint{}
 	for _, j := range g.jobs {
 		s := &j.spec
 		left := len(j.tasks) - j.done
@@ -413,11 +413,11 @@
 		if j.running == 0 && !g.mayGrow(j) {
 			continue // its team is at its limit: no machine would help it
 		}
-		w := cloud.Bound{Builds: s.MachineTypes, Zone: s.Zone, Loaned: s.Preemptible, Task: cloud.Load{Cores: s.Cores, RAM: s.RAM, Accel: s.Accelerators}}
+		w := cloud.Constraint{MachineTypes: s.MachineTypes, Zone: s.Zone, Preemptible: s.Preemptible, Task: cloud.Load{Cores: s.Cores, RAM: s.RAM, Accelerators: s.Accelerators}}
 		k := key{zone: s.Zone, builds: strings.Join(s.MachineTypes, " "), loaned: s.Preemptible}
 		fits := false
 		for h := range kinds {
-			if b, known := g.fl.MachineType(h.build); known && w.Holds(b, h.zone, h.loaned) {
+			if b, known := g.fl.MachineType(h.build); known && w.Allows(b, h.zone, h.loaned) {
 				fits = true
 				break
 			}
@@ -425,7 +425,7 @@
 		if !fits {
 			k.alone = w.Task
 		}
-		if w.Zone != "" || w.Builds != nil {
+		if w.Zone != "" || w.MachineTypes != nil {
 			at := float64(left)
 			if !j.standing() && s.Preemptible {
 				run := g.classRun(j).Seconds()
@@ -443,19 +443,19 @@
 			}
 		}
 	}
-	out := make([]cloud.Bound, 0, len(found))
+	out := make([]cloud.Constraint, 0, len(found))
 	for _, w := range found {
 		out = append(out, *w)
 	}
-	slices.SortFunc(out, func(a, b cloud.Bound) int { // the same order whatever that of the jobs
-		if a.Loaned != b.Loaned {
-			if a.Loaned {
+	slices.SortFunc(out, func(a, b cloud.Constraint) int { // the same order whatever that of the jobs
+		if a.Preemptible != b.Preemptible {
+			if a.Preemptible {
 				return 1
 			}
 			return -1
 		}
-		return cmp.Or(cmp.Compare(a.Zone, b.Zone), slices.Compare(a.Builds, b.Builds), cmp.Compare(a.Task.Cores, b.Task.Cores),
-			cmp.Compare(a.Task.RAM, b.Task.RAM), cmp.Compare(a.Task.Accel, b.Task.Accel))
+		return cmp.Or(cmp.Compare(a.Zone, b.Zone), slices.Compare(a.MachineTypes, b.MachineTypes), cmp.Compare(a.Task.Cores, b.Task.Cores),
+			cmp.Compare(a.Task.RAM, b.Task.RAM), cmp.Compare(a.Task.Accelerators, b.Task.Accelerators))
 	})
 	return out
 }
@@ -472,7 +472,7 @@
 // stuck lists a task each of the jobs of which tasks wait and none has been placed
 // for that long, though their teams may have more. Where a job must be apart or in one
 // zone, it goes to the zone that is left for it. The caller holds mu.
-func (g *term) stuck(now, after clock.Micros) (out []cloud.Bound) {
+func (g *term) stuck(now, after clock.Micros) (out []cloud.Constraint) {
 	var jobs []*job // the first of them, in order
 	older := func(a, b *job) int { return cmp.Or(cmp.Compare(a.order, b.order), cmp.Compare(a.uid, b.uid)) }
 	for j := range g.queue {
@@ -498,21 +498,21 @@
 	}
 	for _, j := range jobs {
 		s := &j.spec
-		w := cloud.Bound{Builds: s.MachineTypes, Zone: s.Zone, Loaned: s.Preemptible, Task: cloud.Load{Cores: s.Cores, RAM: s.RAM, Accel: s.Accelerators}}
+		w := cloud.Constraint{MachineTypes: s.MachineTypes, Zone: s.Zone, Preemptible: s.Preemptible, Task: cloud.Load{Cores: s.Cores, RAM: s.RAM, Accelerators: s.Accelerators}}
 		if w.Zone == "" && (s.SameZone || s.Spread) {
 			w.Zone = j.leftZone(zones)
 		}
 		if s.SameZone && len(j.pj.Zones) == 0 {
-			w.Together = len(j.waiting)
+			w.TogetherInZone = len(j.waiting)
 		}
-		w.Not = map[string]bool{}
-		maps.Copy(w.Not, j.pj.Shun)
+		w.Avoid = map[string]bool{}
+		maps.Copy(w.Avoid, j.pj.Avoid)
 		for name := range j.failures.faults {
-			w.Not[name] = true
+			w.Avoid[name] = true
 		}
 		if j.failures.doubtful() && g.avoidsStruck() {
 			for m := range g.strikes {
-				w.Not[m.Name] = true
+				w.Avoid[m.Name] = true
 			}
 		}
 		out = append(out, w)
@@ -544,7 +544,7 @@
 	g.mu.Lock()
 	now := g.ck.Now()
 	due := now-g.rateAt > 10*clock.Second && g.rate.Cores > 0
-	rec := store.DemandRecord{Cores: g.rate.Cores, RAM: g.rate.RAM, Accelerators: g.rate.Accel, Classes: map[string][2]int64{}}
+	rec := store.DemandRecord{Cores: g.rate.Cores, RAM: g.rate.RAM, Accelerators: g.rate.Accelerators, Classes: map[string][2]int64{}}
 	for class, st := range g.classes {
 		if len(rec.Classes) < 50 {
 			rec.Classes[class] = [2]int64{int64(st.n), int64(st.sum)}
@@ -577,7 +577,7 @@
 		g.mu.Unlock()
 		return
 	}
-	var held []cloud.Held
+	var held []cloud.Machine
 	var giveUp []string
 	silent := clock.FromSeconds(g.op.Fleet.SilentS)
 	report := clock.FromSeconds(g.cfg.Facts.Workers.ReportS)
@@ -587,25 +587,25 @@
 		if m.Type == "" || !m.Reported && m.ListedAt == 0 && m.AllocationCount() == 0 {
 			continue // nothing but an old report may speak of it
 		}
-		h := cloud.Held{Name: m.Name, Build: m.Type, Zone: m.Zone, Loaned: m.Preemptible, Up: m.Reported, Cordoned: m.Cordoned,
+		h := cloud.Machine{Name: m.Name, Type: m.Type, Zone: m.Zone, Preemptible: m.Preemptible, Up: m.Reported, Cordoned: m.Cordoned,
 			UsedCores: m.UsedCores}
 		m.EachAllocation(func(b *fleet.Allocation) {
 			if b.Live() {
-				h.Live++
+				h.Tasks++
 				if j, known := b.Owner.(*job); known && j.standing() {
-					h.Standing++
+					h.Replicas++
 				}
 				if !b.Preemptible {
-					h.Firm += b.Cores
+					h.OnDemandCores += b.Cores
 				}
 			}
 		})
 		if g.usable(m, now) {
-			h.Free.Cores, h.Free.Accel, h.Free.RAM = m.Free()
+			h.Free.Cores, h.Free.Accelerators, h.Free.RAM = m.Free()
 		} else if b, known := g.fl.MachineType(m.Type); known && !h.Up {
-			h.Free = cloud.Load{Cores: b.Cores, RAM: b.RAM, Accel: b.Accelerators}
+			h.Free = cloud.Load{Cores: b.Cores, RAM: b.RAM, Accelerators: b.Accelerators}
 		}
-		h.Live += m.RunningOrphans()
+		h.Tasks += m.RunningOrphans()
 		if m.IdleSince > 0 && m.RunningOrphans() == 0 {
 			h.Idle = now - m.IdleSince
 		}
@@ -613,7 +613,7 @@
 		// machine takes longer to boot than a lease to run out.
 		h.Lost = m.QuarantineReason != "" || m.Returning || m.CloudStatus == wire.MachineFailed || m.Reported && (m.Unresponsive || m.Suspect) ||
 			!m.Reported && m.ListedAt > 0 && m.CloudStatus != wire.MachineBooting && now-m.FirstSeen > silent ||
-			g.unheard[m] && !m.Reported && now-g.r.Since > 2*report+2*clock.Second && !reconnecting || overdue.CountedOut[m.Name]
+			g.unheard[m] && !m.Reported && now-g.r.Since > 2*report+2*clock.Second && !reconnecting || overdue.Replace[m.Name]
 		held = append(held, h)
 		if g.unheard[m] && !m.Reported && now-g.r.Since > 2*report || m.Reported && (m.Unresponsive || m.Suspect) {
 			quiet[m.Zone]++
@@ -622,10 +622,10 @@
 			known[m.Zone]++
 		}
 		dead := m.CloudStatus == wire.MachineFailed ||
-			overdue.GivenUp[m.Name] ||
+			overdue.Return[m.Name] ||
 			m.Reported && now-max(m.LastHeartbeat, g.awake) > silent ||
 			!m.Reported && m.CloudStatus == wire.MachineRunning && now-max(m.FirstSeen, g.r.Since, g.awake) > silent ||
-			(m.QuarantineReason == "sick" || m.QuarantineReason == "slow") && h.Live == 0 ||
+			(m.QuarantineReason == "sick" || m.QuarantineReason == "slow") && h.Tasks == 0 ||
 			m.Returning
 		if dead && !m.Returning {
 			m.Returning = true
@@ -639,8 +639,8 @@
 		for h := range p.hosts {
 			if m := g.fl.Machine(h); m == nil || m.Type == "" {
 				b, _ := g.fl.MachineType(p.req.MachineType)
-				held = append(held, cloud.Held{Name: h, Build: p.req.MachineType, Zone: p.req.Zone, Loaned: p.req.Preemptible,
-					Free: cloud.Load{Cores: b.Cores, RAM: b.RAM, Accel: b.Accelerators}})
+				held = append(held, cloud.Machine{Name: h, Type: p.req.MachineType, Zone: p.req.Zone, Preemptible: p.req.Preemptible,
+					Free: cloud.Load{Cores: b.Cores, RAM: b.RAM, Accelerators: b.Accelerators}})
 			}
 		}
 	}
@@ -660,10 +660,10 @@
 	live := 0
 	var cores, idle [2]float64 // ordinary and loaned ones that count, and what of them is unused
 	for _, h := range held {
-		live += h.Live
-		if b, known := g.fl.MachineType(h.Build); known && !h.Lost && h.Up {
+		live += h.Tasks
+		if b, known := g.fl.MachineType(h.Type); known && !h.Lost && h.Up {
 			kind := 0
-			if h.Loaned {
+			if h.Preemptible {
 				kind = 1
 			}
 			cores[kind] += b.Cores
@@ -672,9 +672,9 @@
 	}
 	g.met.Fleet(len(held), live, len(g.refused))
 	need := g.demand(now)
-	need.Bound, need.Stuck = g.bound(held), g.stuck(now, stuckAfter)
+	need.Constrained, need.Stuck = g.bound(held), g.stuck(now, stuckAfter)
 	need.Waiting = g.stuck(now, waitsAfter)
-	v := cloud.Size(g.catalog.MachineTypes, held, need, refused)
+	v := cloud.Resize(g.catalog.MachineTypes, held, need, refused)
 	for _, name := range v.Cordon {
 		g.fl.Machine(name).Cordoned = true
 		g.touched[g.fl.Machine(name)] = true
@@ -691,13 +691,13 @@
 			giveUp = append(giveUp, name)
 		}
 	}
-	g.log.Debug("sizing", "held", len(held), "ordinary", math.Round(need.Ordinary.Cores), "loaned", math.Round(need.Loaned.Cores), "pressing", math.Round(need.Pressing.Cores), "rate", math.Round(g.rate.Cores),
+	g.log.Debug("sizing", "held", len(held), "ordinary", math.Round(need.OnDemand.Cores), "loaned", math.Round(need.Preemptible.Cores), "pressing", math.Round(need.Urgent.Cores), "rate", math.Round(g.rate.Cores),
 		"up", fmt.Sprint(cores), "unused", fmt.Sprint(idle), "rent", fmt.Sprint(v.Rent), "cordon", len(v.Cordon), "uncordon", len(v.Uncordon), "return", fmt.Sprint(giveUp))
 	g.mu.Unlock()
 	if len(giveUp) > 0 {
 		g.giveBack(ctx, giveUp[:min(len(giveUp), wire.MaxReturnPerRequest)])
 	}
-	if v.Capped && now-g.capped > 10*clock.Second {
+	if v.LimitReached && now-g.capped > 10*clock.Second {
 		g.capped = now
 		g.log.Info("no more machines may be held: fleet.max_machines", "most", g.op.Fleet.MaxMachines)
 	}
@@ -714,7 +714,7 @@
 }
 
 // batches splits rentals into what one request may ask for, at most so many requests.
-func batches(wishes []cloud.Wish, most int) (out []cloud.Wish) {
+func batches(wishes []cloud.Rental, most int) (out []cloud.Rental) {
 	for _, w := range wishes {
 		for left := w.Count; left > 0 && len(out) < max(4, most); left -= wire.MaxRentPerRequest {
 			w.Count = min(left, wire.MaxRentPerRequest)
@@ -772,10 +772,10 @@
 
 // rent asks for machines under a name that is never used again; a lost answer
 // is asked for again under the same name.
-func (g *term) rent(ctx context.Context, w cloud.Wish) {
+func (g *term) rent(ctx context.Context, w cloud.Rental) {
 	g.mu.Lock()
 	g.hireSeq++
-	req := wire.RentRequest{RequestID: fmt.Sprintf("r-%d-%d", g.r.Token, g.hireSeq), MachineType: w.Build, Zone: w.Zone, Preemptible: w.Loaned, Count: min(w.Count, wire.MaxRentPerRequest)}
+	req := wire.RentRequest{RequestID: fmt.Sprintf("r-%d-%d", g.r.Token, g.hireSeq), MachineType: w.MachineType, Zone: w.Zone, Preemptible: w.Preemptible, Count: min(w.Count, wire.MaxRentPerRequest)}
 	g.mu.Unlock()
 	asked := g.ck.Now()
 	var hosts []string
@@ -796,7 +796,7 @@
 	defer g.mu.Unlock()
 	if len(hosts) < req.Count {
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-			g.refused[refusedKey(w.Build, w.Zone, w.Loaned)] = now + 20*clock.Second
+			g.refused[refusedKey(w.MachineType, w.Zone, w.Preemptible)] = now + 20*clock.Second
 		}
 	}
 	if err != nil {
@@ -812,7 +812,7 @@
 		}
 	}
 	g.pending[req.RequestID] = h
-	g.log.Info("machines rented", "build", w.Build, "zone", w.Zone, "loaned", w.Loaned, "hosts", fmt.Sprint(hosts))
+	g.log.Info("machines rented", "build", w.MachineType, "zone", w.Zone, "loaned", w.Preemptible, "hosts", fmt.Sprint(hosts))
 }
 
 // cameUp notes that a machine that this term rented is up. The caller holds mu.
@@ -822,7 +822,7 @@
 		return
 	}
 	delete(g.asked, m.Name)
-	g.boots.Up(now, now-asked, g.ready(m.Type))
+	g.boots.Booted(now, now-asked, g.ready(m.Type))
 }
 
 // ready is how long a type takes to boot, by the catalogue.
@@ -849,12 +849,12 @@
 				return
 			}
 		}
-		booting = append(booting, cloud.Booting{Name: m.Name, Age: now - max(from, g.awake), Ready: g.ready(m.Type)})
+		booting = append(booting, cloud.Booting{Name: m.Name, Age: now - max(from, g.awake), Expected: g.ready(m.Type)})
 	})
-	overdue := g.boots.Judge(now, booting, g.op.Fleet.BootFactor)
+	overdue := g.boots.Evaluate(now, booting, g.op.Fleet.BootFactor)
 	if overdue.Late > 0 {
-		g.log.Debug("machines are late", "late", overdue.Late, "longest", overdue.Longest, "general", overdue.General,
-			"counted_out", len(overdue.CountedOut), "given_up", len(overdue.GivenUp))
+		g.log.Debug("machines are late", "late", overdue.Late, "longest", overdue.Longest, "general", overdue.CloudSlow,
+			"counted_out", len(overdue.Replace), "given_up", len(overdue.Return))
 	}
 	return overdue
 }
--- a/picture.go
+++ b/picture.go
@@ -55,7 +55,7 @@
 			m.QuarantineReason = ""
 		}
 		if g.fl.Machine(m.Name) == nil && pm != nil {
-			g.pic.Drop(m.Name)
+			g.pic.Remove(m.Name)
 		}
 		delete(g.toTell, m)
 		delete(g.unheard, m)
@@ -68,13 +68,13 @@
 	}
 	g.judge(m)
 	if pm == nil {
-		pm = &plan.Machine{Name: m.Name, Images: map[string]plan.Image{}}
+		pm = &plan.Machine{Name: m.Name, Images: map[string]plan.ImageState{}}
 	}
 	c, a, r := m.Free()
-	pm.Build, pm.Zone, pm.Loaned, pm.Cores, pm.Accel, pm.RAM = m.Type, m.Zone, m.Preemptible, c, a, r
-	pm.Usable, pm.Banned, pm.Cordoned, pm.Held = g.usable(m, now), m.QuarantineReason, m.Cordoned, g.holds[m.Name]
+	pm.Type, pm.Zone, pm.Preemptible, pm.Cores, pm.Accelerators, pm.RAM = m.Type, m.Zone, m.Preemptible, c, a, r
+	pm.Usable, pm.QuarantineReason, pm.Cordoned, pm.ReservedFor = g.usable(m, now), m.QuarantineReason, m.Cordoned, g.holds[m.Name]
 	if b, known := g.fl.MachineType(m.Type); known {
-		pm.Fetch = b.FetchGBs
+		pm.FetchGBs = b.FetchGBs
 	}
 	for b := range pm.Images {
 		if _, still := m.Images[b]; !still {
@@ -82,15 +82,15 @@
 		}
 	}
 	for b, whole := range m.Images {
-		pm.Images[b] = plan.ImageComing
+		pm.Images[b] = plan.ImageFetching
 		if whole {
 			pm.Images[b] = plan.ImageHeld
 		}
 	}
-	pm.Struck = g.strikes[m] != nil
+	pm.HasFailures = g.strikes[m] != nil
 	again = m.SuspendedUntil > now // looked at again when that is over
-	pm.StopCores, pm.StopAccel, pm.StopRAM = 0, 0, 0
-	pm.Lower = pm.Lower[:0]
+	pm.StoppingCores, pm.StoppingAccelerators, pm.StoppingRAM = 0, 0, 0
+	pm.Victims = pm.Victims[:0]
 	guarantees := g.quota.Guarantees()
 	m.EachAllocation(func(b *fleet.Allocation) {
 		if !b.Live() {
@@ -100,22 +100,22 @@
 			// One that does not obey leaves room that may be long in coming.
 			if now-b.StopRequestedAt <= stopSoon {
 				again = true
-				pm.StopCores += b.Cores
-				pm.StopAccel += b.Accelerators
-				pm.StopRAM += b.RAM
+				pm.StoppingCores += b.Cores
+				pm.StoppingAccelerators += b.Accelerators
+				pm.StoppingRAM += b.RAM
 			}
 			return
 		}
 		j, ok := b.Owner.(*job)
-		if !ok || j.standing() && !guarantees || j.group() || j.cancelled || j.spared && len(j.tasks)-j.done-len(j.waiting) <= plan.AgedTasks || j.tasks[b.Task.Index].booking != b {
+		if !ok || j.standing() && !guarantees || j.group() || j.cancelled || j.spared && len(j.tasks)-j.done-len(j.waiting) <= plan.StarvedTasks || j.tasks[b.Task.Index].booking != b {
 			return
 		}
-		pm.Lower = append(pm.Lower, plan.Victim{Task: plan.TaskID{Job: j.uid, Index: b.Task.Index}, Job: j.pj, Priority: j.priority,
-			Cores: b.Cores, Accel: b.Accelerators, RAM: b.RAM, Since: b.RunningSince, Replica: j.standing()})
+		pm.Victims = append(pm.Victims, plan.Victim{Task: plan.TaskID{Job: j.uid, Index: b.Task.Index}, Job: j.pj, Priority: j.priority,
+			Cores: b.Cores, Accelerators: b.Accelerators, RAM: b.RAM, RunningSince: b.RunningSince, Replica: j.standing()})
 	})
-	slices.SortStableFunc(pm.Lower, func(a, b plan.Victim) int {
+	slices.SortStableFunc(pm.Victims, func(a, b plan.Victim) int {
 		// Least progress first: not begun, then begun last. Replicas come after all else.
-		return cmp.Or(compareBool(a.Replica, b.Replica), cmp.Compare(a.Priority, b.Priority), cmp.Compare(zeroLast(b.Since), zeroLast(a.Since)))
+		return cmp.Or(compareBool(a.Replica, b.Replica), cmp.Compare(a.Priority, b.Priority), cmp.Compare(zeroLast(b.RunningSince), zeroLast(a.RunningSince)))
 	})
 	g.pic.Put(pm)
 	return again
@@ -149,13 +149,13 @@
 
 // picture readies the picture for a plan: it lists the tasks that wait. The
 // caller holds mu.
-func (g *term) picture(now clock.Micros, round bool) *plan.Picture {
+func (g *term) picture(now clock.Micros, round bool) *plan.Snapshot {
 	p := g.pic
 	g.seq++
 	p.Seed, p.Now = g.seq, now
-	p.MoveCap = max(g.op.Repair.Restarts, int(float64(g.replicas)*g.op.Repair.Share))
+	p.MaxMoves = max(g.op.Repair.Restarts, int(float64(g.replicas)*g.op.Repair.Share))
 	p.Waiting, p.Candidates = p.Waiting[:0], p.Candidates[:0]
-	p.AvoidStruck = g.avoidsStruck()
+	p.AvoidFailures = g.avoidsStruck()
 	g.entitle(now)
 	wall := g.ck.Wall()
 	const perPass = 400 // tasks of one job offered to one pass
@@ -172,9 +172,9 @@
 		}
 		tries := j.waiting
 		pj := j.pj
-		if pj.Probe = j.failures.doubtful(); pj.Probe {
+		if pj.OnTrial = j.failures.doubtful(); pj.OnTrial {
 			tries = g.mayTry(j, now)
-			pj.Probe = j.failures.doubtful()
+			pj.OnTrial = j.failures.doubtful()
 		}
 		most := perPass
 		if j.unhurried() {
@@ -197,11 +197,11 @@
 		if len(idx) == 0 {
 			continue
 		}
-		pj.Started, pj.Left = j.started, len(j.tasks)-j.done
-		pj.Part = !j.started && clock.Micros(j.at)+agedAfter < wall
-		pj.Aged = pj.Part && !j.standing() && !pj.Probe
+		pj.Started, pj.Unfinished = j.started, len(j.tasks)-j.done
+		pj.StartsPartially = !j.started && clock.Micros(j.at)+agedAfter < wall
+		pj.Starved = pj.StartsPartially && !j.standing() && !pj.OnTrial
 		pj.Slack = j.slack(wall)
-		p.Waiting = append(p.Waiting, plan.Waiting{Job: pj, Indexes: idx, Lost: lost})
+		p.Waiting = append(p.Waiting, plan.Waiting{Job: pj, Indexes: idx, Replacement: lost})
 	}
 	// The planner's order has no ties, so that of the map does not matter.
 	if round {
@@ -284,11 +284,11 @@
 // candidates lists the placed tasks on offending machines or in broken rules.
 // Batch tasks that could not save are left to finish on a machine that still
 // works: stopping them would lose what repair is meant to protect.
-func (g *term) candidates(p *plan.Picture) {
+func (g *term) candidates(p *plan.Snapshot) {
 	now := p.Now
 	// Spreading goes slowly, so only some of the replicas that share a machine are
 	// looked at in a round, beginning elsewhere each time.
-	sharing := 4 * max(1, p.MoveCap)
+	sharing := 4 * max(1, p.MaxMoves)
 	machines := g.fl.Machines()
 	if len(machines) > 0 {
 		at := int(g.seq*97) % len(machines)
@@ -307,7 +307,7 @@
 			reason := ""
 			switch {
 			case m.QuarantineReason != "" && (j.standing() || b.Checkpoints || m.QuarantineReason == "sick"):
-				reason = plan.ReasonBan
+				reason = plan.ReasonQuarantine
 			case m.Cordoned && j.standing() && now-b.ReservedAt > settled:
 				reason = plan.ReasonDrain
 			case j.standing() && j.pj.Machines[m.Name] > 1 && sharing > 0:
--- a/plan/index.go
+++ b/plan/index.go
@@ -27,7 +27,7 @@
 )
 
 func kindOf(m *Machine) int {
-	if m.Loaned {
+	if m.Preemptible {
 		return loaned
 	}
 	return ordinary
@@ -63,7 +63,7 @@
 	images map[string]int
 }
 
-func (p *Picture) reindex() {
+func (p *Snapshot) reindex() {
 	p.index = &index{byName: map[string]*Machine{}, images: map[string][]*Machine{}, perZone: map[string]int{}}
 	for _, m := range p.Machines {
 		m.at = place{}
@@ -72,7 +72,7 @@
 }
 
 // Put takes a machine into the picture, or notes that it has changed.
-func (p *Picture) Put(m *Machine) {
+func (p *Snapshot) Put(m *Machine) {
 	if p.index == nil {
 		p.reindex()
 	}
@@ -80,15 +80,15 @@
 }
 
 // Machine looks a machine up.
-func (p *Picture) Machine(name string) *Machine {
+func (p *Snapshot) Machine(name string) *Machine {
 	if p.index == nil {
 		p.reindex()
 	}
 	return p.index.byName[name]
 }
 
-// Drop takes a machine out of the picture.
-func (p *Picture) Drop(name string) {
+// Remove takes a machine out of the picture.
+func (p *Snapshot) Remove(name string) {
 	if m := p.Machine(name); m != nil {
 		p.index.drop(m)
 	}
@@ -105,7 +105,7 @@
 
 // kinds lists the machines of the kinds that a job may use.
 func (x *index) kinds(j *Job) []*Machine {
-	if !j.Loaned || len(x.all[loaned]) == 0 {
+	if !j.Preemptible || len(x.all[loaned]) == 0 {
 		return x.all[ordinary]
 	}
 	if len(x.all[ordinary]) == 0 {
@@ -133,7 +133,7 @@
 			x.perZone[m.Zone]++
 		}
 	}
-	open := m.Usable && m.Banned == "" && !m.Cordoned
+	open := m.Usable && m.QuarantineReason == "" && !m.Cordoned
 	l, w := level(m.RAM), width(m.Cores)
 	if at.open && (!open || at.oLevel != l || at.oWidth != w) {
 		x.shut(m)
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -20,31 +20,31 @@
 	"cedardoor/wire"
 )
 
-// Image is how far a machine is with an image.
-type Image int
+// ImageState is how far a machine is with an image.
+type ImageState int
 
 // The states of an image on a machine, best last.
 const (
-	ImageAbsent Image = iota
-	ImageComing
+	ImageAbsent ImageState = iota
+	ImageFetching
 	ImageHeld
 )
 
 // Machine is a machine in the picture.
 type Machine struct {
-	Name, Build, Zone string
-	Loaned            bool
-	Cores, Accel, RAM float64 // free
+	Name, Type, Zone         string
+	Preemptible              bool
+	Cores, Accelerators, RAM float64 // free
 	// Room that stops already under way will free.
-	StopCores, StopAccel, StopRAM float64
-	Usable                        bool   // reports, and may be given tasks
-	Banned                        string // why it is to be emptied
-	Cordoned                      bool   // gets no new tasks, but need not be emptied
-	Images                        map[string]Image
-	Lower                         []Victim // tasks that may be preempted, cheapest first
-	Held                          string   // the job that its room is kept for, if any
-	Fetch                         float64  // GB of images a second
-	Struck                        bool     // tasks have failed on it since any was done there
+	StoppingCores, StoppingAccelerators, StoppingRAM float64
+	Usable                                           bool   // reports, and may be given tasks
+	QuarantineReason                                 string // why it is to be emptied
+	Cordoned                                         bool   // gets no new tasks, but need not be emptied
+	Images                                           map[string]ImageState
+	Victims                                          []Victim // tasks that may be preempted, cheapest first
+	ReservedFor                                      string   // the job that its room is kept for, if any
+	FetchGBs                                         float64  // GB of images a second
+	HasFailures                                      bool     // tasks have failed on it since any was done there
 
 	leaving int
 	at      place
@@ -53,19 +53,19 @@
 
 // Victim is a task that could be stopped to make room.
 type Victim struct {
-	Task              TaskID
-	Priority          wire.Priority
-	Cores, Accel, RAM float64
-	Since             clock.Micros // running since; zero when it has not begun
-	Job               *Job         // to tell whether its team is beyond its guarantee; may be nil
-	Borrowed          bool         // its team is beyond its guarantee
-	Replica           bool         // of a service
+	Task                     TaskID
+	Priority                 wire.Priority
+	Cores, Accelerators, RAM float64
+	RunningSince             clock.Micros // running since; zero when it has not begun
+	Job                      *Job         // to tell whether its team is beyond its guarantee; may be nil
+	Borrowed                 bool         // its team is beyond its guarantee
+	Replica                  bool         // of a service
 
 	taken bool
 }
 
 // amount is what the task takes of its team's limit.
-func (v *Victim) amount() quota.Amount { return quota.NewAmount(v.Cores, v.Accel) }
+func (v *Victim) amount() quota.Amount { return quota.NewAmount(v.Cores, v.Accelerators) }
 
 // team is the task's team, empty where that is not known.
 func (v *Victim) team() string {
@@ -83,40 +83,40 @@
 
 // Job is what the tasks of a job have in common.
 type Job struct {
-	UID, Team         string
-	Priority          wire.Priority
-	Standing          bool
-	Tasks             int
-	Cores, Accel, RAM float64
-	Builds            []string
-	Zone              string
-	SamePlace, Apart  bool
-	Loaned            bool
-	Bundle            string
-	Entitled          bool            // within its team's guarantee
-	Slack             clock.Micros    // time left before it must start to meet its deadline
-	Order             int64           // acceptance order, ties of everything else
-	Started           bool            // some task was started before
-	Group             bool            // its tasks run only all together
-	Left              int             // tasks not done yet
-	Aged              bool            // has waited long without any task begun
-	Part              bool            // the same, replicas included: what is to be in one zone need not begin whole
-	Probe             bool            // it may fail wherever it runs: a task tries, and nobody makes way for it
-	Shun              map[string]bool // machines that its tasks keep away from
-	Hold              string          // the machine whose room is kept for it, if any
-	ImageGB           float64
-	Within            clock.Micros // in which its tasks should start; zero when nothing is said
-
-	Zones    map[string]int // tasks that may exist, by zone
-	Machines map[string]int // the same by machine
-	Anywhere int            // of those, tasks whose zone is not known
+	UID, Team                string
+	Priority                 wire.Priority
+	Service                  bool
+	Tasks                    int
+	Cores, Accelerators, RAM float64
+	MachineTypes             []string
+	Zone                     string
+	SameZone, Spread         bool
+	Preemptible              bool
+	Image                    string
+	Entitled                 bool            // within its team's guarantee
+	Slack                    clock.Micros    // time left before it must start to meet its deadline
+	Order                    int64           // acceptance order, ties of everything else
+	Started                  bool            // some task was started before
+	Gang                     bool            // its tasks run only all together
+	Unfinished               int             // tasks not done yet
+	Starved                  bool            // has waited long without any task begun
+	StartsPartially          bool            // the same, replicas included: what is to be in one zone need not begin whole
+	OnTrial                  bool            // it may fail wherever it runs: a task tries, and nobody makes way for it
+	Avoid                    map[string]bool // machines that its tasks keep away from
+	ReservedMachine          string          // the machine whose room is kept for it, if any
+	ImageGB                  float64
+	StartWithin              clock.Micros // in which its tasks should start; zero when nothing is said
+
+	Zones         map[string]int // tasks that may exist, by zone
+	Machines      map[string]int // the same by machine
+	InUnknownZone int            // of those, tasks whose zone is not known
 }
 
 // Waiting is a job's tasks that have no machine.
 type Waiting struct {
-	Job     *Job
-	Indexes []int
-	Lost    bool // replaces tasks that ran before
+	Job         *Job
+	Indexes     []int
+	Replacement bool // replaces tasks that ran before
 }
 
 // Candidate is a placed task that breaks a rule where it is.
@@ -127,29 +127,29 @@
 	Reason  string
 }
 
-// Picture is what a plan is made from. It is kept from plan to plan: after a
+// Snapshot is what a plan is made from. It is kept from plan to plan: after a
 // change of a machine, Put brings its indexes up to date. A plan leaves the
 // picture as it found it.
-type Picture struct {
+type Snapshot struct {
 	Machines   []*Machine
 	Waiting    []Waiting
 	Candidates []Candidate
 	Quota      *quota.Ledger // what teams use, and may use; nil: no limits
-	MoveCap    int
-	Sample     int
+	MaxMoves   int
+	SampleSize int
 	Seed       uint64
 	Preempt    bool
 	Now        clock.Micros
-	// Turns is how many aged jobs may go before work of higher priority that waits, too.
+	// StarvedTurns is how many aged jobs may go before work of higher priority that waits, too.
 	// Each takes one, and each task of such work that is placed gives one back.
-	Turns int
-	// AvoidStruck keeps jobs on trial off machines on which tasks have failed: what
+	StarvedTurns int
+	// AvoidFailures keeps jobs on trial off machines on which tasks have failed: what
 	// they show there says little.
-	AvoidStruck bool
+	AvoidFailures bool
 
-	index *index
-	draft *quota.Draft // the ledger with the plan's steps, while one is being made
-	owed  bool         // what is being placed is within its team's guarantee
+	index           *index
+	draft           *quota.Draft // the ledger with the plan's steps, while one is being made
+	withinGuarantee bool         // what is being placed is within its team's guarantee
 	// binding tells whether the draft can refuse anything.
 	binding bool
 }
@@ -169,24 +169,24 @@
 
 // Result is a plan.
 type Result struct {
-	Launch  []Placement
-	Moves   []Move
-	Preempt []TaskID
+	Launches    []Placement
+	Moves       []Move
+	Preemptions []TaskID
 	// Deferred counts moves that wait for departures, or that the cap put off.
 	Deferred int
 	// Violations counts candidates that found no target at all.
 	Violations int
 	Unplaced   map[string]int // waiting tasks without a machine, by job
-	// Hold keeps the room that comes free on a machine for an aged job, by machine.
-	Hold map[string]string
-	// Turns is what the next plan's picture is to have.
-	Turns int
-	// Visits counts the machines looked at.
-	Visits int
+	// Reservations keeps the room that comes free on a machine for an aged job, by machine.
+	Reservations map[string]string
+	// StarvedTurns is what the next plan's picture is to have.
+	StarvedTurns int
+	// Examined counts the machines looked at.
+	Examined int
 }
 
 type planner struct {
-	*Picture
+	*Snapshot
 	rules  []Rule
 	out    Result
 	rng    *rand.Rand
@@ -196,23 +196,23 @@
 }
 
 // amount is what one task of the job takes of its team's limit.
-func (j *Job) amount() quota.Amount { return quota.NewAmount(j.Cores, j.Accel) }
+func (j *Job) amount() quota.Amount { return quota.NewAmount(j.Cores, j.Accelerators) }
 
 // Make plans one round: first what teams are guaranteed, then the launches of
 // services, then the repair moves, if the picture has candidates, then the other
 // launches.
-func Make(p *Picture) Result {
+func Make(p *Snapshot) Result {
 	if p.index == nil {
 		p.reindex()
 	}
-	pl := &planner{Picture: p, rules: Rules(), rng: rand.New(rand.NewPCG(p.Seed, 1))}
+	pl := &planner{Snapshot: p, rules: Rules(), rng: rand.New(rand.NewPCG(p.Seed, 1))}
 	p.draft = p.Quota.Draft()
 	p.binding = p.draft.Binding()
 	pl.out.Unplaced = map[string]int{}
 	services, others := byShape(pl.launchOwed())
 	pl.launch(services)
 	pl.repair()
-	pl.out.Turns = pl.launch(others)
+	pl.out.StarvedTurns = pl.launch(others)
 	pl.restore()
 	return pl.out
 }
@@ -224,11 +224,11 @@
 	if ja.Priority != jb.Priority {
 		return ja.Priority > jb.Priority
 	}
-	if a.Lost != b.Lost {
-		return a.Lost
+	if a.Replacement != b.Replacement {
+		return a.Replacement
 	}
-	if ja.Aged != jb.Aged {
-		return ja.Aged
+	if ja.Starved != jb.Starved {
+		return ja.Starved
 	}
 	if ja.Entitled != jb.Entitled {
 		return ja.Entitled
@@ -245,11 +245,11 @@
 // maxHolds bounds the machines whose room is kept for jobs that have waited long.
 const maxHolds = 8
 
-// AgedTasks is how many tasks of a job that has waited long go before others. One
+// StarvedTasks is how many tasks of a job that has waited long go before others. One
 // is enough for the job to begin. With more, the jobs of low priority that have waited
 // long take all that comes free under a lasting overload, and urgent work waits
 // until it has waited long itself.
-const AgedTasks = 1
+const StarvedTasks = 1
 
 // launchOwed places as many tasks as teams are owed of their guarantees, whatever their
 // priority: they need not wait for other teams, and what they have preempted would else be
@@ -270,16 +270,16 @@
 		}
 		return order(a, b)
 	})
-	pl.owed = true
-	defer func() { pl.owed = false }()
+	pl.withinGuarantee = true
+	defer func() { pl.withinGuarantee = false }()
 	var failed []*Job
 	for _, w := range waiting {
 		n := pl.owedTasks(w)
 		if n > 0 {
-			pl.try(&Waiting{Job: w.Job, Indexes: w.Indexes[:n], Lost: w.Lost}, &failed)
+			pl.try(&Waiting{Job: w.Job, Indexes: w.Indexes[:n], Replacement: w.Replacement}, &failed)
 		}
 		if n < len(w.Indexes) {
-			rest = append(rest, &Waiting{Job: w.Job, Indexes: w.Indexes[n:], Lost: w.Lost})
+			rest = append(rest, &Waiting{Job: w.Job, Indexes: w.Indexes[n:], Replacement: w.Replacement})
 		}
 	}
 	return rest
@@ -294,7 +294,7 @@
 		return 0
 	}
 	n := owed.Tasks(j.amount(), len(w.Indexes))
-	if n < len(w.Indexes) && (j.Group || j.SamePlace && !j.anywhere()) {
+	if n < len(w.Indexes) && (j.Gang || j.SameZone && !j.anywhere()) {
 		return 0
 	}
 	return n
@@ -306,9 +306,9 @@
 	switch {
 	case dominated(j, *failed):
 		pl.out.Unplaced[j.UID] += len(w.Indexes)
-	case j.Group:
+	case j.Gang:
 		pl.group(w)
-	case j.SamePlace && !j.anywhere():
+	case j.SameZone && !j.anywhere():
 		pl.gang(w)
 	default:
 		return pl.some(w, failed, true)
@@ -320,7 +320,7 @@
 // replacing a lost replica never waits behind a move, and the rest, which goes after it.
 func byShape(waiting []*Waiting) (services, others []*Waiting) {
 	for _, w := range waiting {
-		if w.Job.Standing {
+		if w.Job.Service {
 			services = append(services, w)
 		} else {
 			others = append(others, w)
@@ -342,8 +342,8 @@
 	var failed []*Job
 	for _, w := range list {
 		if j := w.Job; first(w) && (turns.left > 0 || j.Priority >= turns.rival || pl.holds(j)) {
-			n, kept := min(AgedTasks, len(w.Indexes)), pl.holds(j)
-			done := pl.some(&Waiting{Job: j, Indexes: w.Indexes[:n], Lost: w.Lost}, &failed, false)
+			n, kept := min(StarvedTasks, len(w.Indexes)), pl.holds(j)
+			done := pl.some(&Waiting{Job: j, Indexes: w.Indexes[:n], Replacement: w.Replacement}, &failed, false)
 			if done == 0 {
 				pl.hold(j)
 			}
@@ -351,7 +351,7 @@
 				turns.left--
 			}
 			if done < len(w.Indexes) {
-				rest = append(rest, &Waiting{Job: j, Indexes: w.Indexes[done:], Lost: w.Lost})
+				rest = append(rest, &Waiting{Job: j, Indexes: w.Indexes[done:], Replacement: w.Replacement})
 			}
 			continue
 		}
@@ -365,18 +365,18 @@
 			turns.left += placed
 		}
 	}
-	return max(0, min(turns.left, MostTurns))
+	return max(0, min(turns.left, MaxStarvedTurns))
 }
 
 // first tells whether a job's first task may go before work of higher priority.
 func first(w *Waiting) bool {
 	j := w.Job
-	return j.Aged && !j.Group && !j.SamePlace && !j.anywhere()
+	return j.Starved && !j.Gang && !j.SameZone && !j.anywhere()
 }
 
-// MostTurns is how many aged jobs may go at once before work of higher priority that
+// MaxStarvedTurns is how many aged jobs may go at once before work of higher priority that
 // comes. More would let what is urgent wait for as many places to come free.
-const MostTurns = 2
+const MaxStarvedTurns = 2
 
 // turns is what aged jobs and work of higher priority that waits share a plan by.
 type turns struct {
@@ -386,7 +386,7 @@
 }
 
 func (pl *planner) turns(list []*Waiting) turns {
-	t := turns{left: pl.Turns, lowest: wire.PriorityCritical}
+	t := turns{left: pl.StarvedTurns, lowest: wire.PriorityCritical}
 	aged, others := false, false
 	for _, w := range list {
 		if first(w) {
@@ -396,7 +396,7 @@
 		}
 	}
 	if !aged || !others || t.rival <= t.lowest {
-		t.left = MostTurns // nobody is in the other's way
+		t.left = MaxStarvedTurns // nobody is in the other's way
 	}
 	return t
 }
@@ -416,14 +416,14 @@
 			block = nil
 		}
 		m := pl.target(j, "", nil)
-		if last && m != nil && pl.Preempt && !j.Probe && j.Priority >= wire.PriorityHigh && m.Images[j.Bundle] != ImageHeld && !soonEnough(j, m) && pl.makeRoom(j, true) {
+		if last && m != nil && pl.Preempt && !j.OnTrial && j.Priority >= wire.PriorityHigh && m.Images[j.Image] != ImageHeld && !soonEnough(j, m) && pl.makeRoom(j, true) {
 			// Only cold machines have room: waiting for an image costs an urgent task
 			// more than a little lost work costs the one that makes way.
 			pl.out.Unplaced[j.UID]++
 			continue
 		}
 		if m == nil {
-			if last && pl.Preempt && !j.Probe && pl.makeRoom(j, false) {
+			if last && pl.Preempt && !j.OnTrial && pl.makeRoom(j, false) {
 				// Its room is on the way; it is claimed so that nobody else takes it.
 				pl.out.Unplaced[j.UID]++
 				continue
@@ -431,7 +431,7 @@
 			if last {
 				pl.out.Unplaced[j.UID] += len(w.Indexes) - n
 			}
-			if !j.Apart && !j.SamePlace && !j.Probe && len(j.Shun) == 0 {
+			if !j.Spread && !j.SameZone && !j.OnTrial && len(j.Avoid) == 0 {
 				*failed = append(*failed, j) // for lack of room, not for what it keeps away from
 			}
 			break
@@ -455,7 +455,7 @@
 
 // alike is how many more of a job's tasks go with one that goes to m.
 func alike(j *Job, m *Machine, waiting int) int {
-	if j.Standing || j.Apart || j.SamePlace || j.Cores <= 0 {
+	if j.Service || j.Spread || j.SameZone || j.Cores <= 0 {
 		return 0
 	}
 	fit := m.Cores / j.Cores
@@ -472,21 +472,21 @@
 // to fetch its image: then no other need make way. Fetches vary by a third, and
 // share what a machine fetches at a time.
 func soonEnough(j *Job, m *Machine) bool {
-	if j.Within == 0 || m.Fetch <= 0 {
+	if j.StartWithin == 0 || m.FetchGBs <= 0 {
 		return false
 	}
-	return clock.FromSeconds(1.5*j.ImageGB/m.Fetch) < j.Within
+	return clock.FromSeconds(1.5*j.ImageGB/m.FetchGBs) < j.StartWithin
 }
 
 // hold keeps a machine's room for a job for which none has enough: smaller
 // tasks would take each bit that comes free before it is enough for a large
 // one. The machine that lacks least is taken, or the one held already.
 func (pl *planner) hold(j *Job) {
-	if len(pl.out.Hold) >= maxHolds {
+	if len(pl.out.Reservations) >= maxHolds {
 		return
 	}
-	best := pl.index.byName[j.Hold]
-	if best != nil && (best.Held != j.UID || !pl.allowed(j, best)) {
+	best := pl.index.byName[j.ReservedMachine]
+	if best != nil && (best.ReservedFor != j.UID || !pl.allowed(j, best)) {
 		best = nil
 	}
 	var least float64
@@ -495,8 +495,8 @@
 		list = nil
 	}
 	for _, m := range list {
-		pl.out.Visits++
-		if m.Held != "" || !pl.allowed(j, m) {
+		pl.out.Examined++
+		if m.ReservedFor != "" || !pl.allowed(j, m) {
 			continue
 		}
 		lack := max(0, j.Cores-m.Cores)/max(j.Cores, slop) + max(0, j.RAM-m.RAM)/max(j.RAM, slop)
@@ -507,12 +507,12 @@
 	if best == nil {
 		return
 	}
-	if pl.out.Hold == nil {
-		pl.out.Hold = map[string]string{}
+	if pl.out.Reservations == nil {
+		pl.out.Reservations = map[string]string{}
 	}
-	pl.out.Hold[best.Name] = j.UID
+	pl.out.Reservations[best.Name] = j.UID
 	pl.save(best)
-	best.Held = j.UID
+	best.ReservedFor = j.UID
 	if pl.kept == nil {
 		pl.kept = map[*Job]bool{}
 	}
@@ -521,7 +521,7 @@
 
 // holds tells whether a machine's room is kept for a job.
 func (pl *planner) holds(j *Job) bool {
-	if m := pl.index.byName[j.Hold]; m != nil && m.Held == j.UID {
+	if m := pl.index.byName[j.ReservedMachine]; m != nil && m.ReservedFor == j.UID {
 		return true
 	}
 	return pl.kept[j]
@@ -531,8 +531,8 @@
 // choices, has just failed to get.
 func dominated(j *Job, failed []*Job) bool {
 	for _, f := range failed {
-		if f.Priority >= j.Priority && j.Cores >= f.Cores && j.RAM >= f.RAM && j.Accel >= f.Accel &&
-			f.Zone == "" && f.Builds == nil && (f.Loaned || !j.Loaned) && f.Team == j.Team {
+		if f.Priority >= j.Priority && j.Cores >= f.Cores && j.RAM >= f.RAM && j.Accelerators >= f.Accelerators &&
+			f.Zone == "" && f.MachineTypes == nil && (f.Preemptible || !j.Preemptible) && f.Team == j.Team {
 			return true
 		}
 	}
@@ -540,7 +540,7 @@
 }
 
 // anywhere tells whether a task of a job may exist, begun or not.
-func (j *Job) anywhere() bool { return len(j.Zones) > 0 || j.Anywhere > 0 }
+func (j *Job) anywhere() bool { return len(j.Zones) > 0 || j.InUnknownZone > 0 }
 
 // gang places a same_place job that has nothing anywhere: in one zone, whole or,
 // if it was never started and has not waited long, not at all.
@@ -552,7 +552,7 @@
 			best, bestN = z, n
 		}
 	}
-	if bestN < len(w.Indexes) && (!w.Job.Started && !w.Job.Part || bestN == 0) {
+	if bestN < len(w.Indexes) && (!w.Job.Started && !w.Job.StartsPartially || bestN == 0) {
 		pl.makeRoomForAll(w, names)
 		pl.out.Unplaced[w.Job.UID] += len(w.Indexes)
 		return
@@ -571,12 +571,12 @@
 // nothing of it can be anywhere any more.
 func (pl *planner) group(w *Waiting) {
 	j := w.Job
-	if len(w.Indexes) < j.Left || j.anywhere() {
+	if len(w.Indexes) < j.Unfinished || j.anywhere() {
 		pl.out.Unplaced[j.UID] += len(w.Indexes)
 		return
 	}
 	zones := []string{""}
-	if j.SamePlace {
+	if j.SameZone {
 		zones = pl.index.zones()
 	}
 	for _, zone := range zones {
@@ -591,7 +591,7 @@
 		}
 		if len(on) == len(w.Indexes) {
 			for i, m := range on {
-				pl.out.Launch = append(pl.out.Launch, Placement{Task: TaskID{j.UID, w.Indexes[i]}, Machine: m.Name})
+				pl.out.Launches = append(pl.out.Launches, Placement{Task: TaskID{j.UID, w.Indexes[i]}, Machine: m.Name})
 			}
 			return
 		}
@@ -606,7 +606,7 @@
 // unbook takes book back.
 func (pl *planner) unbook(j *Job, m *Machine) {
 	m.Cores += j.Cores
-	m.Accel += j.Accel
+	m.Accelerators += j.Accelerators
 	m.RAM += j.RAM
 	pl.index.put(m)
 	pl.count(j, m.Zone, m.Name, -1)
@@ -627,8 +627,8 @@
 		if j.RAM > 0 {
 			k = min(k, int(m.RAM/j.RAM+slop))
 		}
-		if j.Accel > 0 {
-			k = min(k, int(m.Accel/j.Accel+slop))
+		if j.Accelerators > 0 {
+			k = min(k, int(m.Accelerators/j.Accelerators+slop))
 		}
 		n += k
 		if n >= want {
@@ -640,7 +640,7 @@
 
 func (pl *planner) allowed(j *Job, m *Machine) bool {
 	for _, r := range pl.rules {
-		if !r.Allows(pl.Picture, j, m) {
+		if !r.Allows(pl.Snapshot, j, m) {
 			return false
 		}
 	}
@@ -650,14 +650,14 @@
 // sampled is a sample of the given machines in a random order of neighbours: all
 // of them when there are not more than the sample.
 func (pl *planner) sampled(list []*Machine) []*Machine {
-	if pl.Sample <= 0 || len(list) <= pl.Sample {
+	if pl.SampleSize <= 0 || len(list) <= pl.SampleSize {
 		return list
 	}
 	at := pl.rng.IntN(len(list))
-	if at+pl.Sample <= len(list) {
-		return list[at : at+pl.Sample]
+	if at+pl.SampleSize <= len(list) {
+		return list[at : at+pl.SampleSize]
 	}
-	return append(slices.Clone(list[at:]), list[:at+pl.Sample-len(list)]...)
+	return append(slices.Clone(list[at:]), list[:at+pl.SampleSize-len(list)]...)
 }
 
 // target picks a machine for a task: among those that the rules allow and that
@@ -670,7 +670,7 @@
 func (pl *planner) target(j *Job, zone string, not *Machine) *Machine {
 	var best *Machine
 	consider := func(m *Machine) bool {
-		pl.out.Visits++
+		pl.out.Examined++
 		if m == not || zone != "" && m.Zone != zone || !room(j, m) || !pl.allowed(j, m) {
 			return false
 		}
@@ -679,8 +679,8 @@
 		}
 		return true
 	}
-	if j.Bundle != "" {
-		for _, m := range pl.sampled(pl.index.images[j.Bundle]) {
+	if j.Image != "" {
+		for _, m := range pl.sampled(pl.index.images[j.Image]) {
 			consider(m)
 		}
 	}
@@ -688,7 +688,7 @@
 	for l := levels - 1; l >= least; l-- {
 		found, looked := 0, 0
 		for kind := range pl.index.open {
-			if kind == loaned && !j.Loaned {
+			if kind == loaned && !j.Preemptible {
 				continue
 			}
 			s := &pl.index.open[kind][l]
@@ -698,7 +698,7 @@
 				some &^= 1 << w
 				list := s.width[w]
 				at := 0
-				if pl.Sample > 0 && len(list) > pl.Sample {
+				if pl.SampleSize > 0 && len(list) > pl.SampleSize {
 					at = pl.rng.IntN(len(list))
 				}
 				for i := range list {
@@ -707,7 +707,7 @@
 					if consider(m) {
 						found++
 					}
-					if done = pl.Sample > 0 && looked >= pl.Sample && best != nil; done {
+					if done = pl.SampleSize > 0 && looked >= pl.SampleSize && best != nil; done {
 						break
 					}
 				}
@@ -715,7 +715,7 @@
 		}
 		// Emptier machines go first; fuller ones only matter while none was found,
 		// or for what is preferred to room.
-		if best != nil && (found >= pl.Sample && pl.Sample > 0 || l < levels-1 && pl.enoughSeen(j, best)) {
+		if best != nil && (found >= pl.SampleSize && pl.SampleSize > 0 || l < levels-1 && pl.enoughSeen(j, best)) {
 			break
 		}
 	}
@@ -724,11 +724,11 @@
 
 // enoughSeen tells whether fuller machines could not be preferred to this one.
 func (pl *planner) enoughSeen(j *Job, best *Machine) bool {
-	return (j.Bundle == "" || best.Images[j.Bundle] == ImageHeld) && (!j.Standing || j.Machines[best.Name] == 0 && !j.Apart) && (best.Loaned || !j.Loaned)
+	return (j.Image == "" || best.Images[j.Image] == ImageHeld) && (!j.Service || j.Machines[best.Name] == 0 && !j.Spread) && (best.Preemptible || !j.Preemptible)
 }
 
 func better(j *Job, a, b *Machine) bool {
-	if j.Standing {
+	if j.Service {
 		// Spread: replicas on distinct machines while there are enough of them; but
 		// a machine that has the image and one replica goes before one that would
 		// have to fetch it, for users wait the while.
@@ -736,17 +736,17 @@
 			return x < y
 		}
 	}
-	if x, y := a.Images[j.Bundle], b.Images[j.Bundle]; x != y {
+	if x, y := a.Images[j.Image], b.Images[j.Image]; x != y {
 		return x > y
 	}
-	if a.Fetch != b.Fetch && j.Priority >= wire.PriorityHigh && a.Images[j.Bundle] == ImageAbsent {
-		return a.Fetch > b.Fetch // where an urgent task has to wait for its image
+	if a.FetchGBs != b.FetchGBs && j.Priority >= wire.PriorityHigh && a.Images[j.Image] == ImageAbsent {
+		return a.FetchGBs > b.FetchGBs // where an urgent task has to wait for its image
 	}
-	if x, y := j.Zones[a.Zone], j.Zones[b.Zone]; j.Standing && x != y {
+	if x, y := j.Zones[a.Zone], j.Zones[b.Zone]; j.Service && x != y {
 		return x < y
 	}
-	if a.Loaned != b.Loaned {
-		return a.Loaned
+	if a.Preemptible != b.Preemptible {
+		return a.Preemptible
 	}
 	if a.RAM != b.RAM {
 		return a.RAM > b.RAM
@@ -761,7 +761,7 @@
 // where to have no image counts like one and a half more.
 func crowd(j *Job, m *Machine) int {
 	n := 2 * j.Machines[m.Name]
-	if m.Images[j.Bundle] != ImageHeld {
+	if m.Images[j.Image] != ImageHeld {
 		n += 3
 	}
 	return n
@@ -769,7 +769,7 @@
 
 func (pl *planner) place(j *Job, index int, m *Machine) {
 	pl.book(j, m)
-	pl.out.Launch = append(pl.out.Launch, Placement{Task: TaskID{j.UID, index}, Machine: m.Name})
+	pl.out.Launches = append(pl.out.Launches, Placement{Task: TaskID{j.UID, index}, Machine: m.Name})
 }
 
 // saved is what a plan may change of a machine.
@@ -784,7 +784,7 @@
 	if m.before != nil {
 		return
 	}
-	m.before = &saved{m.Cores, m.Accel, m.RAM, m.StopCores, m.StopAccel, m.StopRAM, m.Held, m.leaving}
+	m.before = &saved{m.Cores, m.Accelerators, m.RAM, m.StoppingCores, m.StoppingAccelerators, m.StoppingRAM, m.ReservedFor, m.leaving}
 	pl.copies = append(pl.copies, m)
 }
 
@@ -796,10 +796,10 @@
 	}
 	for _, m := range pl.copies {
 		b := m.before
-		m.Cores, m.Accel, m.RAM, m.StopCores, m.StopAccel, m.StopRAM, m.Held, m.leaving = b.cores, b.accel, b.ram, b.stopCores, b.stopAccel, b.stopRAM, b.held, b.leaving
+		m.Cores, m.Accelerators, m.RAM, m.StoppingCores, m.StoppingAccelerators, m.StoppingRAM, m.ReservedFor, m.leaving = b.cores, b.accel, b.ram, b.stopCores, b.stopAccel, b.stopRAM, b.held, b.leaving
 		m.before = nil
-		for i := range m.Lower {
-			m.Lower[i].taken = false
+		for i := range m.Victims {
+			m.Victims[i].taken = false
 		}
 		pl.index.put(m)
 	}
@@ -821,7 +821,7 @@
 		j.Machines = map[string]int{}
 	}
 	if zone == "" {
-		j.Anywhere += n
+		j.InUnknownZone += n
 	} else if j.Zones[zone] += n; j.Zones[zone] == 0 {
 		delete(j.Zones, zone)
 	}
@@ -836,7 +836,7 @@
 func (pl *planner) book(j *Job, m *Machine) {
 	pl.save(m)
 	m.Cores -= j.Cores
-	m.Accel -= j.Accel
+	m.Accelerators -= j.Accelerators
 	m.RAM -= j.RAM
 	pl.index.put(m)
 	pl.draft.Add(j.Team, j.amount())
@@ -872,14 +872,14 @@
 		var m *Machine
 		switch {
 		case pl.stays(c, from):
-		case c.Job.SamePlace && c.Job.Tasks > 1:
+		case c.Job.SameZone && c.Job.Tasks > 1:
 			m = pl.target(c.Job, from.Zone, from)
 		default:
 			m = pl.target(c.Job, "", from)
 		}
 		// Until the stop is confirmed the task is still where it was: it counts
 		// against the zone cap and the limit in both places.
-		if m == nil || c.Reason == ReasonSpread && c.Job.Machines[m.Name] > 0 || c.Reason != ReasonBan && c.Job.Bundle != "" && m.Images[c.Job.Bundle] != ImageHeld {
+		if m == nil || c.Reason == ReasonSpread && c.Job.Machines[m.Name] > 0 || c.Reason != ReasonQuarantine && c.Job.Image != "" && m.Images[c.Job.Image] != ImageHeld {
 			pl.count(c.Job, from.Zone, from.Name, 1)
 			pl.draft.Add(c.Job.Team, c.Job.amount())
 			if c.Reason != ReasonDrain {
@@ -901,12 +901,12 @@
 		if mv.c.Reason == ReasonSpread {
 			// Replicas that share a machine run all the same, and a move restarts them:
 			// a few a round, so that spreading a young site costs its users little.
-			if apart++; pl.MoveCap > 0 && apart > max(1, pl.MoveCap/spreadPart) {
+			if apart++; pl.MaxMoves > 0 && apart > max(1, pl.MaxMoves/spreadPart) {
 				pl.out.Deferred++
 				continue
 			}
 		}
-		if pl.MoveCap > 0 && len(pl.out.Moves) >= pl.MoveCap {
+		if pl.MaxMoves > 0 && len(pl.out.Moves) >= pl.MaxMoves {
 			pl.out.Deferred++
 			continue
 		}
@@ -921,7 +921,7 @@
 // rule once the others have been dealt with.
 func (pl *planner) stays(c Candidate, from *Machine) bool {
 	if c.Reason == ReasonSpread {
-		return from.Banned == "" && c.Job.Machines[from.Name] == 0
+		return from.QuarantineReason == "" && c.Job.Machines[from.Name] == 0
 	}
-	return from.Banned == "" && pl.allowed(c.Job, from)
+	return from.QuarantineReason == "" && pl.allowed(c.Job, from)
 }
--- a/plan/preempt.go
+++ b/plan/preempt.go
@@ -33,7 +33,7 @@
 // team is owed all of it: what has no free room gets some by stops. Where not all of its
 // tasks would fit even so, nothing is stopped for it.
 func (pl *planner) makeRoomForAll(w *Waiting, zones []string) {
-	if !pl.owed || !pl.Preempt || w.Job.Probe {
+	if !pl.withinGuarantee || !pl.Preempt || w.Job.OnTrial {
 		return
 	}
 	for _, zone := range zones {
@@ -74,8 +74,8 @@
 // cheapest finds the machine where one more task of j fits for the least lost progress.
 func (pl *planner) cheapest(j *Job, machines []*Machine, warm bool) (best preemption, found bool) {
 	for _, m := range machines {
-		pl.out.Visits++
-		if !pl.allowed(j, m) || warm && (m.Images[j.Bundle] != ImageHeld || j.Standing && j.Machines[m.Name] > 0) {
+		pl.out.Examined++
+		if !pl.allowed(j, m) || warm && (m.Images[j.Image] != ImageHeld || j.Service && j.Machines[m.Name] > 0) {
 			continue
 		}
 		if p, enough := pl.victims(j, m, warm); enough && (!found || p.cost < best.cost) {
@@ -89,17 +89,17 @@
 // where too few may be stopped.
 func (pl *planner) victims(j *Job, m *Machine, warm bool) (p preemption, fits bool) {
 	p.machine = m
-	cores, accel, ram := m.Cores+m.StopCores, m.Accel+m.StopAccel, m.RAM+m.StopRAM
+	cores, accel, ram := m.Cores+m.StoppingCores, m.Accelerators+m.StoppingAccelerators, m.RAM+m.StoppingRAM
 	var stopped map[string]quota.Amount // by team, where there are guarantees
-	for i := range m.Lower {
+	for i := range m.Victims {
 		if enough(j, cores, accel, ram) {
 			break
 		}
-		v := &m.Lower[i]
-		if v.taken || warm && !j.Standing && pl.lost(v) > barelyBegun || !pl.mayStop(j, v, stopped[v.team()]) {
+		v := &m.Victims[i]
+		if v.taken || warm && !j.Service && pl.lost(v) > barelyBegun || !pl.mayStop(j, v, stopped[v.team()]) {
 			continue
 		}
-		cores, accel, ram = cores+v.Cores, accel+v.Accel, ram+v.RAM
+		cores, accel, ram = cores+v.Cores, accel+v.Accelerators, ram+v.RAM
 		if pl.Quota.Guarantees() {
 			if stopped == nil {
 				stopped = map[string]quota.Amount{}
@@ -114,10 +114,10 @@
 
 // lost is the progress that a task loses when it is stopped.
 func (pl *planner) lost(v *Victim) clock.Micros {
-	if v.Since == 0 {
+	if v.RunningSince == 0 {
 		return 0
 	}
-	return pl.Now - v.Since
+	return pl.Now - v.RunningSince
 }
 
 // preempt stops the victims and claims the room for one task of j. It gives what takes
@@ -125,37 +125,37 @@
 func (pl *planner) preempt(j *Job, p preemption) (undo func()) {
 	m := p.machine
 	pl.save(m)
-	before, stops := *m, len(pl.out.Preempt)
+	before, stops := *m, len(pl.out.Preemptions)
 	for _, i := range p.victims {
-		v := &m.Lower[i]
+		v := &m.Victims[i]
 		v.taken = true
-		m.StopCores += v.Cores
-		m.StopAccel += v.Accel
-		m.StopRAM += v.RAM
-		pl.out.Preempt = append(pl.out.Preempt, v.Task)
+		m.StoppingCores += v.Cores
+		m.StoppingAccelerators += v.Accelerators
+		m.StoppingRAM += v.RAM
+		pl.out.Preemptions = append(pl.out.Preemptions, v.Task)
 		if v.Job != nil {
 			pl.draft.Stop(v.Job.Team, v.amount())
 		}
 	}
 	// The claim goes against the room on its way first, so that free room that
 	// is too small here stays usable for others.
-	claim(&m.StopCores, &m.Cores, j.Cores)
-	claim(&m.StopAccel, &m.Accel, j.Accel)
-	claim(&m.StopRAM, &m.RAM, j.RAM)
+	claim(&m.StoppingCores, &m.Cores, j.Cores)
+	claim(&m.StoppingAccelerators, &m.Accelerators, j.Accelerators)
+	claim(&m.StoppingRAM, &m.RAM, j.RAM)
 	pl.index.put(m)
 	pl.draft.Add(j.Team, j.amount())
 	pl.count(j, m.Zone, "", 1)
 	return func() {
-		m.Cores, m.Accel, m.RAM = before.Cores, before.Accel, before.RAM
-		m.StopCores, m.StopAccel, m.StopRAM = before.StopCores, before.StopAccel, before.StopRAM
+		m.Cores, m.Accelerators, m.RAM = before.Cores, before.Accelerators, before.RAM
+		m.StoppingCores, m.StoppingAccelerators, m.StoppingRAM = before.StoppingCores, before.StoppingAccelerators, before.StoppingRAM
 		for _, i := range p.victims {
-			v := &m.Lower[i]
+			v := &m.Victims[i]
 			v.taken = false
 			if v.Job != nil {
 				pl.draft.Resume(v.Job.Team, v.amount())
 			}
 		}
-		pl.out.Preempt = pl.out.Preempt[:stops]
+		pl.out.Preemptions = pl.out.Preemptions[:stops]
 		pl.index.put(m)
 		pl.draft.Remove(j.Team, j.amount())
 		pl.count(j, m.Zone, "", -1)
@@ -174,11 +174,11 @@
 	borrowed := pl.borrowed(v, besides)
 	switch {
 	case v.Replica:
-		return others && pl.owed && borrowed
-	case others && !pl.owed && !borrowed && pl.Quota.Limits(v.Job.Team).Guaranteed():
+		return others && pl.withinGuarantee && borrowed
+	case others && !pl.withinGuarantee && !borrowed && pl.Quota.Limits(v.Job.Team).Guaranteed():
 		return false
 	}
-	return v.Priority < j.Priority || pl.owed && borrowed
+	return v.Priority < j.Priority || pl.withinGuarantee && borrowed
 }
 
 // borrowed tells whether a task, with others of its team that take so much, runs
--- a/plan/preempt_test.go
+++ b/plan/preempt_test.go
@@ -17,7 +17,7 @@
 	guest.Team = "guest"
 	m := machine(name, zone, free, 64)
 	for i := range guests {
-		m.Lower = append(m.Lower, Victim{Task: TaskID{"j-9", int(name[0])*100 + i}, Job: guest, Priority: wire.PriorityHigh, Cores: 2, RAM: 2, Since: 50})
+		m.Victims = append(m.Victims, Victim{Task: TaskID{"j-9", int(name[0])*100 + i}, Job: guest, Priority: wire.PriorityHigh, Cores: 2, RAM: 2, RunningSince: 50})
 	}
 	return m
 }
@@ -25,8 +25,8 @@
 // What starts only whole gets its team's guarantee by stops, too: of work that others run
 // beyond theirs, as much as is needed, and none where it would not be whole even so.
 func TestWholeJobsGetTheirGuarantee(t *testing.T) {
-	group := func(j *Job) { j.Group, j.Left = true, j.Tasks }
-	together := func(j *Job) { j.SamePlace = true }
+	group := func(j *Job) { j.Gang, j.Unfinished = true, j.Tasks }
+	together := func(j *Job) { j.SameZone = true }
 	for _, tt := range []struct {
 		name      string
 		mod       func(j *Job)
@@ -47,17 +47,17 @@
 			tt.mod(j)
 			ledger := quota.NewLedger(map[string]quota.Limits{"t": {Guarantee: quota.NewAmount(tt.guarantee, 0)}, "guest": {}})
 			ledger.Adopt("guest", quota.NewAmount(12, 0))
-			p := &Picture{Preempt: true, Quota: ledger, Now: 100, Waiting: []Waiting{{Job: j, Indexes: indexes(4)}}}
+			p := &Snapshot{Preempt: true, Quota: ledger, Now: 100, Waiting: []Waiting{{Job: j, Indexes: indexes(4)}}}
 			for _, m := range tt.machines {
 				p.Put(m)
 			}
 			before := pictureOf(p, j)
 			res := Make(p)
-			if len(res.Preempt) != tt.want || len(res.Launch) != 0 {
-				t.Errorf("stops %v, launches %v, want %d stops", res.Preempt, res.Launch, tt.want)
+			if len(res.Preemptions) != tt.want || len(res.Launches) != 0 {
+				t.Errorf("stops %v, launches %v, want %d stops", res.Preemptions, res.Launches, tt.want)
 			}
 			stopped := map[TaskID]bool{}
-			for _, id := range res.Preempt {
+			for _, id := range res.Preemptions {
 				if stopped[id] {
 					t.Errorf("%v is stopped twice", id)
 				}
@@ -74,21 +74,21 @@
 // more, and gives none of it to others.
 func TestRoomForAWholeJobStaysClaimed(t *testing.T) {
 	j := newJob("j-1", 4, 2, 2)
-	j.Group, j.Left, j.Priority = true, 4, wire.PriorityLow
+	j.Gang, j.Unfinished, j.Priority = true, 4, wire.PriorityLow
 	other := newJob("j-2", 4, 2, 2)
 	other.Team, other.Priority = "guest", wire.PriorityHigh
 	ledger := quota.NewLedger(map[string]quota.Limits{"t": {Guarantee: quota.NewAmount(8, 0)}, "guest": {}})
 	ledger.Adopt("guest", quota.NewAmount(12, 0))
 	m := guestMachine("a", "x", 4, 2)
-	m.StopCores, m.StopRAM = 4, 4
-	p := &Picture{Preempt: true, Quota: ledger, Now: 100, Waiting: []Waiting{{Job: j, Indexes: indexes(4)}, {Job: other, Indexes: indexes(4)}}}
+	m.StoppingCores, m.StoppingRAM = 4, 4
+	p := &Snapshot{Preempt: true, Quota: ledger, Now: 100, Waiting: []Waiting{{Job: j, Indexes: indexes(4)}, {Job: other, Indexes: indexes(4)}}}
 	p.Put(m)
-	if res := Make(p); len(res.Preempt) != 0 || len(res.Launch) != 0 {
-		t.Errorf("stops %v, launches %v, want neither", res.Preempt, res.Launch)
+	if res := Make(p); len(res.Preemptions) != 0 || len(res.Launches) != 0 {
+		t.Errorf("stops %v, launches %v, want neither", res.Preemptions, res.Launches)
 	}
-	m.Cores, m.StopCores, m.StopRAM = 8, 0, 0
+	m.Cores, m.StoppingCores, m.StoppingRAM = 8, 0, 0
 	p.Put(m)
-	for _, l := range Make(p).Launch {
+	for _, l := range Make(p).Launches {
 		if l.Task.Job != "j-1" {
 			t.Errorf("launched %v, want the whole group", l)
 		}
@@ -96,12 +96,12 @@
 }
 
 // pictureOf prints what a plan may change and has to put back.
-func pictureOf(p *Picture, j *Job) (out []string) {
+func pictureOf(p *Snapshot, j *Job) (out []string) {
 	for _, m := range p.Machines {
-		out = append(out, fmt.Sprint(m.Name, m.Cores, m.Accel, m.RAM, m.StopCores, m.StopAccel, m.StopRAM, m.Held, m.leaving))
-		for _, v := range m.Lower {
+		out = append(out, fmt.Sprint(m.Name, m.Cores, m.Accelerators, m.RAM, m.StoppingCores, m.StoppingAccelerators, m.StoppingRAM, m.ReservedFor, m.leaving))
+		for _, v := range m.Victims {
 			out = append(out, fmt.Sprint(v.Task, v.taken))
 		}
 	}
-	return append(out, fmt.Sprint(j.Zones, j.Machines, j.Anywhere), fmt.Sprint(p.Quota.Usage("t"), p.Quota.Usage("guest")))
+	return append(out, fmt.Sprint(j.Zones, j.Machines, j.InUnknownZone), fmt.Sprint(p.Quota.Usage("t"), p.Quota.Usage("guest")))
 }
--- a/plan/rules.go
+++ b/plan/rules.go
@@ -4,8 +4,8 @@
 
 // Why a task is a candidate for repair.
 const (
-	ReasonBan    = "ban"
-	ReasonSpread = "spread"
+	ReasonQuarantine = "ban"
+	ReasonSpread     = "spread"
 	// ReasonDrain is a machine that is to be returned because there are too many:
 	// nothing is wrong with it, so a task leaves only for a machine that has its image.
 	ReasonDrain = "drain"
@@ -17,53 +17,53 @@
 // Rule says whether one more task of a job may be on a machine, given the picture.
 type Rule interface {
 	// Allows tells whether one more task of j may be on m.
-	Allows(p *Picture, j *Job, m *Machine) bool
+	Allows(p *Snapshot, j *Job, m *Machine) bool
 }
 
 // Rules is every hard rule that a placement must keep.
 func Rules() []Rule {
-	return []Rule{Ban{}, Shun{}, Held{}, AllowedType{}, AllowedZone{}, AllowedKind{}, ZoneCap{}, OneZone{}, TeamLimit{}}
+	return []Rule{NotQuarantined{}, AvoidedMachines{}, RoomReserved{}, AllowedType{}, AllowedZone{}, AllowedKind{}, ZoneCap{}, OneZone{}, TeamLimit{}}
 }
 
-// Ban bars tasks from machines that do not report, are sick or are to be emptied.
-type Ban struct{}
+// NotQuarantined bars tasks from machines that do not report, are sick or are to be emptied.
+type NotQuarantined struct{}
 
 // Allows implements Rule.
-func (Ban) Allows(_ *Picture, _ *Job, m *Machine) bool {
-	return m.Usable && m.Banned == "" && !m.Cordoned
+func (NotQuarantined) Allows(_ *Snapshot, _ *Job, m *Machine) bool {
+	return m.Usable && m.QuarantineReason == "" && !m.Cordoned
 }
 
-// Shun keeps a job's tasks off the machines on which one of them has failed, and
+// AvoidedMachines keeps a job's tasks off the machines on which one of them has failed, and
 // jobs on trial off all on which any has.
-type Shun struct{}
+type AvoidedMachines struct{}
 
 // Allows implements Rule.
-func (Shun) Allows(p *Picture, j *Job, m *Machine) bool {
-	return !j.Shun[m.Name] && !(j.Probe && m.Struck && p.AvoidStruck)
+func (AvoidedMachines) Allows(p *Snapshot, j *Job, m *Machine) bool {
+	return !j.Avoid[m.Name] && !(j.OnTrial && m.HasFailures && p.AvoidFailures)
 }
 
-// Held keeps the room of a machine for the job that has waited too long for it. What
+// RoomReserved keeps the room of a machine for the job that has waited too long for it. What
 // is within its team's guarantee need not wait for it.
-type Held struct{}
+type RoomReserved struct{}
 
 // Allows implements Rule.
-func (Held) Allows(p *Picture, j *Job, m *Machine) bool {
-	return m.Held == "" || m.Held == j.UID || p.owed
+func (RoomReserved) Allows(p *Snapshot, j *Job, m *Machine) bool {
+	return m.ReservedFor == "" || m.ReservedFor == j.UID || p.withinGuarantee
 }
 
 // AllowedType keeps a job to its machine types.
 type AllowedType struct{}
 
 // Allows implements Rule.
-func (AllowedType) Allows(_ *Picture, j *Job, m *Machine) bool {
-	return j.Builds == nil || slices.Contains(j.Builds, m.Build)
+func (AllowedType) Allows(_ *Snapshot, j *Job, m *Machine) bool {
+	return j.MachineTypes == nil || slices.Contains(j.MachineTypes, m.Type)
 }
 
 // AllowedZone keeps a job to its zone.
 type AllowedZone struct{}
 
 // Allows implements Rule.
-func (AllowedZone) Allows(_ *Picture, j *Job, m *Machine) bool {
+func (AllowedZone) Allows(_ *Snapshot, j *Job, m *Machine) bool {
 	return j.Zone == "" || j.Zone == m.Zone
 }
 
@@ -71,26 +71,28 @@
 type AllowedKind struct{}
 
 // Allows implements Rule.
-func (AllowedKind) Allows(_ *Picture, j *Job, m *Machine) bool { return j.Loaned || !m.Loaned }
+func (AllowedKind) Allows(_ *Snapshot, j *Job, m *Machine) bool {
+	return j.Preemptible || !m.Preemptible
+}
 
 // ZoneCap keeps at most half of an apart job, rounded up, in one zone. Tasks
 // that may still exist count, wherever they may be.
 type ZoneCap struct{}
 
 // Allows implements Rule.
-func (ZoneCap) Allows(_ *Picture, j *Job, m *Machine) bool {
-	return !j.Apart || j.Zones[m.Zone]+j.Anywhere < (j.Tasks+1)/2
+func (ZoneCap) Allows(_ *Snapshot, j *Job, m *Machine) bool {
+	return !j.Spread || j.Zones[m.Zone]+j.InUnknownZone < (j.Tasks+1)/2
 }
 
 // OneZone keeps a same_place job in the zone where any of it may be.
 type OneZone struct{}
 
 // Allows implements Rule.
-func (OneZone) Allows(_ *Picture, j *Job, m *Machine) bool {
-	if !j.SamePlace {
+func (OneZone) Allows(_ *Snapshot, j *Job, m *Machine) bool {
+	if !j.SameZone {
 		return true
 	}
-	if j.Anywhere > 0 {
+	if j.InUnknownZone > 0 {
 		return false
 	}
 	for z, n := range j.Zones {
@@ -106,13 +108,13 @@
 type TeamLimit struct{}
 
 // Allows implements Rule.
-func (TeamLimit) Allows(p *Picture, j *Job, _ *Machine) bool {
+func (TeamLimit) Allows(p *Snapshot, j *Job, _ *Machine) bool {
 	return !p.binding || p.draft.Fits(j.Team, j.amount())
 }
 
 // room is the capacity rule: what is booked on a machine fits it.
-func room(j *Job, m *Machine) bool { return enough(j, m.Cores, m.Accel, m.RAM) }
+func room(j *Job, m *Machine) bool { return enough(j, m.Cores, m.Accelerators, m.RAM) }
 
 func enough(j *Job, cores, accel, ram float64) bool {
-	return j.Cores <= cores+slop && j.Accel <= accel+slop && j.RAM <= ram+slop
+	return j.Cores <= cores+slop && j.Accelerators <= accel+slop && j.RAM <= ram+slop
 }
--- a/quota_test.go
+++ b/quota_test.go
@@ -119,7 +119,7 @@
 	gb.mu.Lock()
 	need, bound := gb.demand(gb.ck.Now()), gb.bound(nil)
 	gb.mu.Unlock()
-	if need.Ordinary.Cores > 0 || need.Loaned.Cores > 0 || len(bound) > 0 {
+	if need.OnDemand.Cores > 0 || need.Preemptible.Cores > 0 || len(bound) > 0 {
 		t.Errorf("machines are wanted for what may not run: %+v, %+v", need, bound)
 	}
 	reports, ok := gb.teamReports()
--- a/recover.go
+++ b/recover.go
@@ -106,7 +106,7 @@
 // takeFleet takes in the machine types and the rate of work. The caller holds mu.
 func (g *term) takeFleet(records *recovery.Records) {
 	if demand := records.Demand; demand != nil {
-		g.seeded = cloud.Load{Cores: demand.Cores, RAM: demand.RAM, Accel: demand.Accelerators}
+		g.seeded = cloud.Load{Cores: demand.Cores, RAM: demand.RAM, Accelerators: demand.Accelerators}
 		for class, v := range demand.Classes {
 			if v[0] > 0 && v[1] > 0 {
 				g.classes[class] = runStat{n: int(v[0]), sum: clock.Micros(v[1])}
--- a/size_test.go
+++ b/size_test.go
@@ -132,8 +132,8 @@
 			t.Errorf("the loss of 100 of %d machines visits %d", machines, looked)
 		}
 	}
-	got := batches([]cloud.Wish{{Build: "b", Zone: "x", Count: 120}, {Build: "b", Zone: "y", Loaned: true, Count: 70}}, 4)
-	want := []cloud.Wish{{Build: "b", Zone: "x", Count: 50}, {Build: "b", Zone: "x", Count: 50}, {Build: "b", Zone: "x", Count: 20}, {Build: "b", Zone: "y", Loaned: true, Count: 50}}
+	got := batches([]cloud.Rental{{MachineType: "b", Zone: "x", Count: 120}, {MachineType: "b", Zone: "y", Preemptible: true, Count: 70}}, 4)
+	want := []cloud.Rental{{MachineType: "b", Zone: "x", Count: 50}, {MachineType: "b", Zone: "x", Count: 50}, {MachineType: "b", Zone: "x", Count: 20}, {MachineType: "b", Zone: "y", Preemptible: true, Count: 50}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/stall_test.go
+++ b/stall_test.go
@@ -43,7 +43,7 @@
 	if got := s.cloud.Returns(); len(got) != 0 {
 		t.Errorf("a machine was returned on what was known before: %v", got)
 	}
-	g.rent(t.Context(), cloud.Wish{Build: "b", Zone: "x", Count: 3})
+	g.rent(t.Context(), cloud.Rental{MachineType: "b", Zone: "x", Count: 3})
 	if got := s.cloud.Asked(); len(got) != 0 {
 		t.Errorf("machines were rented on what was known before: %v", got)
 	}
--- a/step.go
+++ b/step.go
@@ -114,9 +114,9 @@
 	began := g.ck.Now()
 	res := plan.Make(g.picture(now, round))
 	g.fresh = false
-	g.keep(res.Hold)
-	g.pic.Turns = res.Turns
-	for _, l := range res.Launch {
+	g.keep(res.Reservations)
+	g.pic.StarvedTurns = res.StarvedTurns
+	for _, l := range res.Launches {
 		j := g.jobs[l.Task.Job]
 		pc := &j.tasks[l.Task.Index]
 		b := g.reserve(j, l.Task.Index, g.fl.Machine(l.Machine), now)
@@ -125,8 +125,8 @@
 		}
 		pc.attempt = b.Attempt
 		j.placed = now
-		j.spared = j.spared || j.pj.Aged
-		if j.pj.Probe {
+		j.spared = j.spared || j.pj.Starved
+		if j.pj.OnTrial {
 			g.tried(j, now)
 		}
 		if j.unhurried() {
@@ -140,7 +140,7 @@
 		g.dirty[j.uid] = true
 		delete(g.lazy, j.uid)
 	}
-	for _, id := range res.Preempt {
+	for _, id := range res.Preemptions {
 		j := g.jobs[id.Job]
 		if b := j.tasks[id.Index].booking; b != nil {
 			g.log.Debug("preempted", "task", b.Task.String(), "host", b.Machine.Name)
@@ -198,8 +198,8 @@
 		}
 	}
 	for name, uid := range holds {
-		if j := g.jobs[uid]; j != nil && j.pj.Hold != name {
-			j.pj.Hold = name
+		if j := g.jobs[uid]; j != nil && j.pj.ReservedMachine != name {
+			j.pj.ReservedMachine = name
 			g.touched[g.fl.Machine(name)] = true
 			g.log.Info("room is kept for a job that has waited long", "job", uid, "host", name)
 		}
