--- a/bench_test.go
+++ b/bench_test.go
@@ -38,9 +38,9 @@
 }
 
 // ledFleet is a leader that trusts machines with tasks on each.
-func ledFleet(tb testing.TB, machines, tasks int) (*site, *term) {
+func ledFleet(tb testing.TB, machines, tasks int) (*site, *leader) {
 	s, g := adopted(tb, machines, tasks)
-	for tally, token := range []uint64{0, g.r.Token, g.r.Token} {
+	for tally, token := range []uint64{0, g.term.Token, g.term.Token} {
 		for i := range machines {
 			rep := report(i, tasks, uint64(tally)+1, token)
 			if _, ok := g.Heartbeat(rep); !ok {
@@ -60,7 +60,7 @@
 	return raw
 }
 
-type benchSteward struct{ g *term }
+type benchSteward struct{ g *leader }
 
 func (s benchSteward) Heartbeat(rep *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
 	return s.g.Heartbeat(rep)
@@ -68,12 +68,12 @@
 func (s benchSteward) Leader() string { return "" }
 
 // front serves users and workers on loopback as the daemon does.
-func front(tb testing.TB, g *term, h http.Handler) string {
+func front(tb testing.TB, g *leader, h http.Handler) string {
 	ln, err := listen(tb.Context(), "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	limited := connlimit.New(ln, 1000, connlimit.Outgoing{Workers: g.workers}, g.ck, g.log)
+	limited := connlimit.New(ln, 1000, connlimit.Outgoing{Workers: g.workers}, g.clock, g.log)
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
 		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ConnState: limited.ConnState}
 	go srv.Serve(limited)
@@ -134,7 +134,7 @@
 			var raws [][]byte
 			for n := range 2 {
 				for i := range benchMachines {
-					rep := report(i, benchTasks, 1, g.r.Token)
+					rep := report(i, benchTasks, 1, g.term.Token)
 					if n == 1 && c.change {
 						rep.Tasks[0].Status = wire.TaskFlushing
 					}
@@ -173,11 +173,11 @@
 func BenchmarkBeatServed(b *testing.B) {
 	_, g := ledFleet(b, benchMachines, benchTasks)
 	n := g.service(b)
-	n.front.Post(wire.PathHeartbeat, agent.ServeHeartbeat(benchSteward{g}, func() bool { return false }))
-	addr := front(b, g, n.front)
+	n.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(benchSteward{g}, func() bool { return false }))
+	addr := front(b, g, n.router)
 	raws, conns := make([][]byte, benchMachines), make([]*exchange, benchMachines)
 	for i := range raws {
-		raws[i] = body(b, report(i, benchTasks, 1, g.r.Token))
+		raws[i] = body(b, report(i, benchTasks, 1, g.term.Token))
 		conns[i] = dial(b, addr)
 	}
 	single(b)
@@ -195,7 +195,7 @@
 	h := http.HandlerFunc(agent.ServeHeartbeat(sends{}, func() bool { return false }))
 	addr := front(b, g, h)
 	x := dial(b, addr)
-	raw := body(b, report(1, benchTasks, 1, g.r.Token))
+	raw := body(b, report(1, benchTasks, 1, g.term.Token))
 	single(b)
 	b.ResetTimer()
 	for range b.N {
@@ -211,14 +211,14 @@
 func (sends) Leader() string { return "node-2" }
 
 // service gives a second node of the leader's site that serves users.
-func (g *term) service(tb testing.TB) *Service {
+func (g *leader) service(tb testing.TB) *Service {
 	op, err := config.LoadOperator("")
 	if err != nil {
 		tb.Fatal(err)
 	}
 	cfg := *g.cfg
-	n := newService(&cfg, op, g.log, g.ck)
-	n.term.Store(g)
+	n := newService(&cfg, op, g.log, g.clock)
+	n.current.Store(g)
 	return n
 }
 
@@ -227,7 +227,7 @@
 	s, g := ledFleet(b, benchMachines, benchTasks)
 	n := g.service(b)
 	s.submit(n, spec("j-900", nil))
-	x := dial(b, front(b, g, n.front))
+	x := dial(b, front(b, g, n.router))
 	single(b)
 	b.ResetTimer()
 	for range b.N {
@@ -239,7 +239,7 @@
 func BenchmarkSubmitServed(b *testing.B) {
 	_, g := ledFleet(b, benchMachines, benchTasks)
 	n := g.service(b)
-	x := dial(b, front(b, g, n.front))
+	x := dial(b, front(b, g, n.router))
 	single(b)
 	b.ResetTimer()
 	for k := range b.N {
@@ -251,7 +251,7 @@
 func BenchmarkHealthServed(b *testing.B) {
 	_, g := ledFleet(b, 10, benchTasks)
 	n := g.service(b)
-	x := dial(b, front(b, g, n.front))
+	x := dial(b, front(b, g, n.router))
 	single(b)
 	b.ResetTimer()
 	for range b.N {
@@ -262,24 +262,24 @@
 // BenchmarkStep is a pass of the leader's loop with nothing to do.
 func BenchmarkStep(b *testing.B) {
 	_, g := ledFleet(b, benchMachines, benchTasks)
-	g.step(b.Context())
+	g.pass(b.Context())
 	single(b)
 	b.ResetTimer()
 	for range b.N {
-		g.step(b.Context())
+		g.pass(b.Context())
 	}
 }
 
 // BenchmarkRound is a repair round.
 func BenchmarkRound(b *testing.B) {
 	_, g := ledFleet(b, benchMachines, benchTasks)
-	g.step(b.Context())
+	g.pass(b.Context())
 	single(b)
 	b.ResetTimer()
 	for range b.N {
 		g.mu.Lock()
 		g.repairAt = 0
-		g.plan(g.ck.Now())
+		g.runPlan(g.clock.Now())
 		g.mu.Unlock()
 	}
 }
@@ -290,7 +290,7 @@
 	single(b)
 	b.ResetTimer()
 	for range b.N {
-		g.resize(b.Context())
+		g.autoscale(b.Context())
 	}
 }
 
@@ -300,7 +300,7 @@
 	single(b)
 	b.ResetTimer()
 	for range b.N {
-		g.checkStall()
+		g.checkPause()
 	}
 }
 
@@ -315,7 +315,7 @@
 	b.ResetTimer()
 	for range b.N {
 		g.mu.Lock()
-		if err := g.addJob(store.JobKey("j-900"), raw, 1, g.ck.Now()); err != nil {
+		if err := g.addJob(store.JobKey("j-900"), raw, 1, g.clock.Now()); err != nil {
 			b.Fatal(err)
 		}
 		j := g.jobs["j-900"]
@@ -343,7 +343,7 @@
 	}
 	for range 3 {
 		for i := range benchMachines {
-			heartbeat(i, report(i, 0, 0, g.r.Token))
+			heartbeat(i, report(i, 0, 0, g.term.Token))
 		}
 	}
 	single(b)
@@ -354,21 +354,21 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		epoch, err := n.st.Commit(b.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey(uid), Value: msgpack.RawMessage(raw)}}})
+		epoch, err := n.store.Commit(b.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey(uid), Value: msgpack.RawMessage(raw)}}})
 		if err != nil {
 			b.Fatal(err)
 		}
 		g.mu.Lock()
-		if err := g.addJob(store.JobKey(uid), raw, epoch, g.ck.Now()); err != nil {
+		if err := g.addJob(store.JobKey(uid), raw, epoch, g.clock.Now()); err != nil {
 			b.Fatal(err)
 		}
-		g.paced = 48
+		g.bestEffortTokens = 48
 		g.mu.Unlock()
-		g.step(b.Context())
+		g.pass(b.Context())
 		for round := range 3 {
 			g.mu.Lock()
 			on := map[int][]wire.TaskReport{}
-			g.fl.EachMachine(func(m *fleet.Machine) {
+			g.fleet.EachMachine(func(m *fleet.Machine) {
 				var at int
 				fmt.Sscanf(m.Name, "n-%d", &at)
 				m.EachAllocation(func(bk *fleet.Allocation) {
@@ -385,19 +385,19 @@
 			})
 			g.mu.Unlock()
 			for i, list := range on {
-				rep := report(i, 0, 0, g.r.Token)
+				rep := report(i, 0, 0, g.term.Token)
 				rep.Tasks = list
 				heartbeat(i, rep)
 			}
 			if round == 2 {
 				g.mu.Lock()
-				for uid := range g.lazy {
+				for uid := range g.pendingResults {
 					g.dirty[uid] = true
 				}
 				g.mu.Unlock()
-				g.step(b.Context())
+				g.pass(b.Context())
 				for i := range on {
-					heartbeat(i, report(i, 0, 0, g.r.Token))
+					heartbeat(i, report(i, 0, 0, g.term.Token))
 				}
 			}
 			k += 16
@@ -408,7 +408,7 @@
 // BenchmarkConnect is a connection that comes, with one probe, and goes.
 func BenchmarkConnect(b *testing.B) {
 	_, g := ledFleet(b, 10, benchTasks)
-	addr := front(b, g, g.service(b).front)
+	addr := front(b, g, g.service(b).router)
 	single(b)
 	b.ResetTimer()
 	for range b.N {
@@ -432,7 +432,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if err := g.addJob(store.JobKey(sp.UID), raw, 1, g.ck.Now()); err != nil {
+		if err := g.addJob(store.JobKey(sp.UID), raw, 1, g.clock.Now()); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -441,8 +441,8 @@
 	b.ResetTimer()
 	for range b.N {
 		g.mu.Lock()
-		g.fresh = true
-		g.plan(g.ck.Now())
+		g.jobsChanged = true
+		g.runPlan(g.clock.Now())
 		g.mu.Unlock()
 	}
 }
@@ -450,13 +450,13 @@
 // BenchmarkRefresh is a machine brought into the picture.
 func BenchmarkRefresh(b *testing.B) {
 	_, g := ledFleet(b, benchMachines, benchTasks)
-	g.step(b.Context())
-	machines := g.fl.Machines()
+	g.pass(b.Context())
+	machines := g.fleet.Machines()
 	single(b)
 	b.ResetTimer()
 	for k := range b.N {
 		g.mu.Lock()
-		g.refresh(machines[k%len(machines)], g.ck.Now())
+		g.refreshMachine(machines[k%len(machines)], g.clock.Now())
 		g.mu.Unlock()
 	}
 }
--- a/boots_test.go
+++ b/boots_test.go
@@ -11,7 +11,7 @@
 
 // booting is a leader that asked for so many machines some time ago; the list
 // shows them, and none has come up.
-func booting(t *testing.T, n int, ago time.Duration) (*site, *term) {
+func booting(t *testing.T, n int, ago time.Duration) (*site, *leader) {
 	t.Helper()
 	s := newSite(t)
 	node := s.node(nil)
@@ -21,26 +21,26 @@
 	return s, g
 }
 
-func rentMore(g *term, from, n int) {
-	now := g.ck.Now()
+func rentMore(g *leader, from, n int) {
+	now := g.clock.Now()
 	for i := from; i < from+n; i++ {
-		m := g.fl.Ensure(fmt.Sprintf("n-%02d", i), now)
-		g.fl.Describe(m, "e", "b", "x", true)
+		m := g.fleet.Ensure(fmt.Sprintf("n-%02d", i), now)
+		g.fleet.Describe(m, "e", "b", "x", true)
 		m.CloudStatus, m.ListedAt = wire.MachineBooting, now
-		g.asked[m.Name] = now
+		g.rentedAt[m.Name] = now
 	}
 }
 
-func (g *term) upFrom(from, n int) {
+func (g *leader) upFrom(from, n int) {
 	for i := from; i < from+n; i++ {
-		m := g.fl.Machine(fmt.Sprintf("n-%02d", i))
-		m.Reported, m.LastHeartbeat = true, g.ck.Now()
-		g.cameUp(m, g.ck.Now())
+		m := g.fleet.Machine(fmt.Sprintf("n-%02d", i))
+		m.Reported, m.LastHeartbeat = true, g.clock.Now()
+		g.machineBooted(m, g.clock.Now())
 	}
 }
 
-func counts(g *term) (out, givenUp int) {
-	overdue := g.overdue(g.ck.Now())
+func counts(g *leader) (out, givenUp int) {
+	overdue := g.overdueMachines(g.clock.Now())
 	return len(overdue.Replace), len(overdue.Return)
 }
 
@@ -56,7 +56,7 @@
 	if out, up := counts(g); out != 1 || up != 1 {
 		t.Errorf("late: %d counted out, %d given up, want it", out, up)
 	}
-	for _, share := range g.boots.Shares() {
+	for _, share := range g.bootTimes.Shares() {
 		if share < 0.99 || share > 1.01 {
 			t.Errorf("a boot of 30 s was taken for %.2f of the stated time", share)
 		}
@@ -94,7 +94,7 @@
 		sp.Cores, sp.Preemptible, sp.Kind, sp.Priority = 6, false, wire.KindService, "critical"
 	}))
 	s.resync(g)
-	g.resize(t.Context())
+	g.autoscale(t.Context())
 	hosts := s.cloud.Hosts()
 	if len(hosts) == 0 {
 		t.Fatal("nothing rented")
@@ -105,12 +105,12 @@
 	}
 	for range 5 {
 		s.advance(time.Second)
-		g.resize(t.Context())
+		g.autoscale(t.Context())
 	}
 	if more := len(s.cloud.Hosts()) - len(hosts); more != 0 || len(s.cloud.Returns()) != 0 {
 		t.Errorf("%d more rented, returned %v", more, s.cloud.Returns())
 	}
-	for _, share := range g.boots.Shares() {
+	for _, share := range g.bootTimes.Shares() {
 		if share > float64(2*clock.Second)/float64(30*clock.Second) {
 			t.Errorf("boot taken for %.2f of the stated time", share)
 		}
@@ -128,13 +128,13 @@
 		s.resync(g)
 		s.pass(g, ws, 20)
 		for range 4 {
-			g.resize(t.Context()) // what is short is rented while they are heard
+			g.autoscale(t.Context()) // what is short is rented while they are heard
 		}
 		before := len(s.cloud.Asked())
 		for range 8 {
 			s.advance(time.Second)
-			g.step(t.Context())
-			g.resize(t.Context())
+			g.pass(t.Context())
+			g.autoscale(t.Context())
 		}
 		if more := s.cloud.Asked()[before:]; len(more) != 0 {
 			t.Errorf("%d machines silent at once: rented %+v", machines, more)
--- a/changes.go
+++ b/changes.go
@@ -16,61 +16,63 @@
 // name what was cancelled since, and after any spell without the service no run
 // goes out before the changes of that spell have been read.
 
-// watchSpan is how long a watch of the jobs waits at most.
-const watchSpan = 10 * clock.Second
+// watchTimeout is how long a watch of the jobs waits at most.
+const watchTimeout = 10 * clock.Second
 
-// spell numbers the spells in which changes may have been missed: the service
+// interruptions numbers the spells in which changes may have been missed: the service
 // failed this node, its lease may have lapsed, or the process stood still.
-func (g *term) spell() uint64 { return g.st.Interruptions() + g.el.LeaseInterruptions() + g.stood }
+func (g *leader) interruptions() uint64 {
+	return g.store.Interruptions() + g.elector.LeaseInterruptions() + g.processPauses
+}
 
-// upToDate tells whether the changes of the last spell have been read. The
+// synced tells whether the changes of the last spell have been read. The
 // caller holds mu.
-func (g *term) upToDate() bool { return g.caught == g.spell() }
+func (g *leader) synced() bool { return g.syncedInterruption == g.interruptions() }
 
-// scope is what may be told to workers right now. The caller holds mu.
-func (g *term) scope() fleet.Scope {
-	if _, may := g.el.HoldsLease(); !may {
+// commandScope is what may be told to workers right now. The caller holds mu.
+func (g *leader) commandScope() fleet.Scope {
+	if _, may := g.elector.HoldsLease(); !may {
 		return fleet.StopsOnly
 	}
-	if !g.upToDate() {
+	if !g.synced() {
 		return fleet.NoRuns
 	}
 	return fleet.AllCommands
 }
 
-// knows is the epoch up to which this leader knows the changes of jobs.
-func (g *term) knows() uint64 {
+// syncedRevision is the epoch up to which this leader knows the changes of jobs.
+func (g *leader) syncedRevision() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.known
+	return g.knownRevision
 }
 
-// read notes that all changes of jobs up to an epoch are known, by a read that
+// changesRead notes that all changes of jobs up to an epoch are known, by a read that
 // began after the given spell, under the lease or not. The epoch counts only if the
 // lease stands still: then no successor's change can be among them, and none of a
 // process of another node that came after a successor there. The caller holds mu.
-func (g *term) read(epoch uint64, began clock.Micros, spell uint64, held bool) {
-	g.readAt = max(g.readAt, began)
-	if _, still := g.el.HoldsLease(); still {
-		g.known = max(g.known, epoch)
+func (g *leader) changesRead(epoch uint64, began clock.Micros, spell uint64, held bool) {
+	g.changesReadAt = max(g.changesReadAt, began)
+	if _, still := g.elector.HoldsLease(); still {
+		g.knownRevision = max(g.knownRevision, epoch)
 	}
 	if held {
-		g.caught = max(g.caught, spell)
+		g.syncedInterruption = max(g.syncedInterruption, spell)
 	}
-	for j, at := range g.calledOff {
+	for j, at := range g.cancellationPending {
 		if at < began || j.cancelled {
 			// Cancelled, or it was not true.
-			j.calledOff = false
-			g.fresh = true
-			delete(g.calledOff, j)
+			j.cancellationPending = false
+			g.jobsChanged = true
+			delete(g.cancellationPending, j)
 		}
 	}
 }
 
 // watchJobs follows the job records: other nodes accept and cancel jobs there.
-func (g *term) watchJobs(ctx context.Context, since uint64) {
+func (g *leader) watchJobs(ctx context.Context, since uint64) {
 	for ctx.Err() == nil {
-		err := g.follow(ctx, &since)
+		err := g.readChanges(ctx, &since)
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
@@ -82,36 +84,36 @@
 	}
 }
 
-// follow reads the changes of jobs after an epoch: at once after a spell in
+// readChanges reads the changes of jobs after an epoch: at once after a spell in
 // which some may have been missed, else when there are any.
-func (g *term) follow(ctx context.Context, since *uint64) error {
+func (g *leader) readChanges(ctx context.Context, since *uint64) error {
 	wctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	_, held := g.el.HoldsLease()
+	_, held := g.elector.HoldsLease()
 	g.mu.Lock()
-	began, spell := g.ck.Now(), g.spell()
-	behind := held && g.caught != spell
+	began, spell := g.clock.Now(), g.interruptions()
+	behind := held && g.syncedInterruption != spell
 	if !behind {
-		g.unwatch = cancel
+		g.stopWatch = cancel
 	}
 	g.mu.Unlock()
 	var ch wire.WatchResponse
 	var err error
 	if behind {
-		ch, err = g.st.ChangesSince(wctx, store.PrefixJob, *since)
+		ch, err = g.store.ChangesSince(wctx, store.PrefixJob, *since)
 	} else {
-		ch, err = g.st.Watch(wctx, store.PrefixJob, *since, min(watchSpan, g.blindLimit()/3))
+		ch, err = g.store.Watch(wctx, store.PrefixJob, *since, min(watchTimeout, g.maxUnsynced()/3))
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.unwatch = nil
+	g.stopWatch = nil
 	if err != nil {
 		if wctx.Err() != nil && ctx.Err() == nil {
 			return nil // it was ended to read at once
 		}
 		return err
 	}
-	now := g.ck.Now()
+	now := g.clock.Now()
 	*since = max(*since, ch.Revision)
 	for _, ev := range ch.Events {
 		if ev.Set != "" {
@@ -124,7 +126,7 @@
 			g.cancel(j, now)
 		}
 	}
-	g.read(ch.Revision, began, spell, held)
+	g.changesRead(ch.Revision, began, spell, held)
 	if len(ch.Events) > 0 || behind {
 		g.wake()
 	}
@@ -132,16 +134,16 @@
 }
 
 // resync reads all job records again, after a watch that broke or was too old.
-func (g *term) resync(ctx context.Context, since *uint64) error {
-	_, held := g.el.HoldsLease()
+func (g *leader) resync(ctx context.Context, since *uint64) error {
+	_, held := g.elector.HoldsLease()
 	g.mu.Lock()
-	began, spell := g.ck.Now(), g.spell()
+	began, spell := g.clock.Now(), g.interruptions()
 	g.mu.Unlock()
-	rows, epoch, err := g.st.List(ctx, store.Urgent, store.PrefixJob)
+	rows, epoch, err := g.store.List(ctx, store.Urgent, store.PrefixJob)
 	if err != nil {
 		return err
 	}
-	now := g.ck.Now()
+	now := g.clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	there := make(map[string]bool, len(rows))
@@ -152,43 +154,43 @@
 		}
 	}
 	for uid, j := range g.jobs {
-		if !there[store.JobKey(uid)] && j.stamp <= epoch {
+		if !there[store.JobKey(uid)] && j.modRevision <= epoch {
 			g.cancel(j, now)
 		}
 	}
 	*since = epoch
-	g.read(epoch, began, spell, held)
+	g.changesRead(epoch, began, spell, held)
 	g.wake()
 	return nil
 }
 
-// callOff stops the tasks of jobs that are said to be cancelled, or about to be.
+// hintCancelled stops the tasks of jobs that are said to be cancelled, or about to be.
 // That is a hint, the truth is in the state service: the jobs stay on the books,
 // and go on if the next read of changes does not find them cancelled. A stop
 // breaks no rule, so it needs no lease.
-func (g *term) callOff(uids []string) {
+func (g *leader) hintCancelled(uids []string) {
 	g.mu.Lock()
-	ctx, now, told := g.ctx, g.ck.Now(), false
+	ctx, now, told := g.ctx, g.clock.Now(), false
 	for _, uid := range uids {
 		j := g.jobs[uid]
 		if j == nil || j.cancelled || !g.loaded {
 			continue
 		}
-		j.calledOff = true
-		g.calledOff[j] = now
+		j.cancellationPending = true
+		g.cancellationPending[j] = now
 		for i := range j.tasks {
 			pc := &j.tasks[i]
-			if pc.target != nil {
-				g.fl.Remove(pc.target, now)
-				pc.target = nil
+			if pc.moveTarget != nil {
+				g.fleet.Remove(pc.moveTarget, now)
+				pc.moveTarget = nil
 			}
-			if b := pc.booking; b != nil && !b.Stopping {
+			if b := pc.allocation; b != nil && !b.Stopping {
 				told = true
 				// Nobody has any use for what it does after this: no time to save.
-				if g.fl.Stop(b, 0, now) {
-					g.ended(j, pc, b, true, now)
+				if g.fleet.Stop(b, 0, now) {
+					g.attemptEnded(j, pc, b, true, now)
 				} else {
-					g.toTell[b.Machine] = true
+					g.urgentMachines[b.Machine] = true
 				}
 			}
 		}
@@ -200,32 +202,32 @@
 	}
 }
 
-// blindLimit is how long a leader may go on that can't read the changes of jobs:
+// maxUnsynced is how long a leader may go on that can't read the changes of jobs:
 // its successor must still be able to stop what was cancelled meanwhile in time.
-func (g *term) blindLimit() clock.Micros {
+func (g *leader) maxUnsynced() clock.Micros {
 	w := g.cfg.Facts.Workers
-	left := clock.FromSeconds(w.CancelS) - clock.FromSeconds(w.LeaseS+g.op.Lead.TTLs).Stretch(clock.Drift)
+	left := clock.FromSeconds(w.CancelS) - clock.FromSeconds(w.LeaseS+g.operator.Lead.TTLs).Stretch(clock.Drift)
 	return max(left, 2*clock.FromSeconds(w.ReportS))
 }
 
-// blind tells whether this leader has held the lead without reading changes for
+// unsyncedTooLong tells whether this leader has held the lead without reading changes for
 // so long that cancelled tasks may outstay their time. The caller holds mu.
-func (g *term) blind(now clock.Micros) bool {
-	_, held := g.el.HoldsLease()
-	return held && now-max(g.readAt, g.heldFrom, g.awake) > g.blindLimit()
+func (g *leader) unsyncedTooLong(now clock.Micros) bool {
+	_, held := g.elector.HoldsLease()
+	return held && now-max(g.changesReadAt, g.leaseHeldSince, g.runningSince) > g.maxUnsynced()
 }
 
-// catchUp ends a watch that waits when changes may have been missed, so that
+// checkSync ends a watch that waits when changes may have been missed, so that
 // they are read at once; and the term, if they can't be for too long. The caller
 // holds mu.
-func (g *term) catchUp(now clock.Micros) {
-	if _, held := g.el.HoldsLease(); !held {
-		g.heldFrom = now
-	} else if g.unwatch != nil && !g.upToDate() {
-		g.unwatch()
+func (g *leader) checkSync(now clock.Micros) {
+	if _, held := g.elector.HoldsLease(); !held {
+		g.leaseHeldSince = now
+	} else if g.stopWatch != nil && !g.synced() {
+		g.stopWatch()
 	}
-	if g.loaded && g.blind(now) {
+	if g.loaded && g.unsyncedTooLong(now) {
 		g.log.Info("the changes of jobs can't be read: giving leadership up")
-		g.el.Resign()
+		g.elector.Resign()
 	}
 }
--- a/engine_test.go
+++ b/engine_test.go
@@ -82,13 +82,13 @@
 }
 
 // elect makes a node lead for the rest of the test, or until stop is called.
-func (s *site) elect(n *Service) (g *term, stop func()) {
+func (s *site) elect(n *Service) (g *leader, stop func()) {
 	ctx, cancel := context.WithCancel(s.t.Context())
 	ready := make(chan lead.Term)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		n.el.Run(ctx, func(ctx context.Context, r lead.Term) {
+		n.elector.Run(ctx, func(ctx context.Context, r lead.Term) {
 			select {
 			case ready <- r:
 			case <-ctx.Done():
@@ -100,16 +100,16 @@
 	s.t.Cleanup(stop)
 	select {
 	case r := <-ready:
-		g = newTerm(n, r)
+		g = newLeader(n, r)
 		g.ctx = s.t.Context()
 	case <-time.After(10 * time.Second):
 		s.t.Fatal("not elected")
 	}
-	if _, err := g.load(s.t.Context()); err != nil {
+	if _, err := g.loadRecords(s.t.Context()); err != nil {
 		s.t.Fatal(err)
 	}
 	g.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
-	g.fl.SetCatalog(g.catalog)
+	g.fleet.SetCatalog(g.catalog)
 	return g, stop
 }
 
@@ -160,7 +160,7 @@
 }
 
 // alone is a site with one leading node and a worker that has reported.
-func alone(t *testing.T) (*site, *Service, *term, *standin.Worker) {
+func alone(t *testing.T) (*site, *Service, *leader, *standin.Worker) {
 	t.Helper()
 	s := newSite(t)
 	n := s.node(nil)
@@ -211,7 +211,7 @@
 
 // heartbeat lets a worker report to the leader and execute the answer; and once more
 // when the leader has yet to see that the worker knows its token.
-func heartbeat(t testing.TB, g *term, w *standin.Worker) {
+func heartbeat(t testing.TB, g *leader, w *standin.Worker) {
 	t.Helper()
 	for range 2 {
 		rep := w.Report()
@@ -221,7 +221,7 @@
 		}
 		w.Take(ans)
 		g.mu.Lock()
-		m := g.fl.Machine(rep.Machine)
+		m := g.fleet.Machine(rep.Machine)
 		trusted := m == nil || m.Reported
 		g.mu.Unlock()
 		if trusted {
@@ -231,13 +231,13 @@
 }
 
 // settle runs passes until all direct commands have landed and been taken in.
-func (s *site) settle(g *term) {
+func (s *site) settle(g *leader) {
 	s.t.Helper()
 	for range 4 {
-		g.step(s.t.Context())
+		g.pass(s.t.Context())
 		for i := 0; ; i++ {
 			g.mu.Lock()
-			n := len(g.busy) + g.probes
+			n := len(g.inFlight) + g.openProbes
 			g.mu.Unlock()
 			if n == 0 {
 				break
@@ -245,12 +245,12 @@
 			if i > 100_000 {
 				s.t.Fatal("direct commands never landed")
 			}
-			<-g.kick // every landing wakes the loop
+			<-g.wakeups // every landing wakes the loop
 		}
 	}
 }
 
-func (s *site) resync(g *term) {
+func (s *site) resync(g *leader) {
 	s.t.Helper()
 	var since uint64
 	if err := g.resync(s.t.Context(), &since); err != nil {
@@ -330,9 +330,9 @@
 	s.settle(g) // the run is kept back; the token is raised against it
 	heartbeat(t, g, other)
 	g.mu.Lock()
-	b := g.jobs["j-1"].tasks[0].booking
-	g.halt(g.jobs["j-1"], b, g.ck.Now())
-	still := g.jobs["j-1"].tasks[0].booking == b
+	b := g.jobs["j-1"].tasks[0].allocation
+	g.stopAttempt(g.jobs["j-1"], b, g.clock.Now())
+	still := g.jobs["j-1"].tasks[0].allocation == b
 	g.mu.Unlock()
 	if !still {
 		t.Fatal("freed while a run may still arrive")
@@ -415,8 +415,8 @@
 	s.settle(ga)
 	stop()
 	gb, _ := s.elect(b)
-	if gb.r.Token <= ga.r.Token {
-		t.Fatalf("token %d after %d", gb.r.Token, ga.r.Token)
+	if gb.term.Token <= ga.term.Token {
+		t.Fatalf("token %d after %d", gb.term.Token, ga.term.Token)
 	}
 	// The old leader's pass writes nothing any more.
 	if rep := w.Report(); func() bool { _, ok := ga.Heartbeat(&rep); return ok }() {
@@ -453,15 +453,15 @@
 	s.submit(a, spec("j-1", nil))
 	s.resync(ga)
 	ga.mu.Lock()
-	ga.plan(ga.ck.Now())
-	wr := ga.collect()
+	ga.runPlan(ga.clock.Now())
+	wr := ga.buildTransaction()
 	ga.mu.Unlock()
 	if wr == nil {
 		t.Fatal("nothing planned")
 	}
 	stop()
 	gb, _ := s.elect(b)
-	if _, err := a.st.Commit(t.Context(), store.Urgent, wr.txn); err == nil {
+	if _, err := a.store.Commit(t.Context(), store.Urgent, wr.txn); err == nil {
 		t.Fatal("a deposed leader's transaction was applied")
 	}
 	heartbeat(t, gb, w)
@@ -586,7 +586,7 @@
 
 func TestBeatWithoutHold(t *testing.T) {
 	s, n, g, w := alone(t)
-	n.links["other"] = peer.NewLink("127.0.0.1:1") // nobody attests
+	n.attestationLinks["other"] = peer.NewLink("127.0.0.1:1") // nobody attests
 	s.state.Refuse(n.cfg.Node, true)
 	s.clk.Advance(6 * time.Second)
 	rep := w.Report()
@@ -664,7 +664,7 @@
 	s.cloud.LoseNext = true
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Preemptible = false }))
 	s.resync(g)
-	if err := g.readList(t.Context()); err != nil {
+	if err := g.readMachineList(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -674,7 +674,7 @@
 			s.clk.Advance(time.Second)
 		}
 	}()
-	g.resize(t.Context())
+	g.autoscale(t.Context())
 	cancel()
 	asked := s.cloud.Asked()
 	if len(asked) != 2 || asked[0].RequestID != asked[1].RequestID || len(s.cloud.Hosts()) != 1 {
@@ -688,13 +688,13 @@
 	g, _ := s.elect(n)
 	s.submit(n, spec("j-1", nil))
 	s.state.Forget()
-	if _, err := n.st.Watch(t.Context(), store.PrefixJob, 1, 0); err != store.ErrCompacted {
+	if _, err := n.store.Watch(t.Context(), store.PrefixJob, 1, 0); err != store.ErrCompacted {
 		t.Fatalf("error %v, want %v", err, store.ErrCompacted)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); g.watchJobs(ctx, 1) }()
-	<-g.kick
+	<-g.wakeups
 	cancel()
 	<-done
 	if g.jobs["j-1"] == nil {
@@ -716,8 +716,8 @@
 		s.t.Cleanup(func() { cancel(); <-done })
 		for _, o := range nodes {
 			if o != n {
-				o.links[n.cfg.Node] = peer.NewLink(ln.Addr().String())
-				o.relays[n.cfg.Node] = peer.NewLink(ln.Addr().String())
+				o.attestationLinks[n.cfg.Node] = peer.NewLink(ln.Addr().String())
+				o.relayLinks[n.cfg.Node] = peer.NewLink(ln.Addr().String())
 				o.users.Relay = o.relay
 			}
 		}
@@ -762,12 +762,12 @@
 	heartbeat(t, g, s.worker("n-1", "x", true))
 	heartbeat(t, g, s.worker("n-2", "y", true))
 	s.advance(9 * time.Second)
-	g.abdicate(t.Context())
-	if _, ok := n.el.MayAnswerHeartbeats(); !ok {
+	g.resignIfIsolated(t.Context())
+	if _, ok := n.elector.MayAnswerHeartbeats(); !ok {
 		t.Fatal("gave up after a pause")
 	}
 	s.advance(2 * time.Second)
-	g.abdicate(t.Context())
+	g.resignIfIsolated(t.Context())
 	// The lease is dropped: the key goes.
 	for s.state.Value(store.KeyLead, nil) {
 		runtime.Gosched()
@@ -781,16 +781,16 @@
 	n := s.node(nil)
 	g, _ := s.elect(n)
 	s.advance(time.Second)
-	for i := range manyReport {
+	for i := range reliableReporters {
 		heartbeat(t, g, s.worker(fmt.Sprintf("n-%d", i), "x", true))
 	}
 	s.advance(5 * time.Second)
-	g.abdicate(t.Context())
-	if _, ok := n.el.MayAnswerHeartbeats(); !ok {
+	g.resignIfIsolated(t.Context())
+	if _, ok := n.elector.MayAnswerHeartbeats(); !ok {
 		t.Fatal("gave up within the time in which a worker may report")
 	}
 	s.advance(time.Second)
-	g.abdicate(t.Context())
+	g.resignIfIsolated(t.Context())
 	for s.state.Value(store.KeyLead, nil) {
 		runtime.Gosched()
 	}
@@ -844,9 +844,9 @@
 	other := s.worker("n-2", "y", false)
 	g := gb
 	g.mu.Lock()
-	g.fl.Machine("n-1").Endpoint = "127.0.0.1:1" // nobody answers there
-	for i := range 5 {                           // booting machines are not silent ones
-		m := g.fl.Ensure(fmt.Sprintf("n-9%d", i), g.ck.Now()+8*clock.Second)
+	g.fleet.Machine("n-1").Endpoint = "127.0.0.1:1" // nobody answers there
+	for i := range 5 {                              // booting machines are not silent ones
+		m := g.fleet.Ensure(fmt.Sprintf("n-9%d", i), g.clock.Now()+8*clock.Second)
 		m.Endpoint, m.Type, m.Zone, m.CloudStatus = "127.0.0.1:1", "b", "x", wire.MachineBooting
 	}
 	g.mu.Unlock()
@@ -854,21 +854,21 @@
 		s.advance(3 * time.Second)
 		heartbeat(t, gb, other)
 	}
-	for range muteAfter {
-		g.probedAt = 0
-		g.probeSilent(t.Context())
+	for range unreachableAfterProbes {
+		g.probesStartedAt = 0
+		g.probeSilentMachines(t.Context())
 		for probing := true; probing; runtime.Gosched() {
 			g.mu.Lock()
-			m := g.fl.Machine("n-1")
+			m := g.fleet.Machine("n-1")
 			probing = m != nil && m.Probing
 			g.mu.Unlock()
 		}
 	}
-	g.probedAt = 0
-	g.probeSilent(t.Context())
+	g.probesStartedAt = 0
+	g.probeSilentMachines(t.Context())
 	for gone := false; !gone; runtime.Gosched() {
 		g.mu.Lock()
-		gone = g.fl.Machine("n-1") == nil
+		gone = g.fleet.Machine("n-1") == nil
 		g.mu.Unlock()
 	}
 	s.settle(gb)
@@ -890,7 +890,7 @@
 	s.settle(ga)
 	w.End("j-1/0", wire.CauseDone)
 	heartbeat(t, ga, w)
-	if n := ga.jobs["j-1"].ran.n; n != 1 {
+	if n := ga.jobs["j-1"].runTimes.count; n != 1 {
 		t.Fatalf("%d runs measured, want the one whose start was seen", n)
 	}
 	s.settle(ga)
@@ -899,8 +899,8 @@
 	heartbeat(t, gb, w)
 	w.End("j-1/1", wire.CauseDone)
 	heartbeat(t, gb, w)
-	if j := gb.jobs["j-1"]; j.done != 2 || j.ran.n != 0 {
-		t.Errorf("done %d, runs measured %d; want 2 and none", j.done, j.ran.n)
+	if j := gb.jobs["j-1"]; j.done != 2 || j.runTimes.count != 0 {
+		t.Errorf("done %d, runs measured %d; want 2 and none", j.done, j.runTimes.count)
 	}
 }
 
@@ -911,21 +911,21 @@
 	s.resync(g)
 	s.settle(g)
 	g.mu.Lock()
-	g.demand(g.ck.Now())
+	g.demand(g.clock.Now())
 	g.mu.Unlock()
 	w.End("j-1/0", wire.CauseDone)
 	heartbeat(t, g, w)
 	s.settle(g)
 	s.advance(20 * time.Second)
 	g.mu.Lock()
-	held := g.demand(g.ck.Now()).Preemptible.Cores
+	held := g.demand(g.clock.Now()).Preemptible.Cores
 	g.mu.Unlock()
 	if held == 0 {
 		t.Error("nothing is held right after work was there")
 	}
 	s.advance(30 * time.Second)
 	g.mu.Lock()
-	need := g.demand(g.ck.Now())
+	need := g.demand(g.clock.Now())
 	g.mu.Unlock()
 	if need.Preemptible.Cores != 0 || need.KeepPreemptible != 0 || need.KeepOnDemand != 0 {
 		t.Errorf("still held: %+v", need)
@@ -950,13 +950,13 @@
 		{"lane", due(64), 18, 46 * clock.Second},
 		{"lane", due(310), 100, 80 * clock.Second},
 		{"lane", due(190), 30, 120 * clock.Second},
-		{"lane", nil, 30, noSlack},
+		{"lane", nil, 30, unlimitedSlack},
 		{"other", due(310), 100, 210 * clock.Second},
-		{"other", nil, 100, noSlack},
+		{"other", nil, 100, unlimitedSlack},
 	} {
-		j := &job{priority: wire.PriorityStandard, spec: spec("j-1", func(sp *wire.Spec) { sp.Class, sp.DeadlineS, sp.ExpectedS = tt.class, tt.due, tt.expect })}
-		g.planJob(j)
-		if got := j.slack(0); got != tt.want {
+		j := &Job{priority: wire.PriorityStandard, spec: spec("j-1", func(sp *wire.Spec) { sp.Class, sp.DeadlineS, sp.ExpectedS = tt.class, tt.due, tt.expect })}
+		g.newPlanJob(j)
+		if got := j.slackAt(0); got != tt.want {
 			t.Errorf("%s due %v, expected to run %v s: slack %v, want %v", tt.class, tt.due, tt.expect, got, tt.want)
 		}
 	}
@@ -971,7 +971,7 @@
 	sp := spec("j-1", nil)
 	over := store.NewFinalRecord(&sp, wire.JobDone, "earlier")
 	rec := store.JobRecord{Spec: wire.Spec{UID: "j-1"}, Final: &over}
-	if _, err := n.st.Commit(t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey("j-1"), Value: rec}}}); err != nil {
+	if _, err := n.store.Commit(t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey("j-1"), Value: rec}}}); err != nil {
 		t.Fatal(err)
 	}
 	for range 3 {
@@ -995,13 +995,13 @@
 	s.submit(n, spec("j-1", nil))
 	s.resync(g)
 	g.mu.Lock()
-	now := g.ck.Now()
-	g.plan(now)
+	now := g.clock.Now()
+	g.runPlan(now)
 	j := g.jobs["j-1"]
-	g.halt(j, j.tasks[0].booking, now) // never sent, so it is gone at once
-	g.fresh = true
-	g.plan(now)
-	if got := g.fl.Machine("n-1").AllocationCount(); got != 1 {
+	g.stopAttempt(j, j.tasks[0].allocation, now) // never sent, so it is gone at once
+	g.jobsChanged = true
+	g.runPlan(now)
+	if got := g.fleet.Machine("n-1").AllocationCount(); got != 1 {
 		t.Errorf("%d bookings of one task", got)
 	}
 	g.mu.Unlock()
--- a/failures_test.go
+++ b/failures_test.go
@@ -12,7 +12,7 @@
 )
 
 // crew is a leader with so many workers, on which the given jobs fail.
-func crew(t *testing.T, n int, bad ...string) (*site, *Service, *term, []*standin.Worker) {
+func crew(t *testing.T, n int, bad ...string) (*site, *Service, *leader, []*standin.Worker) {
 	t.Helper()
 	s := newSite(t)
 	node := s.node(nil)
@@ -30,7 +30,7 @@
 }
 
 // pass lets seconds go by, with a heartbeat of every worker and a pass in each.
-func (s *site) pass(g *term, ws []*standin.Worker, seconds int) {
+func (s *site) pass(g *leader, ws []*standin.Worker, seconds int) {
 	s.t.Helper()
 	for range seconds {
 		s.advance(time.Second)
@@ -41,9 +41,9 @@
 	}
 }
 
-func banned(g *term, ws []*standin.Worker) (out []string) {
+func banned(g *leader, ws []*standin.Worker) (out []string) {
 	for _, w := range ws {
-		if m := g.fl.Machine(w.Beats.Machine); m.QuarantineReason != "" {
+		if m := g.fleet.Machine(w.Beats.Machine); m.QuarantineReason != "" {
 			out = append(out, m.Name+" "+m.QuarantineReason)
 		}
 	}
@@ -126,14 +126,14 @@
 	s.pass(g, ws, 90)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.jobs["j-1"].failures.bad {
+	if !g.jobs["j-1"].failures.failing {
 		t.Fatalf("not found bad: %+v", g.jobs["j-1"].failures)
 	}
-	if need := g.demand(g.ck.Now()); need.Preemptible.Cores > 0 || need.Urgent.Cores > 0 {
+	if need := g.demand(g.clock.Now()); need.Preemptible.Cores > 0 || need.Urgent.Cores > 0 {
 		t.Errorf("needed for a bad job: %+v", need)
 	}
-	if len(g.holds) > 0 {
-		t.Errorf("room is kept for a bad job: %v", g.holds)
+	if len(g.reservedRoom) > 0 {
+		t.Errorf("room is kept for a bad job: %v", g.reservedRoom)
 	}
 }
 
@@ -178,8 +178,8 @@
 	if got := banned(g, ws); len(got) > 0 {
 		t.Errorf("banned: %v", got)
 	}
-	if j := g.jobs["j-1"]; j.done != 34 || j.failures.bad {
-		t.Errorf("%d tasks done, bad %t; want 34 and not bad", j.done, j.failures.bad)
+	if j := g.jobs["j-1"]; j.done != 34 || j.failures.failing {
+		t.Errorf("%d tasks done, bad %t; want 34 and not bad", j.done, j.failures.failing)
 	}
 	if tries := startsOf(ws, "j-1"); tries > 34+6*9 {
 		t.Errorf("%d starts: those that fail are not slowed down", tries)
@@ -195,7 +195,7 @@
 	s.pass(g, ws, 30)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if need := g.demand(g.ck.Now()); need.Preemptible.Cores < 24 || need.Urgent.Cores < 24 {
+	if need := g.demand(g.clock.Now()); need.Preemptible.Cores < 24 || need.Urgent.Cores < 24 {
 		t.Errorf("needed for 12 replicas of 2 cores: %+v", need)
 	}
 }
--- a/gap_test.go
+++ b/gap_test.go
@@ -32,18 +32,18 @@
 		s.t.Cleanup(func() { cancel(); <-done })
 		for _, o := range nodes {
 			if o != n {
-				o.links[n.cfg.Node], o.relays[n.cfg.Node] = peer.NewLink(ln.Addr().String()), peer.NewLink(ln.Addr().String())
+				o.attestationLinks[n.cfg.Node], o.relayLinks[n.cfg.Node] = peer.NewLink(ln.Addr().String()), peer.NewLink(ln.Addr().String())
 			}
 		}
 	}
 	for _, n := range nodes {
-		n.users.Relay, n.users.Alone = n.relay, n.alone
+		n.users.Relay, n.users.Alone = n.relay, n.isolated
 	}
 }
 
 // gap is a site of three joined controllers of which the first leads, with a
 // worker that runs a task each of j-1 and j-2.
-func gap(t *testing.T) (s *site, nodes []*Service, g *term, w *standin.Worker) {
+func gap(t *testing.T) (s *site, nodes []*Service, g *leader, w *standin.Worker) {
 	t.Helper()
 	s = newSite(t)
 	for range 3 {
@@ -51,7 +51,7 @@
 	}
 	s.join(nodes...)
 	g, _ = s.elect(nodes[0])
-	nodes[0].term.Store(g)
+	nodes[0].current.Store(g)
 	w = s.worker("n-1", "x", true)
 	heartbeat(t, g, w)
 	for _, uid := range []string{"j-1", "j-2"} {
@@ -100,10 +100,10 @@
 	}
 	s.state.Refuse("", true)
 	s.advance(8 * time.Second) // the lease of the leader may have lapsed
-	if _, may := nodes[0].el.HoldsLease(); may {
+	if _, may := nodes[0].elector.HoldsLease(); may {
 		t.Fatal("the leader still has its lease")
 	}
-	if _, may := nodes[0].el.MayAnswerHeartbeats(); !may {
+	if _, may := nodes[0].elector.MayAnswerHeartbeats(); !may {
 		t.Fatal("all attest the outage, and the leader answers no heartbeats")
 	}
 	heartbeat(t, g, w)
@@ -161,7 +161,7 @@
 		t.Run(name, func(t *testing.T) {
 			s, nodes, g, _ := gap(t)
 			s.first = nodes[0]
-			o := peer.Outage{Asked: true, Lead: g.r.Revision, Epoch: g.knows()}
+			o := peer.Outage{Asked: true, Lead: g.term.Revision, Epoch: g.syncedRevision()}
 			s.state.Refuse("", true)
 			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: o}); !r.Word.Attests {
 				t.Fatal("does not attest though it can vouch")
@@ -187,9 +187,9 @@
 // does not know yet what became of it.
 func TestEveryCancelToldIsRemembered(t *testing.T) {
 	s, nodes, g, _ := gap(t)
-	since := g.knows()
+	since := g.syncedRevision()
 	named := func(n *Service) []string {
-		uids, whole := n.users.Cancels.Since(since, n.st.FirstRevision())
+		uids, whole := n.users.Cancels.Since(since, n.store.FirstRevision())
 		if !whole {
 			t.Fatalf("%s can't vouch", n.cfg.Node)
 		}
@@ -205,8 +205,8 @@
 	}
 	s.submit(nodes[1], spec("j-3", nil))
 	s.state.Refuse(nodes[0].cfg.Node, true)
-	for nodes[0].st.Failing() == false {
-		nodes[0].st.Refused(t.Context(), 1_000_000)
+	for nodes[0].store.Failing() == false {
+		nodes[0].store.Refused(t.Context(), 1_000_000)
 	}
 	s.abort(nodes[0], "j-3") // passed on
 	if got := named(nodes[0]); len(got) != 1 || got[0] != "j-3" || nodes[0].users.Cancels.Epoch("j-3") == 0 {
@@ -228,7 +228,7 @@
 // Lost, repeated or untrue, the hint harms nothing.
 func TestHintStopsAtOnce(t *testing.T) {
 	s, nodes, g, w := gap(t)
-	nodes[1].el = nodes[0].el // knows who leads
+	nodes[1].elector = nodes[0].elector // knows who leads
 	s.state.Refuse(nodes[0].cfg.Node, true)
 	s.abort(nodes[1], "j-1")
 	for len(w.Live()) != 1 {
@@ -263,15 +263,15 @@
 // After a spell in which changes may have been missed, no run goes out before
 // they have been read, not even one that was recorded before the spell.
 func TestNoRunOnOldKnowledge(t *testing.T) {
-	spells := map[string]func(s *site, n *Service, g *term){
-		"refused alone": func(s *site, n *Service, _ *term) {
+	spells := map[string]func(s *site, n *Service, g *leader){
+		"refused alone": func(s *site, n *Service, _ *leader) {
 			s.state.Refuse(n.cfg.Node, true)
 			s.advance(3 * time.Second)
 			s.state.Refuse(n.cfg.Node, false)
 		},
-		"stood still": func(s *site, _ *Service, g *term) {
+		"stood still": func(s *site, _ *Service, g *leader) {
 			s.clk.Advance(4 * time.Second)
-			g.checkStall()
+			g.checkPause()
 		},
 	}
 	for name, spell := range spells {
@@ -281,24 +281,24 @@
 			g, _ := s.elect(n)
 			w := s.worker("n-1", "x", true)
 			heartbeat(t, g, w)
-			g.checkStall()
+			g.checkPause()
 			s.submit(n, spec("j-1", nil))
 			s.resync(g)
 			g.mu.Lock()
-			g.plan(g.ck.Now())
-			write := g.collect()
+			g.runPlan(g.clock.Now())
+			write := g.buildTransaction()
 			g.mu.Unlock()
-			if !g.record(t.Context(), write) { // recorded, not sent yet
+			if !g.commit(t.Context(), write) { // recorded, not sent yet
 				t.Fatal("not recorded")
 			}
 			s.abort(other, "j-1")
 			spell(s, n, g)
 			s.advance(2 * time.Second)
-			if _, may := n.el.HoldsLease(); !may {
+			if _, may := n.elector.HoldsLease(); !may {
 				t.Fatal("the lead was lost")
 			}
 			g.mu.Lock()
-			scope := g.scope()
+			scope := g.commandScope()
 			g.mu.Unlock()
 			if scope != fleet.NoRuns {
 				t.Fatalf("scope %v, want no runs", scope)
@@ -310,10 +310,10 @@
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
-			go func() { defer close(done); g.watchJobs(ctx, g.knows()) }()
+			go func() { defer close(done); g.watchJobs(ctx, g.syncedRevision()) }()
 			for scope != fleet.AllCommands { // it reads at once, and without waiting
 				g.mu.Lock()
-				scope = g.scope()
+				scope = g.commandScope()
 				g.mu.Unlock()
 				runtime.Gosched()
 			}
@@ -332,15 +332,15 @@
 // lead up while its successor can still stop in time what was cancelled.
 func TestBlindLeaderGivesUp(t *testing.T) {
 	s, n, g, _ := alone(t)
-	limit := g.blindLimit().Duration()
+	limit := g.maxUnsynced().Duration()
 	live := func(d time.Duration) {
 		for ; d > 0; d -= time.Second {
 			s.advance(time.Second)
-			g.checkStall()
+			g.checkPause()
 		}
 	}
 	live(limit)
-	if _, may := n.el.HoldsLease(); !may {
+	if _, may := n.elector.HoldsLease(); !may {
 		t.Fatal("gave up too early")
 	}
 	live(2 * time.Second)
@@ -348,7 +348,7 @@
 		runtime.Gosched()
 	}
 	w := g.cfg.Facts.Workers
-	if at := limit.Seconds() + w.LeaseS + g.op.Lead.TTLs; at >= w.CancelS {
+	if at := limit.Seconds() + w.LeaseS + g.operator.Lead.TTLs; at >= w.CancelS {
 		t.Errorf("gives up %v s after it last knew, too late for a lease before %v s", limit, w.CancelS)
 	}
 }
@@ -386,7 +386,7 @@
 	s.settle(g)
 	s.state.Refuse("", true)
 	s.advance(8 * time.Second)
-	if _, may := nodes[0].el.HoldsLease(); may {
+	if _, may := nodes[0].elector.HoldsLease(); may {
 		t.Fatal("the leader still has its lease")
 	}
 	heartbeat(t, g, w)
@@ -395,7 +395,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if b := g.jobs["j-1"].tasks[0].booking; b == nil || b.Ended {
+	if b := g.jobs["j-1"].tasks[0].allocation; b == nil || b.Ended {
 		t.Error("freed without a proof")
 	}
 }
--- a/lean_test.go
+++ b/lean_test.go
@@ -13,7 +13,7 @@
 func TestUnchangedReportAllocatesLittle(t *testing.T) {
 	allocs := func(machines, tasks int) float64 {
 		_, g := ledFleet(t, machines, tasks)
-		raw := body(t, report(0, tasks, 1, g.r.Token))
+		raw := body(t, report(0, tasks, 1, g.term.Token))
 		tally := uint64(100)
 		heartbeat := func() {
 			tally++
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -256,7 +256,7 @@
 	w.End("j-2/0", wire.CauseDone)
 	w.End("j-2/1", wire.CauseDone)
 	heartbeat(t, g, w)
-	s.meanwhile(func() { g.step(t.Context()) }, func() {
+	s.meanwhile(func() { g.pass(t.Context()) }, func() {
 		for _, uid := range []string{"j-1", "j-2"} {
 			is(uid, wire.JobDone)
 			_, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
@@ -301,16 +301,16 @@
 		drain := func() {
 			for range 9 {
 				g.mu.Lock()
-				wr := g.collect()
+				wr := g.buildTransaction()
 				g.mu.Unlock()
 				if wr == nil {
 					return
 				}
-				if len(wr.over) > 0 {
+				if len(wr.finished) > 0 {
 					now = wire.JobDone
 				}
 				record := func() {
-					if !g.record(t.Context(), wr) {
+					if !g.commit(t.Context(), wr) {
 						t.Fatal("the term is over")
 					}
 				}
@@ -330,7 +330,7 @@
 			}
 		}
 		g.mu.Lock()
-		g.plan(g.ck.Now())
+		g.runPlan(g.clock.Now())
 		g.mu.Unlock()
 		drain()
 		s.settle(g)
@@ -349,8 +349,8 @@
 		}
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if len(g.finalMoves)+len(g.jobs)+len(g.dirty)+len(g.untidy) != 0 {
-			t.Errorf("%d tasks a job: %d moves, %d jobs, %d changes and %d records are left", pieces, len(g.finalMoves), len(g.jobs), len(g.dirty), len(g.untidy))
+		if len(g.finalMoves)+len(g.jobs)+len(g.dirty)+len(g.staleShared) != 0 {
+			t.Errorf("%d tasks a job: %d moves, %d jobs, %d changes and %d records are left", pieces, len(g.finalMoves), len(g.jobs), len(g.dirty), len(g.staleShared))
 		}
 		if left := s.state.Keys(store.PrefixJob); len(left) != 0 {
 			t.Errorf("jobs that have not moved: %v", left)
@@ -378,16 +378,16 @@
 	s.submit(n, spec("j-1", nil))
 	s.resync(g)
 	g.mu.Lock()
-	g.raisedAt = g.ck.Now() // no raise yet
+	g.tokenRaisedAt = g.clock.Now() // no raise yet
 	g.mu.Unlock()
 	s.settle(g) // the run is held back and in doubt
 	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
 	s.resync(g)
-	before, _ := n.el.HoldsLease()
+	before, _ := n.elector.HoldsLease()
 	s.state.DelayNext()
-	if _, err := n.el.RaiseToken(t.Context()); err == nil {
+	if _, err := n.elector.RaiseToken(t.Context()); err == nil {
 		t.Fatal("raised without an answer")
 	}
 	s.state.Deliver()
@@ -396,15 +396,15 @@
 		heartbeat(t, g, w)
 		s.settle(g)
 	}
-	if now, _ := n.el.HoldsLease(); now <= before {
+	if now, _ := n.elector.HoldsLease(); now <= before {
 		t.Errorf("the token is still %d", now)
 	}
 	var rec store.TokenRecord
-	if now, _ := n.el.HoldsLease(); !s.state.Value(store.KeyToken, &rec) || rec.Token != now {
+	if now, _ := n.elector.HoldsLease(); !s.state.Value(store.KeyToken, &rec) || rec.Token != now {
 		t.Errorf("the leader's token is %d, on record is %d", now, rec.Token)
 	}
 	g.mu.Lock()
-	if used := g.fl.Machine("n-1").UsedCores; used != 0 {
+	if used := g.fleet.Machine("n-1").UsedCores; used != 0 {
 		t.Errorf("%v cores still count for a cancelled task", used)
 	}
 	g.mu.Unlock()
@@ -448,7 +448,7 @@
 					}
 				}
 				s.submit(b, spec("j-3", func(sp *wire.Spec) { sp.Tasks = 2 }))
-				nothing := func(when string, g *term) {
+				nothing := func(when string, g *leader) {
 					t.Helper()
 					heartbeat(t, g, other)
 					s.settle(g)
@@ -477,7 +477,7 @@
 					hung.Expire()
 					s.advance(4 * time.Second)
 				case "return":
-					g.giveBack(t.Context(), []string{"n-1"})
+					g.returnMachines(t.Context(), []string{"n-1"})
 				case "newer session":
 					hung.Expire()
 					hung.Unreachable(false)
@@ -544,14 +544,14 @@
 				}
 				ctx, end := context.WithCancel(t.Context())
 				r := s.termOf(b)
-				g = newTerm(b, r)
+				g = newLeader(b, r)
 				g.ctx = ctx
-				epoch, err := g.load(ctx)
+				epoch, err := g.loadRecords(ctx)
 				if err != nil {
 					t.Fatal(err)
 				}
 				g.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
-				g.fl.SetCatalog(g.catalog)
+				g.fleet.SetCatalog(g.catalog)
 				if cancelled == (moment == "watch") {
 					t.Fatalf("cancelled by the end of the load: %t", cancelled)
 				}
@@ -561,7 +561,7 @@
 				}
 				heartbeat(t, g, w)
 				g.mu.Lock()
-				if used := g.fl.Machine("n-1").UsedCores; used != 8 && len(w.Live()) == 2*pieces {
+				if used := g.fleet.Machine("n-1").UsedCores; used != 8 && len(w.Live()) == 2*pieces {
 					t.Errorf("%v cores in use while %v are there", used, w.Live())
 				}
 				g.mu.Unlock()
@@ -603,7 +603,7 @@
 	ready, done := make(chan lead.Term, 1), make(chan struct{})
 	go func() {
 		defer close(done)
-		n.el.Run(ctx, func(ctx context.Context, r lead.Term) { ready <- r; <-ctx.Done() })
+		n.elector.Run(ctx, func(ctx context.Context, r lead.Term) { ready <- r; <-ctx.Done() })
 	}()
 	s.t.Cleanup(func() { cancel(); <-done })
 	return <-ready
@@ -633,7 +633,7 @@
 				}
 				ctx, end := context.WithCancel(t.Context())
 				done := make(chan struct{})
-				go func() { defer close(done); g.step(ctx) }()
+				go func() { defer close(done); g.pass(ctx) }()
 				for s.state.Late() == 0 && s.state.Lost() == lost {
 					runtime.Gosched()
 				}
@@ -644,7 +644,7 @@
 					t.Fatalf("started before that was known to be recorded: %v", got)
 				}
 				g, _ = s.elect(b)
-				if err := g.readList(t.Context()); err != nil {
+				if err := g.readMachineList(t.Context()); err != nil {
 					t.Fatal(err)
 				}
 				deliver := func() {
@@ -670,7 +670,7 @@
 					heartbeat(t, g, other)
 					s.settle(g)
 				}
-				g.resize(t.Context())
+				g.autoscale(t.Context())
 				if got := len(w.Starts()) + len(other.Starts()); got != pieces || len(w.Live())+len(other.Live()) != pieces {
 					t.Errorf("starts %v and %v, want %d", w.Starts(), other.Starts(), pieces)
 				}
@@ -679,7 +679,7 @@
 					heartbeat(t, g, w)
 					heartbeat(t, g, other)
 				}
-				if err := g.readList(t.Context()); err != nil {
+				if err := g.readMachineList(t.Context()); err != nil {
 					t.Fatal(err)
 				}
 				if got := s.cloud.Returns(); len(got) != 0 || !s.usable(g, "n-000200") {
@@ -724,7 +724,7 @@
 	}
 	s.submit(b, spec("j-2", nil)) // the team's limit keeps it waiting
 	g, _ = s.elect(b)
-	b.term.Store(g)
+	b.current.Store(g)
 	all := func() {
 		t.Helper()
 		for _, c := range copies {
@@ -766,7 +766,7 @@
 	slices.Reverse(copies) // the oldest comes last
 	all()
 	g.mu.Lock()
-	if m := g.fl.Machine("n-1"); m.Incarnation != 2 || !m.Reported || m.LiveCount() != 1 {
+	if m := g.fleet.Machine("n-1"); m.Incarnation != 2 || !m.Reported || m.LiveCount() != 1 {
 		t.Errorf("after copies came behind newer reports: session %d, trusted %t, %d tasks", m.Incarnation, m.Reported, m.LiveCount())
 	}
 	g.mu.Unlock()
@@ -779,18 +779,18 @@
 }
 
 // entries is how much a leader and the state service keep.
-func (s *site) entries(g *term) map[string]int {
+func (s *site) entries(g *leader) map[string]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	bookings := 0
-	g.fl.EachMachine(func(m *fleet.Machine) { bookings += m.AllocationCount() })
+	g.fleet.EachMachine(func(m *fleet.Machine) { bookings += m.AllocationCount() })
 	rows := 0
 	for _, k := range s.state.Keys(store.PrefixShared) {
 		var rec store.SharedRecord
 		s.state.Value(k, &rec)
 		rows += len(rec.Rows)
 	}
-	return map[string]int{"jobs": len(g.jobs), "dirty": len(g.dirty), "lazy": len(g.lazy), "queue": len(g.queue), "untidy": len(g.untidy), "finalMoves": len(g.finalMoves),
+	return map[string]int{"jobs": len(g.jobs), "dirty": len(g.dirty), "lazy": len(g.pendingResults), "queue": len(g.queue), "untidy": len(g.staleShared), "finalMoves": len(g.finalMoves),
 		"bookings": bookings, "unfinished jobs": len(s.state.Keys(store.PrefixJob)), "shared records": len(s.state.Keys(store.PrefixShared)),
 		"rows": rows, "records": len(s.state.Keys(store.PrefixAttempts))}
 }
@@ -923,19 +923,19 @@
 		drain := func() {
 			for range 12 {
 				g.mu.Lock()
-				wr := g.collect()
+				wr := g.buildTransaction()
 				g.mu.Unlock()
 				if wr == nil {
 					return
 				}
 				s.state.DelayNext()
-				if late++; !g.record(t.Context(), wr) {
+				if late++; !g.commit(t.Context(), wr) {
 					t.Fatal("the term is over")
 				}
 			}
 		}
 		g.mu.Lock()
-		g.plan(g.ck.Now())
+		g.runPlan(g.clock.Now())
 		g.mu.Unlock()
 		drain()
 		s.settle(g)
@@ -952,7 +952,7 @@
 		s.submit(n, spec("j-4", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 2, 0.5 }))
 		s.resync(g)
 		g.mu.Lock()
-		g.plan(g.ck.Now())
+		g.runPlan(g.clock.Now())
 		g.mu.Unlock()
 		drain()
 		s.settle(g)
@@ -990,7 +990,7 @@
 func TestCutLeaderWhileJobsAreCancelledThroughTheNewOne(t *testing.T) {
 	s := newSite(t)
 	a, b := s.node(nil), s.node(nil)
-	a.links["node-2"], a.relays["node-2"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
+	a.attestationLinks["node-2"], a.relayLinks["node-2"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
 	a.users.Relay = a.relay
 	ga, _ := s.elect(a)
 	w := s.worker("n-1", "x", true)
@@ -1054,9 +1054,9 @@
 			}
 			heartbeat(t, g, w)
 			g.mu.Lock()
-			wr := g.collect() // about to be recorded
+			wr := g.buildTransaction() // about to be recorded
 			g.mu.Unlock()
-			if wr == nil || len(wr.over) != 1 {
+			if wr == nil || len(wr.finished) != 1 {
 				t.Fatal("the end is not to be recorded")
 			}
 			want, other := wire.JobCancelled, wire.JobDone
@@ -1065,14 +1065,14 @@
 			}
 			switch first {
 			case "end":
-				g.record(t.Context(), wr)
+				g.commit(t.Context(), wr)
 			case "cancel":
 			default:
 				once := false
 				s.state.Before(func(path string) {
 					if path == wire.PathCommit && !once {
 						once = true
-						g.record(t.Context(), wr)
+						g.commit(t.Context(), wr)
 					}
 				})
 			}
@@ -1080,7 +1080,7 @@
 				t.Errorf("%s first: the cancel is answered %q", first, v.Status)
 			}
 			if first == "cancel" {
-				g.record(t.Context(), wr)
+				g.commit(t.Context(), wr)
 			}
 			s.told(first+" first", s.asks(nodes, "j-1", true), want)
 			s.resync(g)
@@ -1107,7 +1107,7 @@
 	s.settle(g)
 	stop()
 	g, _ = s.elect(b)
-	g.op.Fleet.Enabled = false // nothing is returned: only the worker itself proves
+	g.operator.Fleet.Enabled = false // nothing is returned: only the worker itself proves
 	w.Unreachable(true)
 	for range 10 {
 		s.advance(3 * time.Second)
@@ -1143,7 +1143,7 @@
 	s.resync(g)
 	s.settle(g)
 	ends := map[int]string{1: "j-1/0", 3: "j-2/0", 5: "j-2/1", 7: "j-1/1", 9: "j-2/2"}
-	last := g.r.Token
+	last := g.term.Token
 	for k := 1; k <= 10; k++ {
 		if p := ends[k]; p != "" {
 			w.End(p, wire.CauseDone)
@@ -1166,10 +1166,10 @@
 		s.state.Refuse("", false)
 		s.clk.Advance(6 * time.Second) // what could not be dropped lapses
 		g, stop = s.elect(nodes[k%2])
-		if g.r.Token <= last {
-			t.Fatalf("token %d after %d", g.r.Token, last)
+		if g.term.Token <= last {
+			t.Fatalf("token %d after %d", g.term.Token, last)
 		}
-		last = g.r.Token
+		last = g.term.Token
 		heartbeat(t, g, w)
 		s.settle(g)
 		want := map[string]string{"j-1": wire.JobQueued, "j-2": wire.JobQueued}
@@ -1289,7 +1289,7 @@
 	}
 	// One with some of the array is gone, and the zone has no room for that.
 	lost := slices.IndexFunc(here, func(w *standin.Worker) bool { return startsOf([]*standin.Worker{w}, "j-2") > 0 })
-	g.giveBack(t.Context(), []string{here[lost].Beats.Machine})
+	g.returnMachines(t.Context(), []string{here[lost].Beats.Machine})
 	for _, w := range here {
 		w.Unreachable(true)
 	}
@@ -1396,7 +1396,7 @@
 			ready, done := make(chan lead.Term, 1), make(chan struct{})
 			go func() {
 				defer close(done)
-				a.el.Run(ctx, func(ctx context.Context, r lead.Term) { ready <- r; <-ctx.Done() })
+				a.elector.Run(ctx, func(ctx context.Context, r lead.Term) { ready <- r; <-ctx.Done() })
 			}()
 			for s.state.Lost() == 0 && s.state.Late() == 0 {
 				runtime.Gosched()
@@ -1409,7 +1409,7 @@
 			if err := s.clk.BlockUntilContext(t.Context(), 1); err != nil {
 				t.Fatal(err)
 			}
-			if _, ok := a.el.MayAnswerHeartbeats(); ok {
+			if _, ok := a.elector.MayAnswerHeartbeats(); ok {
 				t.Error("answers workers under a lead that it does not know to have")
 			}
 			s.clk.Advance(500 * time.Millisecond)
@@ -1420,10 +1420,10 @@
 				t.Fatalf("leads under %d, on record are %d, %d before, and %q", r.Token, token(), before, key.Node)
 			}
 			tr.set(s.state)
-			if _, err := a.el.RaiseToken(t.Context()); (err == nil) != (tr.name == "answer lost") {
+			if _, err := a.elector.RaiseToken(t.Context()); (err == nil) != (tr.name == "answer lost") {
 				t.Errorf("raise: %v", err)
 			}
-			if now, ok := a.el.MayAnswerHeartbeats(); !ok || now != token() {
+			if now, ok := a.elector.MayAnswerHeartbeats(); !ok || now != token() {
 				t.Errorf("answers under %d, on record is %d", now, token())
 			}
 			cancel()
@@ -1431,8 +1431,8 @@
 			before = token()
 			g, _ := s.elect(b)
 			s.state.Deliver() // the predecessor's raise
-			if g.r.Token <= before || g.r.Token != token() {
-				t.Errorf("the next leads under %d, on record are %d, and %d before", g.r.Token, token(), before)
+			if g.term.Token <= before || g.term.Token != token() {
+				t.Errorf("the next leads under %d, on record are %d, and %d before", g.term.Token, token(), before)
 			}
 		})
 	}
@@ -1456,9 +1456,9 @@
 		}
 		heartbeat(t, g, w)
 		g.mu.Lock()
-		wr := g.collect()
+		wr := g.buildTransaction()
 		g.mu.Unlock()
-		if wr == nil || len(wr.over) != 1 || !g.record(t.Context(), wr) {
+		if wr == nil || len(wr.finished) != 1 || !g.commit(t.Context(), wr) {
 			t.Fatal("the end was not recorded")
 		}
 		stop()
--- a/model_test.go
+++ b/model_test.go
@@ -596,7 +596,7 @@
 		return 0, nil, errLost
 	}
 	rec := httptest.NewRecorder()
-	p.front.ServeHTTP(rec, httptest.NewRequestWithContext(ctx, method, path, bytes.NewReader(body)))
+	p.router.ServeHTTP(rec, httptest.NewRequestWithContext(ctx, method, path, bytes.NewReader(body)))
 	if w.running(p.name) != p {
 		return 0, nil, errLost // killed as it answered
 	}
@@ -768,8 +768,8 @@
 // token is what the leader was given when it took the lead, or 0.
 func (w *world) token() uint64 {
 	if p := w.running(fmt.Sprintf("node-%d", w.leader()+1)); p != nil {
-		if g := p.term.Load(); g != nil {
-			return g.r.Token
+		if g := p.current.Load(); g != nil {
+			return g.term.Token
 		}
 	}
 	return 0
@@ -825,7 +825,7 @@
 			return records, err
 		}
 	}
-	n.front.Post(wire.PathHeartbeat, agent.ServeHeartbeat(n, func() bool { return false }))
+	n.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(n, func() bool { return false }))
 	ctx, cancel := context.WithCancel(w.ctx)
 	p := &process{Service: n, name: name}
 	p.stop = func() {
@@ -837,7 +837,7 @@
 	}
 	back := w.net.Listen(cfg.Back)
 	w.wg.Go(func() { peer.Serve(ctx, back, n.answerPeer, n.log) })
-	w.wg.Go(func() { n.el.Run(ctx, n.lead) })
+	w.wg.Go(func() { n.elector.Run(ctx, n.serveTerm) })
 	w.mu.Lock()
 	w.nodes = append(w.nodes, p)
 	w.mu.Unlock()
@@ -1027,7 +1027,7 @@
 func (w *world) leader() int {
 	for i := range 3 {
 		if p := w.running(fmt.Sprintf("node-%d", i+1)); p != nil {
-			if _, ok := p.el.HoldsLease(); ok {
+			if _, ok := p.elector.HoldsLease(); ok {
 				return i
 			}
 		}
@@ -1358,7 +1358,7 @@
 	if p == nil {
 		return "nobody leads"
 	}
-	g := p.term.Load()
+	g := p.current.Load()
 	if g == nil {
 		return "nobody leads"
 	}
@@ -1373,11 +1373,11 @@
 	}
 	rec, token := store.TokenRecord{}, uint64(0)
 	w.state.Value(store.KeyToken, &rec)
-	token, _ = g.el.HoldsLease()
+	token, _ = g.elector.HoldsLease()
 	text += fmt.Sprintf("token %d, on record %d; ", token, rec.Token)
-	for _, m := range g.fl.Machines() {
+	for _, m := range g.fleet.Machines() {
 		text += fmt.Sprintf("\n%s %s %s cores %v banned %q cordoned %v usable %v tally %d token %d unheard %d;", m.Name, m.Type, m.Zone, m.UsedCores, m.QuarantineReason, m.Cordoned,
-			g.usable(m, g.ck.Now()), m.Sequence, m.Token, m.Unacknowledged)
+			g.usable(m, g.clock.Now()), m.Sequence, m.Token, m.Unacknowledged)
 		m.EachAllocation(func(b *fleet.Allocation) { text += fmt.Sprintf("\n  %v#%d %+v", b.Task, b.Attempt, *b) })
 	}
 	return text
--- a/operators.go
+++ b/operators.go
@@ -21,62 +21,62 @@
 // How often a controller that serves operators looks at the leader's reports, so that it
 // can tell what they were when nobody leads, and how long one answer of the leader may take.
 const (
-	refreshEvery = 5 * clock.Second
-	askTimeout   = time.Second
+	reportRefreshInterval = 5 * clock.Second
+	reportTimeout         = time.Second
 )
 
 var (
-	// errNoView means that this controller has never seen a leader's report.
-	errNoView = errors.New("no leader has been heard since this controller started")
+	// errNoReport means that this controller has never seen a leader's report.
+	errNoReport = errors.New("no leader has been heard since this controller started")
 	// errNoLeader means that no controller is known to lead, or the one that is does not answer as leader.
 	errNoLeader = errors.New("nobody leads")
 )
 
-// leadersReport is a kind of report that only a leader can make, and the last one that this
+// leaderReport is a kind of report that only a leader can make, and the last one that this
 // controller has seen.
-type leadersReport[T any] struct {
+type leaderReport[T any] struct {
 	read func(ctx context.Context) (T, error)
-	// mark notes in a report who shows it and how old it is.
-	mark func(report *T, node string, fresh bool, ageS float64)
+	// annotate notes in a report who shows it and how old it is.
+	annotate func(report *T, node string, fresh bool, ageS float64)
 
 	mu     sync.Mutex // guards the fields below
 	report T
-	at     clock.Micros
+	readAt clock.Micros
 	seen   bool
 }
 
 // get gives the report as the leader has it now or, where no leader answers, as this
 // controller saw it last.
-func (r *leadersReport[T]) get(ctx context.Context, s *Service) (report T, err error) {
+func (r *leaderReport[T]) get(ctx context.Context, s *Service) (report T, err error) {
 	if report, err = r.refresh(ctx, s); err == nil {
-		r.mark(&report, s.cfg.Node, true, 0)
+		r.annotate(&report, s.cfg.Node, true, 0)
 		return report, nil
 	}
 	s.log.Debug("the leader's report can't be read", "error", err)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.seen {
-		return report, errNoView
+		return report, errNoReport
 	}
 	report = r.report
-	r.mark(&report, s.cfg.Node, false, (s.ck.Now() - r.at).Seconds())
+	r.annotate(&report, s.cfg.Node, false, (s.clock.Now() - r.readAt).Seconds())
 	return report, nil
 }
 
 // refresh reads the leader's report and keeps it.
-func (r *leadersReport[T]) refresh(ctx context.Context, s *Service) (T, error) {
+func (r *leaderReport[T]) refresh(ctx context.Context, s *Service) (T, error) {
 	report, err := r.read(ctx)
 	if err != nil {
 		return report, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.report, r.at, r.seen = report, s.ck.Now(), true
+	r.report, r.readAt, r.seen = report, s.clock.Now(), true
 	return report, nil
 }
 
 // handler serves the report.
-func (r *leadersReport[T]) handler(s *Service) http.HandlerFunc {
+func (r *leaderReport[T]) handler(s *Service) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		report, err := r.get(req.Context(), s)
 		w.Header().Set("Content-Type", "application/json")
@@ -91,18 +91,18 @@
 
 // reports are what a controller shows operators of the leader.
 type reports struct {
-	teams    leadersReport[quota.Report]
-	recovery leadersReport[recovery.Report]
+	teams    leaderReport[quota.Report]
+	recovery leaderReport[recovery.Report]
 }
 
 // wireReports makes the reports' sources.
 func (s *Service) wireReports() {
-	s.reports.teams.read = s.leadersTeams
-	s.reports.teams.mark = func(r *quota.Report, node string, fresh bool, ageS float64) {
+	s.reports.teams.read = s.leaderTeams
+	s.reports.teams.annotate = func(r *quota.Report, node string, fresh bool, ageS float64) {
 		r.Node, r.Fresh, r.AgeS = node, fresh, ageS
 	}
-	s.reports.recovery.read = s.leadersRecovery
-	s.reports.recovery.mark = func(r *recovery.Report, node string, fresh bool, ageS float64) {
+	s.reports.recovery.read = s.leaderRecovery
+	s.reports.recovery.annotate = func(r *recovery.Report, node string, fresh bool, ageS float64) {
 		r.Node, r.Fresh, r.AgeS = node, fresh, ageS
 	}
 }
@@ -130,7 +130,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.ck.After(refreshEvery.Duration()):
+		case <-s.clock.After(reportRefreshInterval.Duration()):
 		}
 	}
 }
@@ -138,16 +138,16 @@
 // operators serves what operators ask for: figures and the leader's reports.
 func (s *Service) operators() http.Handler {
 	r := chi.NewRouter()
-	r.Mount("/", s.met.Handler())
+	r.Mount("/", s.metrics.Handler())
 	r.Get(operator.PathTeams, s.reports.teams.handler(s))
 	r.Get(operator.PathRecovery, s.reports.recovery.handler(s))
 	return r
 }
 
-// leadersRecovery reads how far the leader has taken over, here or at the controller that leads.
-func (s *Service) leadersRecovery(ctx context.Context) (r recovery.Report, err error) {
-	leader := s.el.Leader()
-	if g := s.term.Load(); g != nil {
+// leaderRecovery reads how far the leader has taken over, here or at the controller that leads.
+func (s *Service) leaderRecovery(ctx context.Context) (r recovery.Report, err error) {
+	leader := s.elector.Leader()
+	if g := s.current.Load(); g != nil {
 		r, known := g.recoveryReport()
 		if !known {
 			return r, errNoLeader
@@ -155,11 +155,11 @@
 		r.Leader = s.cfg.Node
 		return r, nil
 	}
-	link := s.relays[leader]
+	link := s.relayLinks[leader]
 	if link == nil {
 		return r, errNoLeader
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	reply, err := link.Ask(ctx, peer.Ask{Report: peer.ReportRecovery})
 	if err != nil {
@@ -175,9 +175,9 @@
 	return r, nil
 }
 
-// reportFor answers another controller that serves operators: with nothing, unless this one leads.
-func (s *Service) reportFor(kind string) []byte {
-	g := s.term.Load()
+// encodedReport answers another controller that serves operators: with nothing, unless this one leads.
+func (s *Service) encodedReport(kind string) []byte {
+	g := s.current.Load()
 	if g == nil || kind != peer.ReportRecovery {
 		return nil
 	}
--- a/quota_test.go
+++ b/quota_test.go
@@ -15,7 +15,7 @@
 )
 
 // ledWork is a platform whose first leader has placed what it could of a job.
-func ledWork(t *testing.T, n *Service, s *site, tasks int) (g *term, w *standin.Worker, stop func()) {
+func ledWork(t *testing.T, n *Service, s *site, tasks int) (g *leader, w *standin.Worker, stop func()) {
 	t.Helper()
 	g, stop = s.elect(n)
 	w = s.worker("n-1", "x", true)
@@ -39,9 +39,9 @@
 	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(ga)
 	ga.mu.Lock()
-	ga.plan(ga.ck.Now())
+	ga.runPlan(ga.clock.Now())
 	reserved := ga.quota.Usage("team").Of(quota.Booked)
-	held := ga.collect()
+	held := ga.buildTransaction()
 	ga.mu.Unlock()
 	if reserved.Tasks != 2 || held == nil {
 		t.Fatalf("reserved %+v, want the team's whole room", reserved)
@@ -53,7 +53,7 @@
 	if got := other.Live(); len(got) != 2 {
 		t.Fatalf("the successor's tasks: %v", got)
 	}
-	if ga.record(t.Context(), held) {
+	if ga.commit(t.Context(), held) {
 		t.Error("the paused leader's record passes for durable")
 	}
 	ga.dispatch(t.Context())
@@ -109,7 +109,7 @@
 	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Preemptible = false }))
 	stop()
 	gb, _ := s.elect(b)
-	b.term.Store(gb)
+	b.current.Store(gb)
 	if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs, spec("j-2", nil)); code != http.StatusUnprocessableEntity {
 		t.Errorf("a task of 2 cores under a limit of 1: status %d, want 422", code)
 	}
@@ -117,7 +117,7 @@
 		t.Errorf("the accepted job: %d %+v", code, v)
 	}
 	gb.mu.Lock()
-	need, bound := gb.demand(gb.ck.Now()), gb.bound(nil)
+	need, bound := gb.demand(gb.clock.Now()), gb.constrainedWork(nil)
 	gb.mu.Unlock()
 	if need.OnDemand.Cores > 0 || need.Preemptible.Cores > 0 || len(bound) > 0 {
 		t.Errorf("machines are wanted for what may not run: %+v, %+v", need, bound)
--- a/record.go
+++ b/record.go
@@ -14,132 +14,134 @@
 	"cedardoor/wire"
 )
 
-// maxTxn keeps a transaction well under the service's 64 KiB.
-const maxTxn = 44 << 10
+// maxTransactionBytes keeps a transaction well under the service's 64 KiB.
+const maxTransactionBytes = 44 << 10
 
-// write is one transaction and what it makes durable.
-type write struct {
+// transaction is one transaction and what it makes durable.
+type transaction struct {
 	txn           wire.Txn
 	size          int
 	nonce         string
-	chunks        []written
-	over          []*job
-	gone          []*job
+	chunks        []chunkWrite
+	finished      []*Job
+	deleted       []*Job
 	moved         []*finalMove
-	sharedRecords map[*sharedRecord]bool
+	sharedRecords map[*SharedRecord]bool
 }
 
-type written struct {
-	c        *chunk
+type chunkWrite struct {
+	chunk    *Chunk
 	key      string
-	j        *job          // whose tasks it holds, or
-	shared   *sharedRecord // the record that it is of
-	seq      uint64
-	recorded []*fleet.Allocation
+	job      *Job          // whose tasks it holds, or
+	shared   *SharedRecord // the record that it is of
+	version  uint64
+	attempts []*fleet.Allocation
 	ended    []*fleet.Allocation
 	deleted  bool
 }
 
-// sharedRecord is a record that the single tasks of many jobs share.
-type sharedRecord struct {
-	chunk
-	key  string
-	n    int               // jobs ever put into it
-	jobs []*job            // those that are in it still
-	kept []store.SharedRow // of jobs whose own record can't be used
+// SharedRecord is a record that the single tasks of many jobs share.
+type SharedRecord struct {
+	Chunk
+	key      string
+	jobCount int               // jobs ever put into it
+	jobs     []*Job            // those that are in it still
+	keptRows []store.SharedRow // of jobs whose own record can't be used
 }
 
 // finalMove is a job that is done and has yet to move to where final states are kept.
 type finalMove struct {
-	uid    string
-	stamp  uint64
-	rec    store.FinalRecord
-	shared *sharedRecord // with a row of it, if any
+	uid         string
+	modRevision uint64
+	record      store.FinalRecord
+	shared      *SharedRecord // with a row of it, if any
 }
 
-// single tells whether a job's only task is recorded with those of other jobs.
-func (j *job) single() bool { return len(j.tasks) == 1 && !j.standing() && !j.group() }
+// sharesRecord tells whether a job's only task is recorded with those of other jobs.
+func (j *Job) sharesRecord() bool { return len(j.tasks) == 1 && !j.isService() && !j.isGang() }
 
 // joinShared finds a job a record for its only task's attempts. The caller holds mu.
-func (g *term) joinShared(j *job) {
-	if g.shared == nil || g.closed(g.shared) {
+func (g *leader) joinShared(j *Job) {
+	if g.openShared == nil || g.sharedIsFull(g.openShared) {
 		g.sharedCount++
-		g.shared = &sharedRecord{key: store.SharedKey(g.r.Revision, g.sharedCount)}
+		g.openShared = &SharedRecord{key: store.SharedKey(g.term.Revision, g.sharedCount)}
 	}
-	j.shared = g.shared
-	j.shared.n++
+	j.shared = g.openShared
+	j.shared.jobCount++
 	j.shared.jobs = append(j.shared.jobs, j)
 }
 
-// closed tells whether a shared record takes no more jobs: its first write is
+// sharedIsFull tells whether a shared record takes no more jobs: its first write is
 // conditional on each of them.
-func (g *term) closed(s *sharedRecord) bool {
-	return s != g.shared || s.n >= min(store.JobsPerSharedRecord, 4*g.cfg.Facts.State.TxnOps-8)
+func (g *leader) sharedIsFull(s *SharedRecord) bool {
+	return s != g.openShared || s.jobCount >= min(store.JobsPerSharedRecord, 4*g.cfg.Facts.State.TxnOps-8)
 }
 
 // leaveShared takes a job of which nothing may be anywhere any more out of its
 // record, which is written again when there are changes to spare. The caller holds mu.
-func (g *term) leaveShared(j *job) {
+func (g *leader) leaveShared(j *Job) {
 	s := j.shared
 	if s == nil {
 		return
 	}
 	if i := slices.Index(s.jobs, j); i >= 0 {
 		s.jobs = slices.Delete(s.jobs, i, i+1)
-		s.seq++
+		s.version++
 	}
 	j.shared = nil
-	if s.stamp > 0 {
-		g.untidy[s] = true
+	if s.modRevision > 0 {
+		g.staleShared[s] = true
 	}
 }
 
-// atLeast is how many changes a transaction of what can wait may hold when there
+// minDeferredOperations is how many changes a transaction of what can wait may hold when there
 // is none to spare.
-const atLeast = 4
+const minDeferredOperations = 4
 
-// urgency orders what is to be recorded: placements and ends by priority, then what
+// recordPriority orders what is to be recorded: placements and ends by priority, then what
 // is left of jobs that are over.
-func (g *term) urgency(uid string) int {
+func (g *leader) recordPriority(uid string) int {
 	j := g.jobs[uid]
 	switch {
 	case j == nil || j.cancelled:
 		return -1
-	case j.standing():
+	case j.isService():
 		return int(wire.PriorityCritical)
 	}
 	return int(j.priority)
 }
 
-// collect builds the next transaction from what has changed; nil when nothing
+// buildTransaction builds the next transaction from what has changed; nil when nothing
 // has. What can wait, low work's records and what is left of jobs that are over,
 // takes only changes that are to spare, or few: a full transaction of it would
 // keep the next urgent one waiting for as long as the service takes for it. The
 // caller holds mu.
-func (g *term) collect() *write {
+func (g *leader) buildTransaction() *transaction {
 	// Results are recorded together with others, and give way to placements.
-	now := g.ck.Now()
+	now := g.clock.Now()
 	var due []string
-	for uid, at := range g.lazy {
+	for uid, at := range g.pendingResults {
 		if at <= now {
 			due = append(due, uid)
 		}
 	}
 	room := g.cfg.Facts.State.TxnOps / 2
-	slices.SortFunc(due, func(a, b string) int { return cmp.Or(cmp.Compare(g.lazy[a], g.lazy[b]), cmp.Compare(a, b)) })
+	slices.SortFunc(due, func(a, b string) int {
+		return cmp.Or(cmp.Compare(g.pendingResults[a], g.pendingResults[b]), cmp.Compare(a, b))
+	})
 	for _, uid := range due {
-		if room--; room < 0 || len(g.dirty) > 0 && g.lazy[uid]+g.resultsWithin() > now {
+		if room--; room < 0 || len(g.dirty) > 0 && g.pendingResults[uid]+g.resultDelay() > now {
 			break
 		}
-		delete(g.lazy, uid)
+		delete(g.pendingResults, uid)
 		g.dirty[uid] = true
 	}
-	g.seq++
-	w := &write{nonce: fmt.Sprintf("%d.%d", g.r.Revision, g.seq), sharedRecords: map[*sharedRecord]bool{}}
-	w.txn.Conditions = []wire.Condition{{Key: store.KeyLead, ModRevision: g.r.Revision}}
-	spare, all := max(atLeast, g.st.SpareWrites()), g.cfg.Facts.State.TxnOps
-	if g.careful > 0 {
-		g.careful--
+	g.writeSequence++
+	w := &transaction{nonce: fmt.Sprintf("%d.%d", g.term.Revision, g.writeSequence), sharedRecords: map[*SharedRecord]bool{}}
+	w.txn.Conditions = []wire.Condition{{Key: store.KeyLead, ModRevision: g.term.Revision}}
+	spare, all := max(minDeferredOperations, g.store.SpareWrites()), g.cfg.Facts.State.TxnOps
+	if g.smallTransactions > 0 {
+		g.smallTransactions--
 		spare, all = 1, 1
 	}
 	uids := make([]string, 0, len(g.dirty))
@@ -147,7 +149,7 @@
 		uids = append(uids, uid)
 	}
 	slices.SortFunc(uids, func(a, b string) int {
-		return cmp.Or(cmp.Compare(g.urgency(b), g.urgency(a)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(g.recordPriority(b), g.recordPriority(a)), cmp.Compare(a, b))
 	})
 	for _, uid := range uids {
 		j := g.jobs[uid]
@@ -156,36 +158,36 @@
 			continue
 		}
 		most := all
-		if g.urgency(uid) < int(wire.PriorityStandard) {
+		if g.recordPriority(uid) < int(wire.PriorityStandard) {
 			most = min(most, spare)
 		}
-		if len(w.txn.Operations) >= most || w.size > maxTxn || len(w.txn.Conditions)+2 > 4*g.cfg.Facts.State.TxnOps {
+		if len(w.txn.Operations) >= most || w.size > maxTransactionBytes || len(w.txn.Conditions)+2 > 4*g.cfg.Facts.State.TxnOps {
 			break
 		}
 		clean := true
 		switch {
 		case j.cancelled:
-			clean = g.collectGone(w, j, most)
-		case j.done == len(j.tasks) && !j.standing():
-			g.collectOver(w, j)
+			clean = g.addDeletions(w, j, most)
+		case j.done == len(j.tasks) && !j.isService():
+			g.addFinished(w, j)
 		case j.shared != nil:
-			clean = g.collectShared(w, j.shared)
+			clean = g.addShared(w, j.shared)
 		default:
 			before := len(w.txn.Operations)
 			for n := range j.chunks {
 				c := &j.chunks[n]
-				if c.seq == c.saved || c.unreadable > 0 {
+				if c.version == c.savedVersion || c.unreadable > 0 {
 					continue
 				}
-				if len(w.txn.Operations) >= most || w.size > maxTxn || len(w.txn.Conditions)+2 > 4*g.cfg.Facts.State.TxnOps {
+				if len(w.txn.Operations) >= most || w.size > maxTransactionBytes || len(w.txn.Conditions)+2 > 4*g.cfg.Facts.State.TxnOps {
 					clean = false
 					break
 				}
-				g.collectChunk(w, j, n)
+				g.addChunk(w, j, n)
 			}
 			if len(w.txn.Operations) > before {
 				// Only with a change of its own: conditions are limited, too.
-				w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(uid), ModRevision: j.stamp})
+				w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(uid), ModRevision: j.modRevision})
 			}
 		}
 		if clean {
@@ -193,7 +195,7 @@
 		}
 	}
 	if len(w.txn.Operations) == 0 {
-		g.collectMoves(w)
+		g.addFinalMoves(w)
 	}
 	if len(w.txn.Operations) == 0 {
 		return nil
@@ -201,52 +203,52 @@
 	return w
 }
 
-func (g *term) collectChunk(w *write, j *job, n int) {
+func (g *leader) addChunk(w *transaction, j *Job, n int) {
 	c := &j.chunks[n]
 	base := n * store.TasksPerChunk
 	end := min(base+store.TasksPerChunk, len(j.tasks))
 	done := make([]bool, end-base)
 	var runs []store.TaskAttempt
-	wr := written{c: c, key: store.ChunkKey(j.uid, n), j: j, seq: c.seq, ended: c.ending}
-	c.ending = nil
+	wr := chunkWrite{chunk: c, key: store.ChunkKey(j.uid, n), job: j, version: c.version, ended: c.endedAttempts}
+	c.endedAttempts = nil
 	for i := base; i < end; i++ {
 		pc := &j.tasks[i]
 		switch {
 		case pc.state == taskDone:
 			done[i-base] = true
-		case pc.booking != nil:
-			runs = append(runs, store.TaskAttempt{Index: i - base, Attempt: pc.attempt, Machine: pc.booking.Machine.Name, Incarnation: pc.booking.Incarnation})
-			if !pc.booking.Durable {
-				wr.recorded = append(wr.recorded, pc.booking)
+		case pc.allocation != nil:
+			runs = append(runs, store.TaskAttempt{Index: i - base, Attempt: pc.attempt, Machine: pc.allocation.Machine.Name, Incarnation: pc.allocation.Incarnation})
+			if !pc.allocation.Durable {
+				wr.attempts = append(wr.attempts, pc.allocation)
 			}
 		case pc.attempt > 0:
 			runs = append(runs, store.TaskAttempt{Index: i - base, Attempt: pc.attempt})
 		}
 	}
-	w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: wr.key, ModRevision: c.stamp})
+	w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: wr.key, ModRevision: c.modRevision})
 	w.txn.Operations = append(w.txn.Operations, wire.Operation{Set: wr.key, Value: store.NewChunkRecord(w.nonce, done, runs)})
 	w.chunks = append(w.chunks, wr)
 	w.size += 200 + 36*len(runs)
 }
 
-// collectShared records what has changed of the single tasks that share a record,
+// addShared records what has changed of the single tasks that share a record,
 // once in a transaction; false when it has no room for all that this takes. Each
 // attempt that becomes durable by it is conditional on its own job, as always.
-func (g *term) collectShared(w *write, s *sharedRecord) bool {
-	if s.seq == s.saved || w.sharedRecords[s] {
+func (g *leader) addShared(w *transaction, s *SharedRecord) bool {
+	if s.version == s.savedVersion || w.sharedRecords[s] {
 		return true
 	}
-	wr := written{c: &s.chunk, key: s.key, shared: s, seq: s.seq, ended: s.ending}
-	rec := store.SharedRecord{Nonce: w.nonce, Rows: append([]store.SharedRow{}, s.kept...)}
-	when := []wire.Condition{{Key: s.key, ModRevision: s.stamp}}
+	wr := chunkWrite{chunk: &s.Chunk, key: s.key, shared: s, version: s.version, ended: s.endedAttempts}
+	rec := store.SharedRecord{Nonce: w.nonce, Rows: append([]store.SharedRow{}, s.keptRows...)}
+	when := []wire.Condition{{Key: s.key, ModRevision: s.modRevision}}
 	for _, j := range s.jobs {
 		pc := &j.tasks[0]
 		switch {
-		case pc.booking != nil:
-			rec.Rows = append(rec.Rows, store.SharedRow{UID: j.uid, Attempt: pc.attempt, Machine: pc.booking.Machine.Name, Incarnation: pc.booking.Incarnation})
-			if !pc.booking.Durable && !j.cancelled {
-				wr.recorded = append(wr.recorded, pc.booking)
-				when = append(when, wire.Condition{Key: store.JobKey(j.uid), ModRevision: j.stamp})
+		case pc.allocation != nil:
+			rec.Rows = append(rec.Rows, store.SharedRow{UID: j.uid, Attempt: pc.attempt, Machine: pc.allocation.Machine.Name, Incarnation: pc.allocation.Incarnation})
+			if !pc.allocation.Durable && !j.cancelled {
+				wr.attempts = append(wr.attempts, pc.allocation)
+				when = append(when, wire.Condition{Key: store.JobKey(j.uid), ModRevision: j.modRevision})
 			}
 		case pc.attempt > 0:
 			rec.Rows = append(rec.Rows, store.SharedRow{UID: j.uid, Attempt: pc.attempt})
@@ -256,9 +258,9 @@
 		return false
 	}
 	w.sharedRecords[s] = true
-	s.ending = nil
+	s.endedAttempts = nil
 	w.txn.Conditions = append(w.txn.Conditions, when...)
-	if len(rec.Rows) == 0 && g.closed(s) && s.stamp > 0 {
+	if len(rec.Rows) == 0 && g.sharedIsFull(s) && s.modRevision > 0 {
 		wr.deleted = true
 		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: s.key})
 	} else {
@@ -269,63 +271,63 @@
 	return true
 }
 
-// collectOver calls a job done, in its own record: one change, however many
+// addFinished calls a job done, in its own record: one change, however many
 // come at a time. It moves to its final place later.
-func (g *term) collectOver(w *write, j *job) {
+func (g *leader) addFinished(w *transaction, j *Job) {
 	rec := store.NewFinalRecord(&j.spec, wire.JobDone, w.nonce)
-	w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(j.uid), ModRevision: j.stamp})
+	w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(j.uid), ModRevision: j.modRevision})
 	w.txn.Operations = append(w.txn.Operations, wire.Operation{Set: store.JobKey(j.uid),
-		Value: store.JobRecord{Spec: wire.Spec{UID: j.uid}, AcceptedUS: j.at, Final: &rec}})
-	w.over = append(w.over, j)
+		Value: store.JobRecord{Spec: wire.Spec{UID: j.uid}, AcceptedUS: j.acceptedAt, Final: &rec}})
+	w.finished = append(w.finished, j)
 	w.size += 300
 }
 
-// finalMovesAt is how many changes must be to spare for jobs that are done to move
+// finalMoveSpare is how many changes must be to spare for jobs that are done to move
 // to their final place, and manyFinalMoves how many of them make it pressing: a new
 // leader reads them with the unfinished ones.
 const (
-	finalMovesAt   = 12
-	manyFinalMoves = 2000
+	finalMoveSpare       = 12
+	maxPendingFinalMoves = 2000
 )
 
-// collectMoves moves jobs that are done to their final place, and writes the
+// addFinalMoves moves jobs that are done to their final place, and writes the
 // records again that hold rows of them, when nothing else is to be recorded.
-func (g *term) collectMoves(w *write) {
-	spare := min(g.cfg.Facts.State.TxnOps, g.st.SpareWrites())
-	if (spare < min(finalMovesAt, g.cfg.Facts.State.TxnOps) || g.st.Overloaded()) && len(g.finalMoves) < manyFinalMoves {
+func (g *leader) addFinalMoves(w *transaction) {
+	spare := min(g.cfg.Facts.State.TxnOps, g.store.SpareWrites())
+	if (spare < min(finalMoveSpare, g.cfg.Facts.State.TxnOps) || g.store.Overloaded()) && len(g.finalMoves) < maxPendingFinalMoves {
 		return
 	}
 	for len(g.finalMoves) > 0 && len(w.txn.Operations)+3 <= max(3, spare) && len(w.txn.Conditions) < 3*g.cfg.Facts.State.TxnOps {
 		f := g.finalMoves[0]
 		g.finalMoves = g.finalMoves[1:]
 		// A row that outlived its job's record would have to be looked up by a new leader.
-		if f.shared != nil && f.shared.stamp > 0 {
-			if !g.collectShared(w, f.shared) {
+		if f.shared != nil && f.shared.modRevision > 0 {
+			if !g.addShared(w, f.shared) {
 				g.finalMoves = append(g.finalMoves, f)
 				break
 			}
-			delete(g.untidy, f.shared)
+			delete(g.staleShared, f.shared)
 		}
-		w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(f.uid), ModRevision: f.stamp})
-		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: store.JobKey(f.uid)}, wire.Operation{Set: store.FinalKey(f.uid), Value: f.rec})
+		w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(f.uid), ModRevision: f.modRevision})
+		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: store.JobKey(f.uid)}, wire.Operation{Set: store.FinalKey(f.uid), Value: f.record})
 		w.moved = append(w.moved, f)
 	}
-	for s := range g.untidy {
+	for s := range g.staleShared {
 		if len(w.txn.Operations) >= spare {
 			break
 		}
-		if !g.collectShared(w, s) {
+		if !g.addShared(w, s) {
 			break
 		}
-		delete(g.untidy, s)
+		delete(g.staleShared, s)
 	}
 }
 
-// collectGone deletes a cancelled job's records once none of its tasks can
+// addDeletions deletes a cancelled job's records once none of its tasks can
 // exist any more; false while some may.
-func (g *term) collectGone(w *write, j *job, most int) bool {
+func (g *leader) addDeletions(w *transaction, j *Job, most int) bool {
 	for i := range j.tasks {
-		if j.tasks[i].booking != nil {
+		if j.tasks[i].allocation != nil {
 			return true // its end will mark the job again
 		}
 	}
@@ -333,7 +335,7 @@
 		return true // so will the end of the doubt about its tasks
 	}
 	for n := range j.chunks {
-		if j.chunks[n].stamp == 0 {
+		if j.chunks[n].modRevision == 0 {
 			continue
 		}
 		if len(w.txn.Operations) >= most {
@@ -341,33 +343,33 @@
 		}
 		key := store.ChunkKey(j.uid, n)
 		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: key})
-		w.chunks = append(w.chunks, written{c: &j.chunks[n], key: key, j: j, deleted: true})
+		w.chunks = append(w.chunks, chunkWrite{chunk: &j.chunks[n], key: key, job: j, deleted: true})
 	}
 	g.leaveShared(j)
-	if len(w.txn.Operations) == 0 || !slices.ContainsFunc(w.chunks, func(wr written) bool { return wr.j == j }) {
+	if len(w.txn.Operations) == 0 || !slices.ContainsFunc(w.chunks, func(wr chunkWrite) bool { return wr.job == j }) {
 		// Nothing of its own is recorded, or no longer.
 		g.forgetJob(j)
 		return true
 	}
-	w.gone = append(w.gone, j)
+	w.deleted = append(w.deleted, j)
 	return true
 }
 
-// record runs a transaction until its outcome is known, and takes it in. An
+// commit runs a transaction until its outcome is known, and takes it in. An
 // answer that was lost is settled by sending the very same transaction again:
 // its conditions let it be applied once, and its nonce tells whether it was.
 // It gives false when the term is over.
-func (g *term) record(ctx context.Context, w *write) bool {
+func (g *leader) commit(ctx context.Context, w *transaction) bool {
 	pause := 100 * clock.Millisecond
 	for ctx.Err() == nil {
-		epoch, err := g.st.Commit(ctx, store.Urgent, w.txn)
+		epoch, err := g.store.Commit(ctx, store.Urgent, w.txn)
 		if err == nil {
-			g.applied(w, epoch)
+			g.transactionApplied(w, epoch)
 			return true
 		}
 		var conflict *store.Conflict
 		if errors.As(err, &conflict) {
-			return g.conflict(ctx, w, conflict.Failed)
+			return g.resolveConflict(ctx, w, conflict.Failed)
 		}
 		g.log.Debug("record", "error", err)
 		if errors.Is(err, store.ErrMalformed) {
@@ -375,8 +377,8 @@
 			// small as can be, so that one that is at fault keeps nothing else up for ever.
 			g.log.Error("record refused", "error", err, "changes", len(w.txn.Operations), "conditions", len(w.txn.Conditions))
 			g.mu.Lock()
-			g.careful = carefulFor
-			g.restore(w, nil)
+			g.smallTransactions = smallTransactionsAfterRefusal
+			g.requeue(w, nil)
 			g.mu.Unlock()
 			return ctx.Err() == nil
 		}
@@ -386,96 +388,96 @@
 	return false
 }
 
-// applied notes what has become durable.
-func (g *term) applied(w *write, epoch uint64) {
-	now := g.ck.Now()
+// transactionApplied notes what has become durable.
+func (g *leader) transactionApplied(w *transaction, epoch uint64) {
+	now := g.clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, wr := range w.chunks {
-		c := wr.c
+		c := wr.chunk
 		if wr.deleted {
-			c.stamp, c.saved = 0, wr.seq
+			c.modRevision, c.savedVersion = 0, wr.version
 			continue
 		}
-		c.stamp, c.saved = epoch, wr.seq
-		for _, b := range wr.recorded {
-			g.fl.MarkDurable(b)
-			g.toTell[b.Machine] = true
+		c.modRevision, c.savedVersion = epoch, wr.version
+		for _, b := range wr.attempts {
+			g.fleet.MarkDurable(b)
+			g.urgentMachines[b.Machine] = true
 		}
 		for _, b := range wr.ended {
 			b.ResultDurable = true
 		}
 		switch {
-		case c.seq == c.saved:
+		case c.version == c.savedVersion:
 		case wr.shared != nil:
-			g.againShared(wr.shared)
+			g.markSharedAgain(wr.shared)
 		default:
-			g.again(wr.j, now)
+			g.markJobAgain(wr.job, now)
 		}
 	}
-	for _, j := range w.over {
-		g.finalMoves = append(g.finalMoves, &finalMove{uid: j.uid, stamp: epoch, rec: store.NewFinalRecord(&j.spec, wire.JobDone, w.nonce), shared: j.shared})
-		if j.result != nil {
-			j.result.ResultDurable = true
+	for _, j := range w.finished {
+		g.finalMoves = append(g.finalMoves, &finalMove{uid: j.uid, modRevision: epoch, record: store.NewFinalRecord(&j.spec, wire.JobDone, w.nonce), shared: j.shared})
+		if j.pendingResult != nil {
+			j.pendingResult.ResultDurable = true
 		}
 		for n := range j.chunks {
-			for _, b := range j.chunks[n].ending {
+			for _, b := range j.chunks[n].endedAttempts {
 				b.ResultDurable = true
 			}
-			j.chunks[n].ending = nil
+			j.chunks[n].endedAttempts = nil
 		}
-		g.met.Done(now - j.seen)
+		g.metrics.Done(now - j.seenAt)
 		g.log.Debug("job done", "job", j.uid)
 		// What is left of its records is deleted like a cancelled job's.
 		j.cancelled = true
 		g.dirty[j.uid] = true
 	}
-	for _, j := range w.gone {
+	for _, j := range w.deleted {
 		g.forgetJob(j)
 	}
 }
 
-// againShared does what again does for the jobs of a shared record. The caller holds mu.
-func (g *term) againShared(s *sharedRecord) {
+// markSharedAgain does what again does for the jobs of a shared record. The caller holds mu.
+func (g *leader) markSharedAgain(s *SharedRecord) {
 	for _, j := range s.jobs {
-		switch b := j.tasks[0].booking; {
+		switch b := j.tasks[0].allocation; {
 		case j.cancelled:
 		case b != nil && !b.Durable || j.done == 1:
 			g.dirty[j.uid] = true
 		}
 	}
-	if s.seq != s.saved && s.stamp > 0 {
-		g.untidy[s] = true
+	if s.version != s.savedVersion && s.modRevision > 0 {
+		g.staleShared[s] = true
 	}
 }
 
-// again marks a job whose record is behind: at once if a placement waits for it.
+// markJobAgain marks a job whose record is behind: at once if a placement waits for it.
 // The caller holds mu.
-func (g *term) again(j *job, now clock.Micros) {
+func (g *leader) markJobAgain(j *Job, now clock.Micros) {
 	if j.cancelled || j.done == len(j.tasks) {
 		g.dirty[j.uid] = true
 		return
 	}
 	for n := range j.chunks {
 		c := &j.chunks[n]
-		if c.seq == c.saved || c.unreadable > 0 {
+		if c.version == c.savedVersion || c.unreadable > 0 {
 			continue
 		}
 		base := n * store.TasksPerChunk
 		for i := base; i < min(base+store.TasksPerChunk, len(j.tasks)); i++ {
-			if b := j.tasks[i].booking; b != nil && !b.Durable {
+			if b := j.tasks[i].allocation; b != nil && !b.Durable {
 				g.dirty[j.uid] = true
 				return
 			}
 		}
 	}
-	g.later(j, now)
+	g.recordResultSoon(j, now)
 }
 
-// look reads a key, again until there is an answer or the term is over.
-func (g *term) look(ctx context.Context, key string) (row wire.Row, found bool, err error) {
+// readKey reads a key, again until there is an answer or the term is over.
+func (g *leader) readKey(ctx context.Context, key string) (row wire.Row, found bool, err error) {
 	for {
-		row, found, err = g.st.Get(ctx, store.Urgent, key)
+		row, found, err = g.store.Get(ctx, store.Urgent, key)
 		if err == nil || ctx.Err() != nil {
 			return row, found, err
 		}
@@ -483,9 +485,9 @@
 	}
 }
 
-// conflict finds out why a transaction was refused: an earlier copy of it was
+// resolveConflict finds out why a transaction was refused: an earlier copy of it was
 // applied, a job was cancelled meanwhile, or the term is over.
-func (g *term) conflict(ctx context.Context, w *write, failed []string) bool {
+func (g *leader) resolveConflict(ctx context.Context, w *transaction, failed []string) bool {
 	for _, key := range failed {
 		if key == store.KeyLead {
 			g.log.Info("another controller leads")
@@ -494,7 +496,7 @@
 	}
 	for _, key := range failed {
 		uid, isJob := strings.CutPrefix(key, store.PrefixJob)
-		row, found, err := g.look(ctx, key)
+		row, found, err := g.readKey(ctx, key)
 		var mark struct {
 			Nonce string             `msgpack:"w"`
 			Over  *store.FinalRecord `msgpack:"o"`
@@ -509,21 +511,21 @@
 			mark.Nonce = mark.Over.Nonce
 		}
 		if found && mark.Nonce == w.nonce {
-			g.applied(w, row.ModRevision)
+			g.transactionApplied(w, row.ModRevision)
 			return true
 		}
 		g.mu.Lock()
 		if isJob {
 			// Over by an earlier transaction, it was taken in again from an old listing.
 			if j := g.jobs[uid]; j != nil && (!found || mark.Over != nil) {
-				g.cancel(j, g.ck.Now())
+				g.cancel(j, g.clock.Now())
 			} else if j != nil {
-				j.stamp = max(j.stamp, row.ModRevision)
+				j.modRevision = max(j.modRevision, row.ModRevision)
 			}
 		}
 		for _, wr := range w.chunks {
 			if wr.key == key {
-				wr.c.stamp = row.ModRevision
+				wr.chunk.modRevision = row.ModRevision
 			}
 		}
 		g.mu.Unlock()
@@ -531,29 +533,29 @@
 	// Not applied, and its conditions can never hold again.
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.restore(w, failed)
+	g.requeue(w, failed)
 	return true
 }
 
-// carefulFor is how many transactions hold one change after one was refused.
-const carefulFor = 30
+// smallTransactionsAfterRefusal is how many transactions hold one change after one was refused.
+const smallTransactionsAfterRefusal = 30
 
-// restore makes what a transaction that will never be applied held due once more,
+// requeue makes what a transaction that will never be applied held due once more,
 // but for moves whose conditions failed. The caller holds mu.
-func (g *term) restore(w *write, failed []string) {
+func (g *leader) requeue(w *transaction, failed []string) {
 	for _, wr := range w.chunks {
-		c := wr.c
-		c.ending = append(c.ending, wr.ended...)
+		c := wr.chunk
+		c.endedAttempts = append(c.endedAttempts, wr.ended...)
 		if wr.shared != nil {
-			g.againShared(wr.shared)
+			g.markSharedAgain(wr.shared)
 			continue
 		}
-		g.dirty[wr.j.uid] = true
-		if wr.j.cancelled {
-			for _, b := range c.ending {
+		g.dirty[wr.job.uid] = true
+		if wr.job.cancelled {
+			for _, b := range c.endedAttempts {
 				b.ResultDurable = true
 			}
-			c.ending = nil
+			c.endedAttempts = nil
 		}
 	}
 	for _, f := range w.moved {
@@ -562,7 +564,7 @@
 			g.finalMoves = append(g.finalMoves, f)
 		}
 	}
-	for _, j := range append(w.over, w.gone...) {
+	for _, j := range append(w.finished, w.deleted...) {
 		g.dirty[j.uid] = true
 	}
 }
--- a/recover_test.go
+++ b/recover_test.go
@@ -23,7 +23,7 @@
 // write puts a record into the state service, past all controllers.
 func (s *site) write(n *Service, key string, value any) {
 	s.t.Helper()
-	if _, err := n.st.Commit(s.t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: key, Value: value}}}); err != nil {
+	if _, err := n.store.Commit(s.t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: key, Value: value}}}); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -31,16 +31,16 @@
 // remove deletes a record, past all controllers.
 func (s *site) remove(n *Service, key string) {
 	s.t.Helper()
-	if _, err := n.st.Commit(s.t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Delete: key}}}); err != nil {
+	if _, err := n.store.Commit(s.t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Delete: key}}}); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
 // lookUps reads the jobs of tasks that workers show and that are not on the books.
-func (s *site) lookUps(g *term) {
+func (s *site) lookUps(g *leader) {
 	s.t.Helper()
-	for _, uid := range g.wantedJobs() {
-		if err := g.lookUp(s.t.Context(), uid); err != nil {
+	for _, uid := range g.takeWantedLookups() {
+		if err := g.lookUpJob(s.t.Context(), uid); err != nil {
 			s.t.Fatal(err)
 		}
 	}
@@ -51,7 +51,7 @@
 	w.Take(wire.HeartbeatResponse{Token: token, Commands: []wire.Command{{Verb: wire.VerbRun, Task: task, Attempt: attempt}}})
 }
 
-func mustReport(t *testing.T, g *term) recovery.Report {
+func mustReport(t *testing.T, g *leader) recovery.Report {
 	t.Helper()
 	r, known := g.recoveryReport()
 	if !known {
@@ -66,7 +66,7 @@
 	s, n, g, w := alone(t)
 	other := s.worker("n-2", "y", true)
 	heartbeat(t, g, other)
-	runsBy(w, g.r.Token, "j-9/0", 3)
+	runsBy(w, g.term.Token, "j-9/0", 3)
 	heartbeat(t, g, w)
 	s.lookUps(g)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 4, 2 }))
@@ -93,7 +93,7 @@
 	// An idle machine with it is not returned.
 	for range 10 {
 		s.pass(g, []*standin.Worker{w, other}, 20)
-		g.resize(t.Context())
+		g.autoscale(t.Context())
 	}
 	if got := slices.Concat(s.cloud.Returns()...); slices.Contains(got, "n-1") {
 		t.Errorf("returned %v with the task on it", got)
@@ -124,8 +124,8 @@
 	s, n, g, w := alone(t)
 	over := spec("j-9", nil)
 	s.write(n, store.FinalKey("j-9"), store.NewFinalRecord(&over, wire.JobCancelled, "earlier"))
-	runsBy(w, g.r.Token, "j-9/0", 3)
-	runsBy(w, g.r.Token, "j-8/0", 1)
+	runsBy(w, g.term.Token, "j-9/0", 3)
+	runsBy(w, g.term.Token, "j-8/0", 1)
 	heartbeat(t, g, w)
 	s.lookUps(g)
 	s.settle(g)
@@ -135,7 +135,7 @@
 	// The leader sees neither the submission nor the cancel: it looks again by itself.
 	sp := spec("j-8", nil)
 	s.write(n, store.FinalKey("j-8"), store.NewFinalRecord(&sp, wire.JobCancelled, "later"))
-	s.pass(g, []*standin.Worker{w}, int(lookAgain/clock.Second)+2)
+	s.pass(g, []*standin.Worker{w}, int(lookupValidFor/clock.Second)+2)
 	s.lookUps(g)
 	s.settle(g)
 	if got := w.Live(); len(got) != 0 {
@@ -144,7 +144,7 @@
 }
 
 // oldCopy is a report that names so many tasks of jobs that are on nobody's books.
-func oldCopy(t *testing.T, g *term, w *standin.Worker, jobs int) {
+func oldCopy(t *testing.T, g *leader, w *standin.Worker, jobs int) {
 	t.Helper()
 	rep := w.Report()
 	for i := range jobs {
@@ -162,7 +162,7 @@
 	g.cfg.Facts.State.RPS = 8 // a look-up a second
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	go g.lookUpLoop(ctx)
+	go g.orphanLookupLoop(ctx)
 	const seconds = 5
 	for range seconds {
 		if err := s.clk.BlockUntilContext(ctx, 2); err != nil { // the leader's lease and the look-ups
@@ -175,7 +175,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if n := len(g.lookups); n == 0 || n > seconds+1 {
+	if n := len(g.jobLookups); n == 0 || n > seconds+1 {
 		t.Errorf("%d look-ups in %d s", n, seconds)
 	}
 }
@@ -188,7 +188,7 @@
 	before := s.state.Requests()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
-	g.lookUpWanted(ctx)
+	g.lookUpOrphans(ctx)
 	if reads := s.state.Requests() - before; reads != 0 {
 		t.Errorf("%d requests for a report that was no longer true", reads)
 	}
@@ -197,11 +197,11 @@
 // What is read of a job counts only under the leader's lease.
 func TestNothingIsDecidedWithoutTheLease(t *testing.T) {
 	s, n, g, w := alone(t)
-	runsBy(w, g.r.Token, "j-9/0", 3)
+	runsBy(w, g.term.Token, "j-9/0", 3)
 	heartbeat(t, g, w)
 	s.kill(n)
 	s.clk.Advance(20 * time.Second)
-	if err := g.lookUp(t.Context(), "j-9"); err == nil {
+	if err := g.lookUpJob(t.Context(), "j-9"); err == nil {
 		t.Error("read without the lease")
 	}
 	if state := g.jobState("j-9"); state != recovery.JobNotRead {
@@ -343,7 +343,7 @@
 		s.write(a, key, torn)
 		stop()
 		w.End(tasks[2], "lost") // gone without a trace
-		dropEnded(w, ga.r.Token)
+		dropEnded(w, ga.term.Token)
 		gb, _ := s.elect(b)
 		if use := gb.quota.Usage("team").Total.Cores.Decimal(); use < 8 {
 			t.Fatalf("shared %t: the team uses %v, want that what may run counts", shared, use)
@@ -392,7 +392,7 @@
 			t.Errorf("the damaged record is still there: %v", keys)
 		}
 		// The next leader finds whole records.
-		records, err := recovery.Read(t.Context(), b.st)
+		records, err := recovery.Read(t.Context(), b.store)
 		if err != nil || len(records.Damaged) != 0 {
 			t.Errorf("shared %t: left behind: %+v, %v", shared, records.Damaged, err)
 		}
@@ -424,7 +424,7 @@
 	s.settle(ga)
 	s.write(a, store.ChunkKey("j-1", 0), torn)
 	w.End("j-1/2", "lost")
-	dropEnded(w, ga.r.Token)
+	dropEnded(w, ga.term.Token)
 	stop()
 	gb, _ := s.elect(b)
 	for i := range 10 {
@@ -509,7 +509,7 @@
 	if r := mustReport(t, g); len(r.Damaged) != 3 || r.Stage != recovery.StageComplete {
 		t.Errorf("operators are told %+v", r)
 	}
-	if err := g.readCatalog(t.Context()); err != nil || g.catStamp == 0 {
+	if err := g.readCatalog(t.Context()); err != nil || g.catalogRevision == 0 {
 		t.Errorf("the catalogue is not written anew: %v", err)
 	}
 }
@@ -525,7 +525,7 @@
 	}))
 	s.resync(g)
 	for range 4 {
-		g.resize(t.Context())
+		g.autoscale(t.Context())
 	}
 	var ws []*standin.Worker
 	for _, h := range s.cloud.Hosts() {
@@ -540,7 +540,7 @@
 	s.kill(n)
 	s.clk.Advance(10 * time.Second)
 	gb, _ := s.elect(next)
-	if err := gb.readList(t.Context()); err != nil {
+	if err := gb.readMachineList(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	before := len(s.cloud.Asked())
@@ -553,8 +553,8 @@
 		for _, w := range found {
 			heartbeat(t, gb, w)
 		}
-		gb.step(t.Context())
-		gb.resize(t.Context())
+		gb.pass(t.Context())
+		gb.autoscale(t.Context())
 	}
 	if more := s.cloud.Asked()[before:]; len(more) != 0 {
 		t.Errorf("rented %+v though all had yet to report, and then did", more)
--- a/recovery_scenes_test.go
+++ b/recovery_scenes_test.go
@@ -285,7 +285,7 @@
 		since := time.Since(back).Seconds()
 		var report recovery.Report
 		if p := w.running(fmt.Sprintf("node-%d", w.leader()+1)); p != nil {
-			if g := p.term.Load(); g != nil {
+			if g := p.current.Load(); g != nil {
 				report, _ = g.recoveryReport()
 			}
 		}
--- a/rules_test.go
+++ b/rules_test.go
@@ -19,15 +19,15 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func (s *site) usable(g *term, host string) bool {
+func (s *site) usable(g *leader, host string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m := g.fl.Machine(host)
-	return m != nil && g.usable(m, g.ck.Now())
+	m := g.fleet.Machine(host)
+	return m != nil && g.usable(m, g.clock.Now())
 }
 
 // deliver hands a report to the leader without the worker learning the answer.
-func deliver(t *testing.T, g *term, rep wire.Heartbeat) wire.HeartbeatResponse {
+func deliver(t *testing.T, g *leader, rep wire.Heartbeat) wire.HeartbeatResponse {
 	t.Helper()
 	ans, ok := g.Heartbeat(&rep)
 	if !ok {
@@ -78,8 +78,8 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.proofs) != 0 || len(g.mute) != 0 {
-		t.Errorf("%d workers wait to be asked and %d that report count as mute", len(g.proofs), len(g.mute))
+	if len(g.unconfirmed) != 0 || len(g.unreachable) != 0 {
+		t.Errorf("%d workers wait to be asked and %d that report count as mute", len(g.unconfirmed), len(g.unreachable))
 	}
 	if got := s.cloud.Returns(); len(got) != 0 {
 		t.Errorf("returned %v", got)
@@ -178,16 +178,16 @@
 		t.Fatal("its task was started elsewhere without proof")
 	}
 	for known := true; known; {
-		g.probedAt = 0
-		g.probeSilent(t.Context())
+		g.probesStartedAt = 0
+		g.probeSilentMachines(t.Context())
 		g.mu.Lock()
-		known = g.fl.Machine("n-1") != nil
+		known = g.fleet.Machine("n-1") != nil
 		g.mu.Unlock()
 	}
 	// Whatever still comes from it is an old copy and brings nothing back.
 	deliver(t, g, w.Report())
 	g.mu.Lock()
-	back := g.fl.Machine("n-1") != nil
+	back := g.fleet.Machine("n-1") != nil
 	g.mu.Unlock()
 	if back {
 		t.Error("a returned machine came back with a late report")
@@ -201,7 +201,7 @@
 // A machine that hears again is trusted again.
 func TestDeafMachineHearsAgain(t *testing.T) {
 	s, n, g, w := alone(t)
-	g.op.Fleet.Enabled = false // nothing is returned
+	g.operator.Fleet.Enabled = false // nothing is returned
 	w.Unreachable(true)
 	s.submit(n, spec("j-1", nil))
 	s.resync(g)
@@ -211,15 +211,15 @@
 		deliver(t, g, w.Report())
 		s.settle(g)
 	}
-	if s.usable(g, "n-1") && g.fl.Machine("n-1").QuarantineReason == "" {
+	if s.usable(g, "n-1") && g.fleet.Machine("n-1").QuarantineReason == "" {
 		t.Fatal("not banned")
 	}
 	w.Unreachable(false)
 	heartbeat(t, g, w)
 	heartbeat(t, g, w)
 	s.settle(g)
-	if !s.usable(g, "n-1") || g.fl.Machine("n-1").QuarantineReason != "" || len(w.Starts()) != 1 {
-		t.Errorf("banned %q after it heard again, starts %v", g.fl.Machine("n-1").QuarantineReason, w.Starts())
+	if !s.usable(g, "n-1") || g.fleet.Machine("n-1").QuarantineReason != "" || len(w.Starts()) != 1 {
+		t.Errorf("banned %q after it heard again, starts %v", g.fleet.Machine("n-1").QuarantineReason, w.Starts())
 	}
 }
 
@@ -245,7 +245,7 @@
 			g.Heartbeat(&rep) // the answer is lost
 		}
 	}
-	g.step(t.Context())
+	g.pass(t.Context())
 	for s.state.Value(store.KeyLead, nil) {
 		runtime.Gosched()
 	}
@@ -360,7 +360,7 @@
 	g, _ := s.elect(n)
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, g, w)
-	before := g.r
+	before := g.term
 	s.submit(n, spec("j-1", nil))
 	s.resync(g)
 	s.state.DelayNext() // the old process's record of a placement arrives late
@@ -371,13 +371,13 @@
 		}
 		cancel()
 	}()
-	g.step(ctx)
+	g.pass(ctx)
 	s.kill(n)
 	s.nodes-- // the same node again
 	again := s.node(nil)
 	ga, _ := s.elect(again) // the clock stands still: no lease lapses
-	if ga.r.Token <= before.Token {
-		t.Fatalf("token %d after %d", ga.r.Token, before.Token)
+	if ga.term.Token <= before.Token {
+		t.Fatalf("token %d after %d", ga.term.Token, before.Token)
 	}
 	s.state.Deliver()
 	if got := s.state.Keys(store.PrefixAttempts); len(got) != 0 {
@@ -396,10 +396,10 @@
 func TestCutOffWithItsWorkers(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	n.links["other"], n.relays["other"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
-	n.users.Relay, n.users.Alone = n.relay, n.alone
+	n.attestationLinks["other"], n.relayLinks["other"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
+	n.users.Relay, n.users.Alone = n.relay, n.isolated
 	g, _ := s.elect(n)
-	n.term.Store(g)
+	n.current.Store(g)
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, g, w)
 	s.submit(n, spec("j-1", nil))
@@ -437,7 +437,7 @@
 	s.elect(a)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go b.el.Run(ctx, b.lead)
+	go b.elector.Run(ctx, b.serveTerm)
 	for b.Leader() != a.cfg.Node {
 		runtime.Gosched()
 	}
@@ -492,7 +492,7 @@
 
 // silence lets machines with a replica each fall silent while others report,
 // and asks them until they count as mute.
-func (s *site) silence(g *term, n *Service, zones []string, others int) {
+func (s *site) silence(g *leader, n *Service, zones []string, others int) {
 	s.t.Helper()
 	var hung []*standin.Worker
 	for i, z := range zones {
@@ -522,13 +522,13 @@
 	for _, w := range rest {
 		heartbeat(s.t, g, w)
 	}
-	for range muteAfter {
-		g.probedAt = 0
-		g.probeSilent(s.t.Context())
+	for range unreachableAfterProbes {
+		g.probesStartedAt = 0
+		g.probeSilentMachines(s.t.Context())
 		s.settle(g)
 	}
-	g.probedAt = 0
-	g.probeSilent(s.t.Context())
+	g.probesStartedAt = 0
+	g.probeSilentMachines(s.t.Context())
 }
 
 // Silent machines with replicas are returned together, in one request.
@@ -556,7 +556,7 @@
 		t.Errorf("returned %v", got)
 	}
 	g.mu.Lock()
-	muted := len(g.mute)
+	muted := len(g.unreachable)
 	g.mu.Unlock()
 	if muted != 3 {
 		t.Errorf("%d machines mute, want 3", muted)
@@ -607,7 +607,7 @@
 		{map[string]int{"x": 9, "y": 9}, map[string]int{"x": 10, "y": 10}, nil},
 	}
 	for _, tt := range tests {
-		if got := cutZones(tt.quiet, tt.known); !cmp.Equal(got, tt.want) {
+		if got := unreachableZones(tt.quiet, tt.known); !cmp.Equal(got, tt.want) {
 			t.Errorf("silent %v of %v: avoided %v, want %v", tt.quiet, tt.known, got, tt.want)
 		}
 	}
--- a/service.go
+++ b/service.go
@@ -34,23 +34,23 @@
 
 // Service is one controller.
 type Service struct {
-	cfg     *config.Platform
-	op      *config.Operator
-	ck      *clock.Clock
-	st      *store.Client
-	el      *lead.Elector
-	workers *agent.Client
-	cl      *cloud.Client
-	users   *api.Users
-	hints   hints
-	links   map[string]*peer.Link // for attestations, which must not wait
-	relays  map[string]*peer.Link // for users' requests and counts
-	log     *slog.Logger
-	met     *metrics.Metrics
-	term    atomic.Pointer[term]
-	front   *chi.Mux
-	budget  connlimit.Budget
-	reports reports
+	cfg              *config.Platform
+	operator         *config.Operator
+	clock            *clock.Clock
+	store            *store.Client
+	elector          *lead.Elector
+	workers          *agent.Client
+	cloud            *cloud.Client
+	users            *api.Users
+	hints            cancelHints
+	attestationLinks map[string]*peer.Link // for attestations, which must not wait
+	relayLinks       map[string]*peer.Link // for users' requests and counts
+	log              *slog.Logger
+	metrics          *metrics.Metrics
+	current          atomic.Pointer[leader]
+	router           *chi.Mux
+	budget           connlimit.Budget
+	reports          reports
 	// newLedger makes the ledger of a term; tests put a broken one in its place.
 	newLedger func(teams map[string]quota.Limits) *quota.Ledger
 	// readRecords reads what predecessors left; tests put other records in their place.
@@ -58,9 +58,9 @@
 	// relayAfter is when relaying is worth trying again, on the steady clock.
 	relayAfter atomic.Int64
 
-	catMu sync.Mutex // guards cat and catAt
-	cat   wire.Catalog
-	catAt clock.Micros
+	catalogMu     sync.Mutex // guards cat and catAt
+	catalog       wire.Catalog
+	catalogReadAt clock.Micros
 }
 
 // New wires a controller's parts; Run starts it.
@@ -69,26 +69,26 @@
 }
 
 func newService(cfg *config.Platform, op *config.Operator, log *slog.Logger, ck *clock.Clock) *Service {
-	s := &Service{cfg: cfg, op: op, log: log, ck: ck, met: metrics.New(), links: map[string]*peer.Link{}, relays: map[string]*peer.Link{}, newLedger: quota.NewLedger, readRecords: recovery.Read}
+	s := &Service{cfg: cfg, operator: op, log: log, clock: ck, metrics: metrics.New(), attestationLinks: map[string]*peer.Link{}, relayLinks: map[string]*peer.Link{}, newLedger: quota.NewLedger, readRecords: recovery.Read}
 	f := cfg.Facts
-	s.st = store.New(cfg.Outside.State, f.State, 1+len(cfg.Others))
-	s.cl = cloud.New(cfg.Outside.Cloud, f.Cloud.RPS)
+	s.store = store.New(cfg.Outside.State, f.State, 1+len(cfg.Others))
+	s.cloud = cloud.New(cfg.Outside.Cloud, f.Cloud.RPS)
 	s.budget = connlimit.Divide(f.Limits.FDLimit, f.Limits.MemMB)
 	s.workers = agent.NewClient(s.budget.KeepIdle)
 	for _, o := range cfg.Others {
-		s.links[o.Node] = peer.NewLink(o.Addr)
-		s.relays[o.Node] = peer.NewLink(o.Addr)
+		s.attestationLinks[o.Node] = peer.NewLink(o.Addr)
+		s.relayLinks[o.Node] = peer.NewLink(o.Addr)
 	}
-	s.el = lead.New(cfg.Node, s.st, s.ck, op, s.attest, log)
-	s.users = &api.Users{Store: s.st, Clock: s.ck, Node: cfg.Node, Teams: f.Teams, Catalog: s.catalog, Counts: s.counts, Log: log, Observe: s.met.Submission,
-		Cancelled: s.cancelled, Pause: pollPause(f.Limits.CoreShare)}
-	if len(s.links) > 0 {
+	s.elector = lead.New(cfg.Node, s.store, s.clock, op, s.requestAttestations, log)
+	s.users = &api.Users{Store: s.store, Clock: s.clock, Node: cfg.Node, Teams: f.Teams, Catalog: s.machineTypes, Counts: s.counts, Log: log, Observe: s.metrics.Submission,
+		Cancelled: s.hintCancelled, Pause: pollPause(f.Limits.CoreShare)}
+	if len(s.attestationLinks) > 0 {
 		s.users.Relay = s.relay
-		s.users.Alone = s.alone
+		s.users.Alone = s.isolated
 	}
 	s.wireReports()
-	s.front = chi.NewRouter()
-	s.users.Routes(s.front)
+	s.router = chi.NewRouter()
+	s.users.Routes(s.router)
 	return s
 }
 
@@ -106,18 +106,18 @@
 		return fmt.Errorf("listen for controllers: %w", err)
 	}
 	limited := connlimit.New(front, s.budget.Clients, connlimit.Outgoing{Workers: s.workers,
-		InUse: s.budget.Commands + s.budget.Questions, KeepIdle: s.budget.KeepIdle / 4}, s.ck, s.log)
+		InUse: s.budget.Commands + s.budget.Questions, KeepIdle: s.budget.KeepIdle / 4}, s.clock, s.log)
 	s.workers.Short = limited.Full
-	s.front.Post(wire.PathHeartbeat, agent.ServeHeartbeat(s, limited.Short))
-	srv := &http.Server{Handler: s.front, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
+	s.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(s, limited.Short))
+	srv := &http.Server{Handler: s.router, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
 		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug), ConnState: limited.ConnState}
 	var wg sync.WaitGroup
 	failed := make(chan error, 2)
 	wg.Go(func() {
 		failed <- srv.Serve(limited)
 	})
-	if s.op.Metrics.Listen != "" {
-		ms := &http.Server{Addr: s.op.Metrics.Listen, Handler: s.operators(), ReadHeaderTimeout: 10 * time.Second}
+	if s.operator.Metrics.Listen != "" {
+		ms := &http.Server{Addr: s.operator.Metrics.Listen, Handler: s.operators(), ReadHeaderTimeout: 10 * time.Second}
 		wg.Go(func() { s.refreshReports(ctx) })
 		wg.Go(func() {
 			if err := ms.ListenAndServe(); ctx.Err() == nil {
@@ -127,8 +127,8 @@
 		context.AfterFunc(ctx, func() { ms.Close() })
 	}
 	wg.Go(func() { peer.Serve(ctx, back, s.answerPeer, s.log) })
-	wg.Go(func() { s.el.Run(ctx, s.lead) })
-	for _, w := range s.cfg.Tight(s.op) {
+	wg.Go(func() { s.elector.Run(ctx, s.serveTerm) })
+	for _, w := range s.cfg.Tight(s.operator) {
 		s.log.Info("settings are tight", "field", w)
 	}
 	s.log.Info("serving", "node", s.cfg.Node, "listen", s.cfg.ClientListen)
@@ -161,27 +161,27 @@
 	return (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp", addr)
 }
 
-// lead is one term of this node.
-func (s *Service) lead(ctx context.Context, r lead.Term) {
+// serveTerm is one term of this node.
+func (s *Service) serveTerm(ctx context.Context, r lead.Term) {
 	for ctx.Err() == nil {
-		g := newTerm(s, r)
-		s.term.Store(g)
-		s.st.SetLeading(true)
+		g := newLeader(s, r)
+		s.current.Store(g)
+		s.store.SetLeading(true)
 		if err := g.run(ctx); err != nil {
 			s.log.Error("leading", "error", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-s.ck.After(200 * time.Millisecond):
+		case <-s.clock.After(200 * time.Millisecond):
 		}
 	}
-	s.term.Store(nil)
-	s.st.SetLeading(len(s.cfg.Others) == 0)
+	s.current.Store(nil)
+	s.store.SetLeading(len(s.cfg.Others) == 0)
 }
 
 // Heartbeat implements agent.Steward.
 func (s *Service) Heartbeat(rep *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
-	g := s.term.Load()
+	g := s.current.Load()
 	if g == nil {
 		return wire.HeartbeatResponse{}, false
 	}
@@ -190,7 +190,7 @@
 
 // Leader implements agent.Steward.
 func (s *Service) Leader() string {
-	if name := s.el.Leader(); name != s.cfg.Node {
+	if name := s.elector.Leader(); name != s.cfg.Node {
 		return name
 	}
 	return ""
@@ -200,13 +200,13 @@
 func (s *Service) answerPeer(ctx context.Context, a peer.Ask) peer.Reply {
 	var r peer.Reply
 	if a.Outage.Asked {
-		r.Word = s.word(ctx, a.Outage)
+		r.Word = s.attest(ctx, a.Outage)
 	}
-	if g := s.term.Load(); g != nil && len(a.Cancelled) > 0 {
-		g.callOff(a.Cancelled)
+	if g := s.current.Load(); g != nil && len(a.Cancelled) > 0 {
+		g.hintCancelled(a.Cancelled)
 	}
 	if len(a.Counts) > 0 {
-		if g := s.term.Load(); g != nil {
+		if g := s.current.Load(); g != nil {
 			r.Counts = g.counts(a.Counts)
 		}
 	}
@@ -214,29 +214,29 @@
 		r.Teams = s.teamsPage(a.TeamsAfter)
 	}
 	if a.Report != "" {
-		r.Report = s.reportFor(a.Report)
+		r.Report = s.encodedReport(a.Report)
 	}
-	if a.Path != "" && !s.st.Failing() {
+	if a.Path != "" && !s.store.Failing() {
 		req, err := http.NewRequestWithContext(api.Relayed(ctx), a.Method, a.Path, bytes.NewReader(a.Body))
 		if err != nil {
 			return r
 		}
 		k := api.NewKept()
-		s.front.ServeHTTP(k, req)
+		s.router.ServeHTTP(k, req)
 		r.Status, r.Body = k.Status, k.Body.Bytes()
 		r.Epoch = s.users.Cancels.Epoch(api.JobOf(a.Path, a.Body))
 	}
 	return r
 }
 
-// word attests the outage to a leader that asks, if this node can: only when the
+// attest attests the outage to a leader that asks, if this node can: only when the
 // state service refuses it now, it knows of no later leader, and it can name
 // every cancel that the asker may have missed.
-func (s *Service) word(ctx context.Context, o peer.Outage) (w peer.Word) {
-	if !s.st.Refused(ctx, 500*clock.Millisecond) || s.el.NewestRevision() > o.Lead {
+func (s *Service) attest(ctx context.Context, o peer.Outage) (w peer.Word) {
+	if !s.store.Refused(ctx, 500*clock.Millisecond) || s.elector.NewestRevision() > o.Lead {
 		return w
 	}
-	w.Cancelled, w.Attests = s.users.Cancels.Since(o.Epoch, s.st.FirstRevision())
+	w.Cancelled, w.Attests = s.users.Cancels.Since(o.Epoch, s.store.FirstRevision())
 	return w
 }
 
@@ -244,7 +244,7 @@
 // takes the first answer that is one. In an outage none can, and after a round
 // of refusals none is asked for a moment.
 func (s *Service) relay(ctx context.Context, method, path string, body []byte) (int, []byte, bool) {
-	now := s.ck.Now()
+	now := s.clock.Now()
 	if now < clock.Micros(s.relayAfter.Load()) {
 		return 0, nil, false
 	}
@@ -254,8 +254,8 @@
 	if api.IsAbort(path) {
 		s.users.Cancels.Expect(uid)
 	}
-	answers := make(chan peer.Reply, len(s.relays))
-	for _, l := range s.relays {
+	answers := make(chan peer.Reply, len(s.relayLinks))
+	for _, l := range s.relayLinks {
 		go func() {
 			r, err := l.Ask(ctx, peer.Ask{Method: method, Path: path, Body: body})
 			if err != nil {
@@ -264,7 +264,7 @@
 			answers <- r
 		}()
 	}
-	for range s.relays {
+	for range s.relayLinks {
 		if r := <-answers; r.Status != 0 && r.Status != http.StatusServiceUnavailable {
 			if r.Epoch > 0 {
 				s.users.Cancels.Known(uid, r.Epoch)
@@ -272,22 +272,22 @@
 			return r.Status, r.Body, true
 		}
 	}
-	s.relayAfter.Store(int64(s.ck.Now() + clock.Second))
+	s.relayAfter.Store(int64(s.clock.Now() + clock.Second))
 	return 0, nil, false
 }
 
-// alone tells whether no other controller answers.
-func (s *Service) alone(ctx context.Context) bool {
+// isolated tells whether no other controller answers.
+func (s *Service) isolated(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 	defer cancel()
-	answers := make(chan bool, len(s.relays))
-	for _, l := range s.relays {
+	answers := make(chan bool, len(s.relayLinks))
+	for _, l := range s.relayLinks {
 		go func() {
 			_, err := l.Ask(ctx, peer.Ask{})
 			answers <- err == nil
 		}()
 	}
-	for range s.relays {
+	for range s.relayLinks {
 		if <-answers {
 			return false
 		}
@@ -295,19 +295,19 @@
 	return true
 }
 
-// attest asks every other controller whether the state service refuses it too.
+// requestAttestations asks every other controller whether the state service refuses it too.
 // Only when all say so, freshly, can nobody else be leading. Each names with it
 // what was cancelled through it since this leader last knew; their tasks are told
 // to stop before the word counts.
-func (s *Service) attest(ctx context.Context) bool {
-	g := s.term.Load()
+func (s *Service) requestAttestations(ctx context.Context) bool {
+	g := s.current.Load()
 	if g == nil {
 		return false
 	}
-	o := peer.Outage{Asked: true, Lead: g.r.Revision, Epoch: g.knows()}
-	cancelled, all := s.users.Cancels.Since(o.Epoch, s.st.FirstRevision())
-	answers := make(chan peer.Word, len(s.links))
-	for _, l := range s.links {
+	o := peer.Outage{Asked: true, Lead: g.term.Revision, Epoch: g.syncedRevision()}
+	cancelled, all := s.users.Cancels.Since(o.Epoch, s.store.FirstRevision())
+	answers := make(chan peer.Word, len(s.attestationLinks))
+	for _, l := range s.attestationLinks {
 		go func() {
 			r, err := l.Ask(ctx, peer.Ask{Outage: o})
 			if err != nil {
@@ -316,39 +316,39 @@
 			answers <- r.Word
 		}()
 	}
-	for range s.links {
+	for range s.attestationLinks {
 		w := <-answers
 		all = all && w.Attests
 		cancelled = append(cancelled, w.Cancelled...)
 	}
-	g.callOff(cancelled)
+	g.hintCancelled(cancelled)
 	return all
 }
 
-// hints are cancels that the leader is yet to be told of.
-type hints struct {
+// cancelHints are cancels that the leader is yet to be told of.
+type cancelHints struct {
 	mu   sync.Mutex // guards the fields below
 	uids []string
 	busy bool
 }
 
-// maxHint is how many cancels one message tells the leader of.
-const maxHint = 1024
+// maxHintsPerMessage is how many cancels one message tells the leader of.
+const maxHintsPerMessage = 1024
 
-// cancelled tells the leader at once of a cancel made here, which it would else
+// hintCancelled tells the leader at once of a cancel made here, which it would else
 // learn from the state service, if that serves it. It is a hint: lost, late or
 // repeated it harms nothing.
-func (s *Service) cancelled(uid string) {
-	if g := s.term.Load(); g != nil {
-		g.callOff([]string{uid})
+func (s *Service) hintCancelled(uid string) {
+	if g := s.current.Load(); g != nil {
+		g.hintCancelled([]string{uid})
 		return
 	}
-	if len(s.relays) == 0 {
+	if len(s.relayLinks) == 0 {
 		return
 	}
 	s.hints.mu.Lock()
 	defer s.hints.mu.Unlock()
-	if len(s.hints.uids) < maxHint {
+	if len(s.hints.uids) < maxHintsPerMessage {
 		s.hints.uids = append(s.hints.uids, uid)
 	}
 	if !s.hints.busy {
@@ -368,7 +368,7 @@
 		if len(uids) == 0 {
 			return
 		}
-		l := s.relays[s.el.Leader()]
+		l := s.relayLinks[s.elector.Leader()]
 		if l == nil {
 			continue
 		}
@@ -382,10 +382,10 @@
 
 // counts asks the leader for jobs' counts, which are for display only.
 func (s *Service) counts(ctx context.Context, uids []string) map[string][2]int {
-	if g := s.term.Load(); g != nil {
+	if g := s.current.Load(); g != nil {
 		return g.counts(uids)
 	}
-	l := s.relays[s.el.Leader()]
+	l := s.relayLinks[s.elector.Leader()]
 	if l == nil {
 		return nil
 	}
@@ -402,36 +402,36 @@
 // long when nobody answers: a job that no machine of today's catalogue fits must
 // not be accepted by an old one.
 const (
-	catalogFresh = 30 * clock.Second
-	catalogStale = 120 * clock.Second
+	catalogFreshFor  = 30 * clock.Second
+	catalogUsableFor = 120 * clock.Second
 )
 
-// catalog gives the machine types as last seen by any leader, or by this node itself.
-func (s *Service) catalog(ctx context.Context) (wire.Catalog, bool) {
-	now := s.ck.Now()
-	s.catMu.Lock()
-	cat, fresh, stale := s.cat, s.catAt != 0 && now-s.catAt < catalogFresh, now-s.catAt >= catalogStale
-	s.catMu.Unlock()
+// machineTypes gives the machine types as last seen by any leader, or by this node itself.
+func (s *Service) machineTypes(ctx context.Context) (wire.Catalog, bool) {
+	now := s.clock.Now()
+	s.catalogMu.Lock()
+	cat, fresh, stale := s.catalog, s.catalogReadAt != 0 && now-s.catalogReadAt < catalogFreshFor, now-s.catalogReadAt >= catalogUsableFor
+	s.catalogMu.Unlock()
 	if fresh {
 		return cat, true
 	}
-	row, found, err := s.st.Get(ctx, store.Normal, store.KeyCatalog)
+	row, found, err := s.store.Get(ctx, store.Normal, store.KeyCatalog)
 	var got wire.Catalog
 	if err == nil && found && wire.Unmarshal(row.Value, &got) == nil && len(got.MachineTypes) > 0 {
-		s.catMu.Lock()
-		s.cat, s.catAt = got, now
-		s.catMu.Unlock()
+		s.catalogMu.Lock()
+		s.catalog, s.catalogReadAt = got, now
+		s.catalogMu.Unlock()
 		return got, true
 	}
 	if len(cat.MachineTypes) > 0 && !stale {
 		return cat, true // sizes hardly change: the last known will do for a while
 	}
-	got, err = s.cl.Catalog(ctx)
+	got, err = s.cloud.Catalog(ctx)
 	if err != nil {
 		return wire.Catalog{}, false
 	}
-	s.catMu.Lock()
-	s.cat, s.catAt = got, now
-	s.catMu.Unlock()
+	s.catalogMu.Lock()
+	s.catalog, s.catalogReadAt = got, now
+	s.catalogMu.Unlock()
 	return got, true
 }
--- a/size_test.go
+++ b/size_test.go
@@ -14,14 +14,14 @@
 
 // adopted is a new leader that has read the records of so many machines with
 // the given tasks on each, all of them of predecessors.
-func adopted(t testing.TB, machines, tasks int) (*site, *term) {
+func adopted(t testing.TB, machines, tasks int) (*site, *leader) {
 	t.Helper()
 	s := newSite(t)
 	n := s.node(nil)
 	g, _ := s.elect(n)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	now := g.ck.Now()
+	now := g.clock.Now()
 	for k := range tasks {
 		sp := spec(fmt.Sprintf("j-%d", k), func(sp *wire.Spec) {
 			sp.Tasks, sp.Cores, sp.RAM = machines, 1, 1
@@ -38,11 +38,11 @@
 		}
 		j := g.jobs[sp.UID]
 		for i := range machines {
-			m := g.fl.Ensure(fmt.Sprintf("n-%d", i), now)
-			b := g.booking(j, i, 1)
+			m := g.fleet.Ensure(fmt.Sprintf("n-%d", i), now)
+			b := g.newAllocation(j, i, 1)
 			b.Incarnation = 1
-			g.fl.Adopt(m, b, now)
-			j.tasks[i].state, j.tasks[i].booking, j.tasks[i].attempt = taskPlaced, b, 1
+			g.fleet.Adopt(m, b, now)
+			j.tasks[i].state, j.tasks[i].allocation, j.tasks[i].attempt = taskPlaced, b, 1
 		}
 	}
 	return s, g
@@ -64,17 +64,17 @@
 	const tasks = 4
 	visits := func(machines int) float64 {
 		_, g := adopted(t, machines, tasks)
-		g.fl.Examined = 0
-		for tally, token := range []uint64{0, g.r.Token} {
+		g.fleet.Examined = 0
+		for tally, token := range []uint64{0, g.term.Token} {
 			for i := range machines {
 				ans, ok := g.Heartbeat(report(i, tasks, uint64(tally)+1, token))
-				if !ok || len(ans.Commands) != 0 || ans.Token != g.r.Token {
+				if !ok || len(ans.Commands) != 0 || ans.Token != g.term.Token {
 					t.Fatalf("machine %d of %d: answered %t, %+v", i, machines, ok, ans)
 				}
 			}
 		}
-		per := float64(g.fl.Examined) / float64(2*machines)
-		if up := g.fl.ReportingCount(); up != machines {
+		per := float64(g.fleet.Examined) / float64(2*machines)
+		if up := g.fleet.ReportingCount(); up != machines {
 			t.Errorf("%d of %d machines are trusted", up, machines)
 		}
 		return per
@@ -95,33 +95,33 @@
 		s.advance(10 * time.Second)
 		for i := range machines - lost {
 			g.Heartbeat(report(i, tasks, 1, 0))
-			g.Heartbeat(report(i, tasks, 2, g.r.Token))
+			g.Heartbeat(report(i, tasks, 2, g.term.Token))
 		}
 		s.advance(14 * time.Second)
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		now := g.ck.Now()
-		g.fl.Examined = 0
-		news := g.fl.ExpireLeases(now)
+		now := g.clock.Now()
+		g.fleet.Examined = 0
+		news := g.fleet.ExpireLeases(now)
 		if len(news) != lost*tasks {
 			t.Fatalf("%d of %d machines lost: %d tasks gone, want %d", lost, machines, len(news), lost*tasks)
 		}
-		looked := g.fl.Examined
-		g.news(news, now)
-		for uid := range g.lazy {
+		looked := g.fleet.Examined
+		g.applyEvents(news, now)
+		for uid := range g.pendingResults {
 			g.dirty[uid] = true
 		}
 		last := wire.PriorityCritical
-		for w := g.collect(); w != nil; w = g.collect() {
+		for w := g.buildTransaction(); w != nil; w = g.buildTransaction() {
 			if n := len(w.txn.Operations); n > g.cfg.Facts.State.TxnOps {
 				t.Fatalf("%d changes in a transaction", n)
 			}
 			for _, c := range w.chunks {
-				if c.j.priority > last {
-					t.Errorf("%s is recorded after work of lower priority", c.j.uid)
+				if c.job.priority > last {
+					t.Errorf("%s is recorded after work of lower priority", c.job.uid)
 				}
-				last = c.j.priority
-				c.c.saved = c.seq
+				last = c.job.priority
+				c.chunk.savedVersion = c.version
 			}
 		}
 		return looked
@@ -132,7 +132,7 @@
 			t.Errorf("the loss of 100 of %d machines visits %d", machines, looked)
 		}
 	}
-	got := batches([]cloud.Rental{{MachineType: "b", Zone: "x", Count: 120}, {MachineType: "b", Zone: "y", Preemptible: true, Count: 70}}, 4)
+	got := splitRentals([]cloud.Rental{{MachineType: "b", Zone: "x", Count: 120}, {MachineType: "b", Zone: "y", Preemptible: true, Count: 70}}, 4)
 	want := []cloud.Rental{{MachineType: "b", Zone: "x", Count: 50}, {MachineType: "b", Zone: "x", Count: 50}, {MachineType: "b", Zone: "x", Count: 20}, {MachineType: "b", Zone: "y", Preemptible: true, Count: 50}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
@@ -154,7 +154,7 @@
 	if code, _, _ := s.ask(n, "POST", wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
-	if _, err := n.el.RaiseToken(t.Context()); err != nil {
+	if _, err := n.elector.RaiseToken(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	type told struct {
@@ -181,7 +181,7 @@
 	if code, v, _ := s.ask(n, "POST", wire.PathJobs, spec("j-2", nil)); code != 200 || v.Status != wire.JobCancelled {
 		t.Errorf("a submission that comes again after the abort: %d %+v", code, v)
 	}
-	if _, ok := n.el.MayAnswerHeartbeats(); !ok {
+	if _, ok := n.elector.MayAnswerHeartbeats(); !ok {
 		t.Error("the lead was lost")
 	}
 }
--- a/stall_test.go
+++ b/stall_test.go
@@ -18,15 +18,15 @@
 	s.submit(n, spec("j-1", nil))
 	s.resync(g)
 	g.mu.Lock()
-	now := g.ck.Now()
-	g.plan(now)
-	write := g.collect()
+	now := g.clock.Now()
+	g.runPlan(now)
+	write := g.buildTransaction()
 	g.mu.Unlock()
-	if !g.record(t.Context(), write) {
+	if !g.commit(t.Context(), write) {
 		t.Fatal("placement not recorded")
 	}
 	g.mu.Lock()
-	fl := g.fl.PrepareCommand(g.fl.Machine("n-1"), now, 1, fleet.AllCommands)
+	fl := g.fleet.PrepareCommand(g.fleet.Machine("n-1"), now, 1, fleet.AllCommands)
 	g.mu.Unlock()
 	if fl == nil || len(fl.Commands) != 1 {
 		t.Fatalf("no command is about to be sent: %+v", fl)
@@ -35,22 +35,22 @@
 	s.kill(n) // nothing of this node's renewals gets through any more
 	s.clk.Advance(32 * time.Second)
 
-	g.fly(t.Context(), fl)
+	g.sendCommand(t.Context(), fl)
 	if got := w.Starts(); len(got) != 0 {
 		t.Errorf("a direct command of before was sent: %v", got)
 	}
-	g.giveBack(t.Context(), []string{"n-1"})
+	g.returnMachines(t.Context(), []string{"n-1"})
 	if got := s.cloud.Returns(); len(got) != 0 {
 		t.Errorf("a machine was returned on what was known before: %v", got)
 	}
-	g.rent(t.Context(), cloud.Rental{MachineType: "b", Zone: "x", Count: 3})
+	g.rentMachines(t.Context(), cloud.Rental{MachineType: "b", Zone: "x", Count: 3})
 	if got := s.cloud.Asked(); len(got) != 0 {
 		t.Errorf("machines were rented on what was known before: %v", got)
 	}
 	if _, ok := g.Heartbeat(&rep); ok {
 		t.Error("a heartbeat was answered")
 	}
-	if g.fl.Machine("n-1").NotAcknowledging() {
+	if g.fleet.Machine("n-1").NotAcknowledging() {
 		t.Error("a command that was not sent counts as a sign of deafness")
 	}
 	// The successor counts the recorded attempt as possible, though it was never sent.
@@ -58,7 +58,7 @@
 	gb, _ := s.elect(b)
 	gb.mu.Lock()
 	defer gb.mu.Unlock()
-	if pc := gb.jobs["j-1"].tasks[0]; pc.booking == nil || pc.booking.Machine.Name != "n-1" {
+	if pc := gb.jobs["j-1"].tasks[0]; pc.allocation == nil || pc.allocation.Machine.Name != "n-1" {
 		t.Error("the successor does not count an attempt that may have been sent")
 	}
 }
@@ -81,33 +81,33 @@
 	}
 	for _, h := range hosts {
 		g.mu.Lock()
-		g.fl.Machine(h).CloudStatus = wire.MachineRunning
+		g.fleet.Machine(h).CloudStatus = wire.MachineRunning
 		g.mu.Unlock()
 	}
-	g.checkStall()
+	g.checkPause()
 	s.advance(50 * time.Second)
-	g.checkStall()
-	g.resize(t.Context())
-	g.step(t.Context())
+	g.checkPause()
+	g.autoscale(t.Context())
+	g.pass(t.Context())
 	if got := s.cloud.Returns(); len(got) != 0 {
 		t.Errorf("returned on waking: %v", got)
 	}
 	for _, h := range hosts {
-		if g.fl.Machine(h).Returning {
+		if g.fleet.Machine(h).Returning {
 			t.Errorf("%s is to be returned", h)
 		}
 	}
-	if _, ok := n.el.MayAnswerHeartbeats(); !ok {
+	if _, ok := n.elector.MayAnswerHeartbeats(); !ok {
 		t.Error("gave the lead up on waking")
 	}
 	// From then on silence counts as ever, while one is heard.
 	for range 50 {
 		s.advance(time.Second)
 		s.resync(g) // no watch runs here, and a leader that reads nothing gives up
-		g.checkStall()
+		g.checkPause()
 		heartbeat(t, g, first)
 	}
-	g.resize(t.Context())
+	g.autoscale(t.Context())
 	if len(s.cloud.Returns()) == 0 {
 		t.Error("silence after waking is not counted")
 	}
--- a/swarm_test.go
+++ b/swarm_test.go
@@ -34,7 +34,7 @@
 		accepted := s.state.Puts()
 		s.resync(g)
 		ended := map[string]bool{}
-		work := func(g *term, rounds int) {
+		work := func(g *leader, rounds int) {
 			for range rounds {
 				s.settle(g)
 				for _, w := range ws {
@@ -113,7 +113,7 @@
 	stop()
 	g, _ = s.elect(b)
 	g.mu.Lock()
-	if c := g.fl.Machine("n-1").UsedCores; c != 6 {
+	if c := g.fleet.Machine("n-1").UsedCores; c != 6 {
 		t.Errorf("%v cores in use, want 6: the cancelled task may still run", c)
 	}
 	g.mu.Unlock()
@@ -196,7 +196,7 @@
 				s.submit(b, spec("j-2", func(sp *wire.Spec) { sp.Priority, sp.Cores, sp.RAM = "high", 2, 4 }))
 				s.resync(g)
 			}
-			g.step(t.Context())
+			g.pass(t.Context())
 			for _, w := range ws {
 				heartbeat(t, g, w) // takes its orders
 			}
@@ -211,7 +211,7 @@
 			s.advance(time.Second)
 			g.mu.Lock()
 			done = g.jobs["j-1"].done
-			looked, g.fl.Examined = looked+g.fl.Examined, 0
+			looked, g.fleet.Examined = looked+g.fleet.Examined, 0
 			g.mu.Unlock()
 		}
 		s.settle(g)
@@ -263,7 +263,7 @@
 	placed := func(uid string) int {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.jobs[uid].prune()
+		g.jobs[uid].pruneWaiting()
 		return len(g.jobs[uid].tasks) - len(g.jobs[uid].waiting)
 	}
 	s.pass(g, ws, 1)
@@ -351,11 +351,11 @@
 	// One that is refused does not keep the others up.
 	s.submit(n, spec("j-3", nil))
 	s.resync(g)
-	w := &write{nonce: "x"}
+	w := &transaction{nonce: "x"}
 	for k := range 30 {
 		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: fmt.Sprintf("p/x/%05d", k)})
 	}
-	if !g.record(t.Context(), w) {
+	if !g.commit(t.Context(), w) {
 		t.Fatal("a refused transaction ends the term")
 	}
 	s.pass(g, ws, 2)
--- a/teams.go
+++ b/teams.go
@@ -11,14 +11,14 @@
 // teamsPerPage bounds one message between controllers: a team takes some 300 bytes.
 const teamsPerPage = 100
 
-// newFor is how long a job counts as new: a plan has hardly seen it.
-const newFor = 2 * clock.Second
+// newJobAge is how long a job counts as new: a plan has hardly seen it.
+const newJobAge = 2 * clock.Second
 
-// leadersTeams reads the leader's ledger, here or at the controller that leads.
-func (s *Service) leadersTeams(ctx context.Context) (quota.Report, error) {
-	leader := s.el.Leader()
+// leaderTeams reads the leader's ledger, here or at the controller that leads.
+func (s *Service) leaderTeams(ctx context.Context) (quota.Report, error) {
+	leader := s.elector.Leader()
 	r := quota.Report{Leader: leader, Fresh: true}
-	if g := s.term.Load(); g != nil {
+	if g := s.current.Load(); g != nil {
 		teams, ok := g.teamReports()
 		if !ok {
 			return r, errNoLeader
@@ -26,18 +26,18 @@
 		r.Leader, r.Teams = s.cfg.Node, teams
 		return r, nil
 	}
-	link := s.relays[leader]
+	link := s.relayLinks[leader]
 	if link == nil {
 		return r, errNoLeader
 	}
-	teams, err := teamsOf(ctx, link)
+	teams, err := readTeams(ctx, link)
 	r.Teams = teams
 	return r, err
 }
 
-// teamsOf reads the ledger of a controller that leads, page by page.
-func teamsOf(ctx context.Context, link *peer.Link) (teams []quota.TeamReport, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// readTeams reads the ledger of a controller that leads, page by page.
+func readTeams(ctx context.Context, link *peer.Link) (teams []quota.TeamReport, err error) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	for after, more := "", true; more; {
 		reply, err := link.Ask(ctx, peer.Ask{Teams: true, TeamsAfter: after})
@@ -61,7 +61,7 @@
 
 // teamsPage answers another controller that serves operators: with nothing, unless this one leads.
 func (s *Service) teamsPage(after string) []byte {
-	g := s.term.Load()
+	g := s.current.Load()
 	if g == nil {
 		return nil
 	}
@@ -90,8 +90,8 @@
 
 // teamReports tells what each team uses and what of its work waits; false where this
 // controller does not know, because its lease as leader or its records are not there.
-func (g *term) teamReports() ([]quota.TeamReport, bool) {
-	if _, may := g.el.HoldsLease(); !may {
+func (g *leader) teamReports() ([]quota.TeamReport, bool) {
+	if _, may := g.elector.HoldsLease(); !may {
 		return nil, false
 	}
 	g.mu.Lock()
@@ -113,11 +113,11 @@
 }
 
 // waitingByTeam sums up the tasks that wait, and why. The caller holds mu.
-func (g *term) waitingByTeam() map[string]*quota.WaitingReport {
-	now := g.ck.Now()
+func (g *leader) waitingByTeam() map[string]*quota.WaitingReport {
+	now := g.clock.Now()
 	out := map[string]*quota.WaitingReport{}
 	for j := range g.queue {
-		ready, later := j.waitingTasks(now)
+		ready, later := j.countWaiting(now)
 		if j.cancelled || ready+later == 0 {
 			continue
 		}
@@ -127,7 +127,7 @@
 			out[j.spec.Team] = w
 		}
 		w.Jobs++
-		if j.pj.Entitled {
+		if j.planJob.Entitled {
 			w.WithinGuarantee += ready + later
 		}
 		w.Add(g.whyWaits(j, now), ready)
@@ -136,8 +136,8 @@
 	return out
 }
 
-// waitingTasks counts a job's tasks that wait, apart from those that are backing off.
-func (j *job) waitingTasks(now clock.Micros) (ready, later int) {
+// countWaiting counts a job's tasks that wait, apart from those that are backing off.
+func (j *Job) countWaiting(now clock.Micros) (ready, later int) {
 	for _, i := range j.waiting {
 		switch t := &j.tasks[i]; {
 		case t.state != taskWaiting:
@@ -151,15 +151,15 @@
 }
 
 // whyWaits tells why those of a job's tasks wait that are not backing off. The caller holds mu.
-func (g *term) whyWaits(j *job, now clock.Micros) quota.Reason {
+func (g *leader) whyWaits(j *Job, now clock.Micros) quota.Reason {
 	switch {
-	case j.calledOff:
+	case j.cancellationPending:
 		return quota.ReasonCancelling
-	case !g.mayGrow(j):
+	case !g.fitsTeamLimit(j):
 		return quota.ReasonLimit
-	case j.failures.doubtful():
+	case j.failures.onTrial():
 		return quota.ReasonRetry
-	case now-j.seen < newFor:
+	case now-j.seenAt < newJobAge:
 		return quota.ReasonNew
 	}
 	return quota.ReasonRoom
--- a/teams_test.go
+++ b/teams_test.go
@@ -32,7 +32,7 @@
 	s := newSite(t)
 	n := s.node(func(f *config.Facts) { f.Teams[0].CPUsMax, f.Teams[0].CPUs = 4, 2 })
 	g, w, _ := ledWork(t, n, s, 4)
-	n.term.Store(g)
+	n.current.Store(g)
 	look := func() quota.TeamReport {
 		t.Helper()
 		r, err := n.Teams(t.Context())
@@ -136,13 +136,13 @@
 	}
 	a, b := s.node(many), s.node(many)
 	s.connect(a, b)
-	link := a.relays[b.cfg.Node]
-	if teams, err := teamsOf(t.Context(), link); !errors.Is(err, errNoLeader) {
+	link := a.relayLinks[b.cfg.Node]
+	if teams, err := readTeams(t.Context(), link); !errors.Is(err, errNoLeader) {
 		t.Fatalf("of one that does not lead: %d teams, %v", len(teams), err)
 	}
 	g, _ := s.elect(b)
-	b.term.Store(g)
-	teams, err := teamsOf(t.Context(), link)
+	b.current.Store(g)
+	teams, err := readTeams(t.Context(), link)
 	if err != nil || len(teams) != 1001 {
 		t.Fatalf("%d teams, %v", len(teams), err)
 	}
