--- a/bench_test.go
+++ b/bench_test.go
@@ -39,21 +39,21 @@
 
 // ledFleet is a leader that trusts machines with tasks on each.
 func ledFleet(tb testing.TB, machines, tasks int) (*site, *leader) {
-	s, g := adopted(tb, machines, tasks)
-	for tally, token := range []uint64{0, g.term.Token, g.term.Token} {
+	s, l := adopted(tb, machines, tasks)
+	for tally, token := range []uint64{0, l.term.Token, l.term.Token} {
 		for i := range machines {
 			rep := report(i, tasks, uint64(tally)+1, token)
-			if _, ok := g.Heartbeat(rep); !ok {
+			if _, ok := l.Heartbeat(rep); !ok {
 				tb.Fatal("beat not answered")
 			}
 		}
 	}
-	return s, g
+	return s, l
 }
 
 // body is a report as it comes.
-func body(tb testing.TB, rep *wire.Heartbeat) []byte {
-	raw, err := wire.Marshal(rep)
+func body(tb testing.TB, report *wire.Heartbeat) []byte {
+	raw, err := wire.Marshal(report)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -62,18 +62,18 @@
 
 type benchSteward struct{ g *leader }
 
-func (s benchSteward) Heartbeat(rep *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
-	return s.g.Heartbeat(rep)
+func (s benchSteward) Heartbeat(report *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+	return s.g.Heartbeat(report)
 }
 func (s benchSteward) Leader() string { return "" }
 
 // front serves users and workers on loopback as the daemon does.
-func front(tb testing.TB, g *leader, h http.Handler) string {
+func front(tb testing.TB, l *leader, h http.Handler) string {
 	ln, err := listen(tb.Context(), "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	limited := connlimit.New(ln, 1000, connlimit.Outgoing{Workers: g.workers}, g.clock, g.log)
+	limited := connlimit.New(ln, 1000, connlimit.Outgoing{Workers: l.workers}, l.clock, l.log)
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
 		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ConnState: limited.ConnState}
 	go srv.Serve(limited)
@@ -129,12 +129,12 @@
 		change bool
 	}{{"unchanged", false}, {"changed", true}} {
 		b.Run(c.name, func(b *testing.B) {
-			_, g := ledFleet(b, benchMachines, benchTasks)
-			h := agent.ServeHeartbeat(benchSteward{g}, func() bool { return false })
+			_, l := ledFleet(b, benchMachines, benchTasks)
+			h := agent.ServeHeartbeat(benchSteward{l}, func() bool { return false })
 			var raws [][]byte
 			for n := range 2 {
 				for i := range benchMachines {
-					rep := report(i, benchTasks, 1, g.term.Token)
+					rep := report(i, benchTasks, 1, l.term.Token)
 					if n == 1 && c.change {
 						rep.Tasks[0].Status = wire.TaskFlushing
 					}
@@ -171,13 +171,13 @@
 
 // BenchmarkBeatServed is the same over a connection.
 func BenchmarkBeatServed(b *testing.B) {
-	_, g := ledFleet(b, benchMachines, benchTasks)
-	n := g.service(b)
-	n.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(benchSteward{g}, func() bool { return false }))
-	addr := front(b, g, n.router)
+	_, l := ledFleet(b, benchMachines, benchTasks)
+	n := l.service(b)
+	n.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(benchSteward{l}, func() bool { return false }))
+	addr := front(b, l, n.router)
 	raws, conns := make([][]byte, benchMachines), make([]*exchange, benchMachines)
 	for i := range raws {
-		raws[i] = body(b, report(i, benchTasks, 1, g.term.Token))
+		raws[i] = body(b, report(i, benchTasks, 1, l.term.Token))
 		conns[i] = dial(b, addr)
 	}
 	single(b)
@@ -191,11 +191,11 @@
 
 // BenchmarkRedirectServed is a heartbeat at a controller that does not lead.
 func BenchmarkRedirectServed(b *testing.B) {
-	_, g := ledFleet(b, 10, benchTasks)
+	_, l := ledFleet(b, 10, benchTasks)
 	h := http.HandlerFunc(agent.ServeHeartbeat(sends{}, func() bool { return false }))
-	addr := front(b, g, h)
+	addr := front(b, l, h)
 	x := dial(b, addr)
-	raw := body(b, report(1, benchTasks, 1, g.term.Token))
+	raw := body(b, report(1, benchTasks, 1, l.term.Token))
 	single(b)
 	b.ResetTimer()
 	for range b.N {
@@ -211,23 +211,23 @@
 func (sends) Leader() string { return "node-2" }
 
 // service gives a second node of the leader's site that serves users.
-func (g *leader) service(tb testing.TB) *Service {
-	op, err := config.LoadOperator("")
+func (l *leader) service(tb testing.TB) *Service {
+	operator, err := config.LoadOperator("")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	cfg := *g.cfg
-	n := newService(&cfg, op, g.log, g.clock)
-	n.current.Store(g)
+	cfg := *l.cfg
+	n := newService(&cfg, operator, l.log, l.clock)
+	n.current.Store(l)
 	return n
 }
 
 // BenchmarkPoll is one poll of an unfinished job, alone in its read, over a connection.
 func BenchmarkPollServed(b *testing.B) {
-	s, g := ledFleet(b, benchMachines, benchTasks)
-	n := g.service(b)
+	s, l := ledFleet(b, benchMachines, benchTasks)
+	n := l.service(b)
 	s.submit(n, spec("j-900", nil))
-	x := dial(b, front(b, g, n.router))
+	x := dial(b, front(b, l, n.router))
 	single(b)
 	b.ResetTimer()
 	for range b.N {
@@ -237,9 +237,9 @@
 
 // BenchmarkSubmitServed is one submission, alone in its transaction, over a connection.
 func BenchmarkSubmitServed(b *testing.B) {
-	_, g := ledFleet(b, benchMachines, benchTasks)
-	n := g.service(b)
-	x := dial(b, front(b, g, n.router))
+	_, l := ledFleet(b, benchMachines, benchTasks)
+	n := l.service(b)
+	x := dial(b, front(b, l, n.router))
 	single(b)
 	b.ResetTimer()
 	for k := range b.N {
@@ -249,9 +249,9 @@
 
 // BenchmarkHealth is a probe of the load balancer.
 func BenchmarkHealthServed(b *testing.B) {
-	_, g := ledFleet(b, 10, benchTasks)
-	n := g.service(b)
-	x := dial(b, front(b, g, n.router))
+	_, l := ledFleet(b, 10, benchTasks)
+	n := l.service(b)
+	x := dial(b, front(b, l, n.router))
 	single(b)
 	b.ResetTimer()
 	for range b.N {
@@ -261,52 +261,52 @@
 
 // BenchmarkStep is a pass of the leader's loop with nothing to do.
 func BenchmarkStep(b *testing.B) {
-	_, g := ledFleet(b, benchMachines, benchTasks)
-	g.pass(b.Context())
+	_, l := ledFleet(b, benchMachines, benchTasks)
+	l.pass(b.Context())
 	single(b)
 	b.ResetTimer()
 	for range b.N {
-		g.pass(b.Context())
+		l.pass(b.Context())
 	}
 }
 
 // BenchmarkRound is a repair round.
 func BenchmarkRound(b *testing.B) {
-	_, g := ledFleet(b, benchMachines, benchTasks)
-	g.pass(b.Context())
+	_, l := ledFleet(b, benchMachines, benchTasks)
+	l.pass(b.Context())
 	single(b)
 	b.ResetTimer()
 	for range b.N {
-		g.mu.Lock()
-		g.repairAt = 0
-		g.runPlan(g.clock.Now())
-		g.mu.Unlock()
+		l.mu.Lock()
+		l.repairAt = 0
+		l.runPlan(l.clock.Now())
+		l.mu.Unlock()
 	}
 }
 
 // BenchmarkResize is a pass of the fleet's sizing with nothing to rent or return.
 func BenchmarkResize(b *testing.B) {
-	_, g := ledFleet(b, benchMachines, benchTasks)
+	_, l := ledFleet(b, benchMachines, benchTasks)
 	single(b)
 	b.ResetTimer()
 	for range b.N {
-		g.autoscale(b.Context())
+		l.autoscale(b.Context())
 	}
 }
 
 // BenchmarkList is one reading of the cloud's list, without its request.
 func BenchmarkCheckStall(b *testing.B) {
-	_, g := ledFleet(b, benchMachines, benchTasks)
+	_, l := ledFleet(b, benchMachines, benchTasks)
 	single(b)
 	b.ResetTimer()
 	for range b.N {
-		g.checkPause()
+		l.checkPause()
 	}
 }
 
 // BenchmarkChange is a job that comes with the changes, and a plan that finds no room for it.
 func BenchmarkChange(b *testing.B) {
-	_, g := ledFleet(b, benchMachines, benchTasks)
+	_, l := ledFleet(b, benchMachines, benchTasks)
 	raw, err := wire.Marshal(store.JobRecord{Spec: spec("j-900", func(sp *wire.Spec) { sp.Tasks = 8 })})
 	if err != nil {
 		b.Fatal(err)
@@ -314,14 +314,14 @@
 	single(b)
 	b.ResetTimer()
 	for range b.N {
-		g.mu.Lock()
-		if err := g.addJob(store.JobKey("j-900"), raw, 1, g.clock.Now()); err != nil {
+		l.mu.Lock()
+		if err := l.addJob(store.JobKey("j-900"), raw, 1, l.clock.Now()); err != nil {
 			b.Fatal(err)
 		}
-		j := g.jobs["j-900"]
-		delete(g.jobs, "j-900")
-		delete(g.queue, j)
-		g.mu.Unlock()
+		job := l.jobs["j-900"]
+		delete(l.jobs, "j-900")
+		delete(l.queue, job)
+		l.mu.Unlock()
 	}
 }
 
@@ -330,12 +330,12 @@
 func BenchmarkTask(b *testing.B) {
 	s := newSite(b)
 	n := s.node(nil)
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	tallies := make([]uint64, benchMachines)
-	heartbeat := func(i int, rep *wire.Heartbeat) wire.HeartbeatResponse {
+	heartbeat := func(i int, report *wire.Heartbeat) wire.HeartbeatResponse {
 		tallies[i]++
-		rep.Sequence = tallies[i]
-		ans, ok := g.Heartbeat(rep)
+		report.Sequence = tallies[i]
+		ans, ok := l.Heartbeat(report)
 		if !ok {
 			b.Fatal("not answered")
 		}
@@ -343,7 +343,7 @@
 	}
 	for range 3 {
 		for i := range benchMachines {
-			heartbeat(i, report(i, 0, 0, g.term.Token))
+			heartbeat(i, report(i, 0, 0, l.term.Token))
 		}
 	}
 	single(b)
@@ -358,20 +358,20 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		g.mu.Lock()
-		if err := g.addJob(store.JobKey(uid), raw, epoch, g.clock.Now()); err != nil {
+		l.mu.Lock()
+		if err := l.addJob(store.JobKey(uid), raw, epoch, l.clock.Now()); err != nil {
 			b.Fatal(err)
 		}
-		g.bestEffortTokens = 48
-		g.mu.Unlock()
-		g.pass(b.Context())
+		l.bestEffortTokens = 48
+		l.mu.Unlock()
+		l.pass(b.Context())
 		for round := range 3 {
-			g.mu.Lock()
+			l.mu.Lock()
 			on := map[int][]wire.TaskReport{}
-			g.fleet.EachMachine(func(m *fleet.Machine) {
+			l.fleet.EachMachine(func(machine *fleet.Machine) {
 				var at int
-				fmt.Sscanf(m.Name, "n-%d", &at)
-				m.EachAllocation(func(bk *fleet.Allocation) {
+				fmt.Sscanf(machine.Name, "n-%d", &at)
+				machine.EachAllocation(func(bk *fleet.Allocation) {
 					st := wire.TaskReport{Task: bk.Task.String(), Attempt: bk.Attempt, Status: wire.TaskRunning}
 					if round == 2 {
 						st.Status, st.Cause = wire.TaskEnded, wire.CauseDone
@@ -383,21 +383,21 @@
 					}
 				})
 			})
-			g.mu.Unlock()
+			l.mu.Unlock()
 			for i, list := range on {
-				rep := report(i, 0, 0, g.term.Token)
+				rep := report(i, 0, 0, l.term.Token)
 				rep.Tasks = list
 				heartbeat(i, rep)
 			}
 			if round == 2 {
-				g.mu.Lock()
-				for uid := range g.pendingResults {
-					g.dirty[uid] = true
+				l.mu.Lock()
+				for uid := range l.pendingResults {
+					l.dirty[uid] = true
 				}
-				g.mu.Unlock()
-				g.pass(b.Context())
+				l.mu.Unlock()
+				l.pass(b.Context())
 				for i := range on {
-					heartbeat(i, report(i, 0, 0, g.term.Token))
+					heartbeat(i, report(i, 0, 0, l.term.Token))
 				}
 			}
 			k += 16
@@ -407,8 +407,8 @@
 
 // BenchmarkConnect is a connection that comes, with one probe, and goes.
 func BenchmarkConnect(b *testing.B) {
-	_, g := ledFleet(b, 10, benchTasks)
-	addr := front(b, g, g.service(b).router)
+	_, l := ledFleet(b, 10, benchTasks)
+	addr := front(b, l, l.service(b).router)
 	single(b)
 	b.ResetTimer()
 	for range b.N {
@@ -424,40 +424,40 @@
 
 // BenchmarkPlanShort is a plan for 60 jobs that find no room.
 func BenchmarkPlanShort(b *testing.B) {
-	_, g := ledFleet(b, benchMachines, benchTasks)
-	g.mu.Lock()
+	_, l := ledFleet(b, benchMachines, benchTasks)
+	l.mu.Lock()
 	for k := range 60 {
 		sp := spec(fmt.Sprintf("j-%d", 2000+k), func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 8, 3+float64(k%4), 8+float64(k%7) })
 		raw, err := wire.Marshal(store.JobRecord{Spec: sp})
 		if err != nil {
 			b.Fatal(err)
 		}
-		if err := g.addJob(store.JobKey(sp.UID), raw, 1, g.clock.Now()); err != nil {
+		if err := l.addJob(store.JobKey(sp.UID), raw, 1, l.clock.Now()); err != nil {
 			b.Fatal(err)
 		}
 	}
-	g.mu.Unlock()
+	l.mu.Unlock()
 	single(b)
 	b.ResetTimer()
 	for range b.N {
-		g.mu.Lock()
-		g.jobsChanged = true
-		g.runPlan(g.clock.Now())
-		g.mu.Unlock()
+		l.mu.Lock()
+		l.jobsChanged = true
+		l.runPlan(l.clock.Now())
+		l.mu.Unlock()
 	}
 }
 
 // BenchmarkRefresh is a machine brought into the picture.
 func BenchmarkRefresh(b *testing.B) {
-	_, g := ledFleet(b, benchMachines, benchTasks)
-	g.pass(b.Context())
-	machines := g.fleet.Machines()
+	_, l := ledFleet(b, benchMachines, benchTasks)
+	l.pass(b.Context())
+	machines := l.fleet.Machines()
 	single(b)
 	b.ResetTimer()
 	for k := range b.N {
-		g.mu.Lock()
-		g.refreshMachine(machines[k%len(machines)], g.clock.Now())
-		g.mu.Unlock()
+		l.mu.Lock()
+		l.refreshMachine(machines[k%len(machines)], l.clock.Now())
+		l.mu.Unlock()
 	}
 }
 
--- a/boots_test.go
+++ b/boots_test.go
@@ -15,48 +15,48 @@
 	t.Helper()
 	s := newSite(t)
 	node := s.node(nil)
-	g, _ := s.elect(node)
-	rentMore(g, 0, n)
+	l, _ := s.elect(node)
+	rentMore(l, 0, n)
 	s.advance(ago)
-	return s, g
+	return s, l
 }
 
-func rentMore(g *leader, from, n int) {
-	now := g.clock.Now()
+func rentMore(l *leader, from, n int) {
+	now := l.clock.Now()
 	for i := from; i < from+n; i++ {
-		m := g.fleet.Ensure(fmt.Sprintf("n-%02d", i), now)
-		g.fleet.Describe(m, "e", "b", "x", true)
-		m.CloudStatus, m.ListedAt = wire.MachineBooting, now
-		g.rentedAt[m.Name] = now
+		machine := l.fleet.Ensure(fmt.Sprintf("n-%02d", i), now)
+		l.fleet.Describe(machine, "e", "b", "x", true)
+		machine.CloudStatus, machine.ListedAt = wire.MachineBooting, now
+		l.rentedAt[machine.Name] = now
 	}
 }
 
-func (g *leader) upFrom(from, n int) {
+func (l *leader) upFrom(from, n int) {
 	for i := from; i < from+n; i++ {
-		m := g.fleet.Machine(fmt.Sprintf("n-%02d", i))
-		m.Reported, m.LastHeartbeat = true, g.clock.Now()
-		g.machineBooted(m, g.clock.Now())
+		machine := l.fleet.Machine(fmt.Sprintf("n-%02d", i))
+		machine.Reported, machine.LastHeartbeat = true, l.clock.Now()
+		l.machineBooted(machine, l.clock.Now())
 	}
 }
 
-func counts(g *leader) (out, givenUp int) {
-	overdue := g.overdueMachines(g.clock.Now())
+func counts(l *leader) (out, givenUp int) {
+	overdue := l.overdueMachines(l.clock.Now())
 	return len(overdue.Replace), len(overdue.Return)
 }
 
 // A machine that stays away while others come is replaced and returned long
 // before the whole of the patience with it.
 func TestOneMachineThatNeverComes(t *testing.T) {
-	s, g := booting(t, 10, 30*time.Second)
-	g.upFrom(1, 9)
-	if out, up := counts(g); out != 0 || up != 0 {
+	s, l := booting(t, 10, 30*time.Second)
+	l.upFrom(1, 9)
+	if out, up := counts(l); out != 0 || up != 0 {
 		t.Errorf("in its time: %d counted out, %d given up", out, up)
 	}
 	s.advance(22 * time.Second) // 52 s of the 30 that its type takes
-	if out, up := counts(g); out != 1 || up != 1 {
+	if out, up := counts(l); out != 1 || up != 1 {
 		t.Errorf("late: %d counted out, %d given up, want it", out, up)
 	}
-	for _, share := range g.bootTimes.Shares() {
+	for _, share := range l.bootTimes.Shares() {
 		if share < 0.99 || share > 1.01 {
 			t.Errorf("a boot of 30 s was taken for %.2f of the stated time", share)
 		}
@@ -66,20 +66,20 @@
 // When all come late, neither a second fleet is rented on top nor all are
 // returned and rented anew; when new ones come in time again, the rest goes.
 func TestAllMachinesComeLate(t *testing.T) {
-	s, g := booting(t, 20, 60*time.Second)
-	if out, up := counts(g); out == 0 || out > 6 || up != 0 {
+	s, l := booting(t, 20, 60*time.Second)
+	if out, up := counts(l); out == 0 || out > 6 || up != 0 {
 		t.Errorf("all late: %d counted out, %d given up, want a part and none", out, up)
 	}
 	s.advance(30 * time.Second)
-	g.upFrom(0, 8) // at three times the stated time
+	l.upFrom(0, 8) // at three times the stated time
 	s.advance(40 * time.Second)
-	if out, up := counts(g); out == 0 || out > 4 || up != 0 {
+	if out, up := counts(l); out == 0 || out > 4 || up != 0 {
 		t.Errorf("at 4.3 times, others having come at 3: %d counted out, %d given up", out, up)
 	}
-	rentMore(g, 20, 12)
+	rentMore(l, 20, 12)
 	s.advance(20 * time.Second)
-	g.upFrom(20, 12)
-	if out, up := counts(g); out != 12 || up != 12 {
+	l.upFrom(20, 12)
+	if out, up := counts(l); out != 12 || up != 12 {
 		t.Errorf("new ones come in time: %d counted out, %d given up, want the 12 left", out, up)
 	}
 }
@@ -89,28 +89,28 @@
 func TestMachineUpAtOnce(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) {
 		sp.Cores, sp.Preemptible, sp.Kind, sp.Priority = 6, false, wire.KindService, "critical"
 	}))
-	s.resync(g)
-	g.autoscale(t.Context())
+	s.resync(l)
+	l.autoscale(t.Context())
 	hosts := s.cloud.Hosts()
 	if len(hosts) == 0 {
 		t.Fatal("nothing rented")
 	}
 	for _, h := range hosts {
 		w := s.worker(h.UID, h.Zone, h.Preemptible)
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 	}
 	for range 5 {
 		s.advance(time.Second)
-		g.autoscale(t.Context())
+		l.autoscale(t.Context())
 	}
 	if more := len(s.cloud.Hosts()) - len(hosts); more != 0 || len(s.cloud.Returns()) != 0 {
 		t.Errorf("%d more rented, returned %v", more, s.cloud.Returns())
 	}
-	for _, share := range g.bootTimes.Shares() {
+	for _, share := range l.bootTimes.Shares() {
 		if share > float64(2*clock.Second)/float64(30*clock.Second) {
 			t.Errorf("boot taken for %.2f of the stated time", share)
 		}
@@ -121,20 +121,20 @@
 // fleet before it gives the lead up.
 func TestNothingIsRentedByALeaderThatHearsNobody(t *testing.T) {
 	for _, machines := range []int{3, 14} {
-		s, n, g, ws := crew(t, machines)
+		s, n, l, ws := crew(t, machines)
 		s.submit(n, spec("j-1", func(sp *wire.Spec) {
 			sp.Tasks, sp.Cores, sp.Kind, sp.Priority, sp.ExpectedS = machines, 6, wire.KindService, "critical", 0
 		}))
-		s.resync(g)
-		s.pass(g, ws, 20)
+		s.resync(l)
+		s.pass(l, ws, 20)
 		for range 4 {
-			g.autoscale(t.Context()) // what is short is rented while they are heard
+			l.autoscale(t.Context()) // what is short is rented while they are heard
 		}
 		before := len(s.cloud.Asked())
 		for range 8 {
 			s.advance(time.Second)
-			g.pass(t.Context())
-			g.autoscale(t.Context())
+			l.pass(t.Context())
+			l.autoscale(t.Context())
 		}
 		if more := s.cloud.Asked()[before:]; len(more) != 0 {
 			t.Errorf("%d machines silent at once: rented %+v", machines, more)
--- a/changes.go
+++ b/changes.go
@@ -21,146 +21,146 @@
 
 // interruptions numbers the spells in which changes may have been missed: the service
 // failed this node, its lease may have lapsed, or the process stood still.
-func (g *leader) interruptions() uint64 {
-	return g.store.Interruptions() + g.elector.LeaseInterruptions() + g.processPauses
+func (l *leader) interruptions() uint64 {
+	return l.store.Interruptions() + l.elector.LeaseInterruptions() + l.processPauses
 }
 
 // synced tells whether the changes of the last spell have been read. The
 // caller holds mu.
-func (g *leader) synced() bool { return g.syncedInterruption == g.interruptions() }
+func (l *leader) synced() bool { return l.syncedInterruption == l.interruptions() }
 
 // commandScope is what may be told to workers right now. The caller holds mu.
-func (g *leader) commandScope() fleet.Scope {
-	if _, may := g.elector.HoldsLease(); !may {
+func (l *leader) commandScope() fleet.Scope {
+	if _, may := l.elector.HoldsLease(); !may {
 		return fleet.StopsOnly
 	}
-	if !g.synced() {
+	if !l.synced() {
 		return fleet.NoRuns
 	}
 	return fleet.AllCommands
 }
 
 // syncedRevision is the epoch up to which this leader knows the changes of jobs.
-func (g *leader) syncedRevision() uint64 {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.knownRevision
+func (l *leader) syncedRevision() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.knownRevision
 }
 
 // changesRead notes that all changes of jobs up to an epoch are known, by a read that
 // began after the given spell, under the lease or not. The epoch counts only if the
 // lease stands still: then no successor's change can be among them, and none of a
 // process of another node that came after a successor there. The caller holds mu.
-func (g *leader) changesRead(epoch uint64, began clock.Micros, spell uint64, held bool) {
-	g.changesReadAt = max(g.changesReadAt, began)
-	if _, still := g.elector.HoldsLease(); still {
-		g.knownRevision = max(g.knownRevision, epoch)
+func (l *leader) changesRead(epoch uint64, began clock.Micros, spell uint64, held bool) {
+	l.changesReadAt = max(l.changesReadAt, began)
+	if _, still := l.elector.HoldsLease(); still {
+		l.knownRevision = max(l.knownRevision, epoch)
 	}
 	if held {
-		g.syncedInterruption = max(g.syncedInterruption, spell)
+		l.syncedInterruption = max(l.syncedInterruption, spell)
 	}
-	for j, at := range g.cancellationPending {
-		if at < began || j.cancelled {
+	for job, at := range l.cancellationPending {
+		if at < began || job.cancelled {
 			// Cancelled, or it was not true.
-			j.cancellationPending = false
-			g.jobsChanged = true
-			delete(g.cancellationPending, j)
+			job.cancellationPending = false
+			l.jobsChanged = true
+			delete(l.cancellationPending, job)
 		}
 	}
 }
 
 // watchJobs follows the job records: other nodes accept and cancel jobs there.
-func (g *leader) watchJobs(ctx context.Context, since uint64) {
+func (l *leader) watchJobs(ctx context.Context, since uint64) {
 	for ctx.Err() == nil {
-		err := g.readChanges(ctx, &since)
+		err := l.readChanges(ctx, &since)
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
-		g.log.Debug("watch jobs", "error", err)
-		if err := g.resync(ctx, &since); err != nil && ctx.Err() == nil {
-			g.log.Debug("read jobs again", "error", err)
-			g.sleep(ctx, 500*clock.Millisecond)
+		l.log.Debug("watch jobs", "error", err)
+		if err := l.resync(ctx, &since); err != nil && ctx.Err() == nil {
+			l.log.Debug("read jobs again", "error", err)
+			l.sleep(ctx, 500*clock.Millisecond)
 		}
 	}
 }
 
 // readChanges reads the changes of jobs after an epoch: at once after a spell in
 // which some may have been missed, else when there are any.
-func (g *leader) readChanges(ctx context.Context, since *uint64) error {
+func (l *leader) readChanges(ctx context.Context, since *uint64) error {
 	wctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	_, held := g.elector.HoldsLease()
-	g.mu.Lock()
-	began, spell := g.clock.Now(), g.interruptions()
-	behind := held && g.syncedInterruption != spell
+	_, held := l.elector.HoldsLease()
+	l.mu.Lock()
+	began, spell := l.clock.Now(), l.interruptions()
+	behind := held && l.syncedInterruption != spell
 	if !behind {
-		g.stopWatch = cancel
+		l.stopWatch = cancel
 	}
-	g.mu.Unlock()
+	l.mu.Unlock()
 	var ch wire.WatchResponse
 	var err error
 	if behind {
-		ch, err = g.store.ChangesSince(wctx, store.PrefixJob, *since)
+		ch, err = l.store.ChangesSince(wctx, store.PrefixJob, *since)
 	} else {
-		ch, err = g.store.Watch(wctx, store.PrefixJob, *since, min(watchTimeout, g.maxUnsynced()/3))
+		ch, err = l.store.Watch(wctx, store.PrefixJob, *since, min(watchTimeout, l.maxUnsynced()/3))
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.stopWatch = nil
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.stopWatch = nil
 	if err != nil {
 		if wctx.Err() != nil && ctx.Err() == nil {
 			return nil // it was ended to read at once
 		}
 		return err
 	}
-	now := g.clock.Now()
+	now := l.clock.Now()
 	*since = max(*since, ch.Revision)
-	for _, ev := range ch.Events {
-		if ev.Set != "" {
-			if err := g.addJob(ev.Set, ev.Value, ev.ModRevision, now); err != nil {
-				g.log.Error("job record ignored", "error", err)
+	for _, event := range ch.Events {
+		if event.Set != "" {
+			if err := l.addJob(event.Set, event.Value, event.ModRevision, now); err != nil {
+				l.log.Error("job record ignored", "error", err)
 			}
-		} else if j := g.jobs[ev.Delete[min(len(store.PrefixJob), len(ev.Delete)):]]; j != nil {
+		} else if job := l.jobs[event.Delete[min(len(store.PrefixJob), len(event.Delete)):]]; job != nil {
 			// Only this leader calls a job done, and it drops the job itself when
 			// it does; so this is a cancel accepted somewhere.
-			g.cancel(j, now)
+			l.cancel(job, now)
 		}
 	}
-	g.changesRead(ch.Revision, began, spell, held)
+	l.changesRead(ch.Revision, began, spell, held)
 	if len(ch.Events) > 0 || behind {
-		g.wake()
+		l.wake()
 	}
 	return nil
 }
 
 // resync reads all job records again, after a watch that broke or was too old.
-func (g *leader) resync(ctx context.Context, since *uint64) error {
-	_, held := g.elector.HoldsLease()
-	g.mu.Lock()
-	began, spell := g.clock.Now(), g.interruptions()
-	g.mu.Unlock()
-	rows, epoch, err := g.store.List(ctx, store.Urgent, store.PrefixJob)
+func (l *leader) resync(ctx context.Context, since *uint64) error {
+	_, held := l.elector.HoldsLease()
+	l.mu.Lock()
+	began, spell := l.clock.Now(), l.interruptions()
+	l.mu.Unlock()
+	rows, epoch, err := l.store.List(ctx, store.Urgent, store.PrefixJob)
 	if err != nil {
 		return err
 	}
-	now := g.clock.Now()
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	now := l.clock.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	there := make(map[string]bool, len(rows))
 	for _, row := range rows {
 		there[row.Key] = true
-		if err := g.addJob(row.Key, row.Value, row.ModRevision, now); err != nil {
-			g.log.Error("job record ignored", "error", err)
+		if err := l.addJob(row.Key, row.Value, row.ModRevision, now); err != nil {
+			l.log.Error("job record ignored", "error", err)
 		}
 	}
-	for uid, j := range g.jobs {
-		if !there[store.JobKey(uid)] && j.modRevision <= epoch {
-			g.cancel(j, now)
+	for uid, job := range l.jobs {
+		if !there[store.JobKey(uid)] && job.modRevision <= epoch {
+			l.cancel(job, now)
 		}
 	}
 	*since = epoch
-	g.changesRead(epoch, began, spell, held)
-	g.wake()
+	l.changesRead(epoch, began, spell, held)
+	l.wake()
 	return nil
 }
 
@@ -168,66 +168,66 @@
 // That is a hint, the truth is in the state service: the jobs stay on the books,
 // and go on if the next read of changes does not find them cancelled. A stop
 // breaks no rule, so it needs no lease.
-func (g *leader) hintCancelled(uids []string) {
-	g.mu.Lock()
-	ctx, now, told := g.ctx, g.clock.Now(), false
+func (l *leader) hintCancelled(uids []string) {
+	l.mu.Lock()
+	ctx, now, told := l.ctx, l.clock.Now(), false
 	for _, uid := range uids {
-		j := g.jobs[uid]
-		if j == nil || j.cancelled || !g.loaded {
+		job := l.jobs[uid]
+		if job == nil || job.cancelled || !l.loaded {
 			continue
 		}
-		j.cancellationPending = true
-		g.cancellationPending[j] = now
-		for i := range j.tasks {
-			pc := &j.tasks[i]
-			if pc.moveTarget != nil {
-				g.fleet.Remove(pc.moveTarget, now)
-				pc.moveTarget = nil
+		job.cancellationPending = true
+		l.cancellationPending[job] = now
+		for i := range job.tasks {
+			task := &job.tasks[i]
+			if task.moveTarget != nil {
+				l.fleet.Remove(task.moveTarget, now)
+				task.moveTarget = nil
 			}
-			if b := pc.allocation; b != nil && !b.Stopping {
+			if allocation := task.allocation; allocation != nil && !allocation.Stopping {
 				told = true
 				// Nobody has any use for what it does after this: no time to save.
-				if g.fleet.Stop(b, 0, now) {
-					g.attemptEnded(j, pc, b, true, now)
+				if l.fleet.Stop(allocation, 0, now) {
+					l.attemptEnded(job, task, allocation, true, now)
 				} else {
-					g.urgentMachines[b.Machine] = true
+					l.urgentMachines[allocation.Machine] = true
 				}
 			}
 		}
 	}
-	g.mu.Unlock()
+	l.mu.Unlock()
 	if told && ctx != nil {
-		g.log.Debug("tasks are called off", "jobs", len(uids))
-		g.dispatch(ctx)
+		l.log.Debug("tasks are called off", "jobs", len(uids))
+		l.dispatch(ctx)
 	}
 }
 
 // maxUnsynced is how long a leader may go on that can't read the changes of jobs:
 // its successor must still be able to stop what was cancelled meanwhile in time.
-func (g *leader) maxUnsynced() clock.Micros {
-	w := g.cfg.Facts.Workers
-	left := clock.FromSeconds(w.CancelS) - clock.FromSeconds(w.LeaseS+g.operator.Lead.TTLs).Stretch(clock.Drift)
+func (l *leader) maxUnsynced() clock.Micros {
+	w := l.cfg.Facts.Workers
+	left := clock.FromSeconds(w.CancelS) - clock.FromSeconds(w.LeaseS+l.operator.Lead.TTLs).Stretch(clock.Drift)
 	return max(left, 2*clock.FromSeconds(w.ReportS))
 }
 
 // unsyncedTooLong tells whether this leader has held the lead without reading changes for
 // so long that cancelled tasks may outstay their time. The caller holds mu.
-func (g *leader) unsyncedTooLong(now clock.Micros) bool {
-	_, held := g.elector.HoldsLease()
-	return held && now-max(g.changesReadAt, g.leaseHeldSince, g.runningSince) > g.maxUnsynced()
+func (l *leader) unsyncedTooLong(now clock.Micros) bool {
+	_, held := l.elector.HoldsLease()
+	return held && now-max(l.changesReadAt, l.leaseHeldSince, l.runningSince) > l.maxUnsynced()
 }
 
 // checkSync ends a watch that waits when changes may have been missed, so that
 // they are read at once; and the term, if they can't be for too long. The caller
 // holds mu.
-func (g *leader) checkSync(now clock.Micros) {
-	if _, held := g.elector.HoldsLease(); !held {
-		g.leaseHeldSince = now
-	} else if g.stopWatch != nil && !g.synced() {
-		g.stopWatch()
-	}
-	if g.loaded && g.unsyncedTooLong(now) {
-		g.log.Info("the changes of jobs can't be read: giving leadership up")
-		g.elector.Resign()
+func (l *leader) checkSync(now clock.Micros) {
+	if _, held := l.elector.HoldsLease(); !held {
+		l.leaseHeldSince = now
+	} else if l.stopWatch != nil && !l.synced() {
+		l.stopWatch()
+	}
+	if l.loaded && l.unsyncedTooLong(now) {
+		l.log.Info("the changes of jobs can't be read: giving leadership up")
+		l.elector.Resign()
 	}
 }
--- a/engine.go
+++ b/engine.go
@@ -117,9 +117,9 @@
 		j.shared.version++
 		return &j.shared.Chunk
 	}
-	c := &j.chunks[index/store.TasksPerChunk]
-	c.version++
-	return c
+	chunk := &j.chunks[index/store.TasksPerChunk]
+	chunk.version++
+	return chunk
 }
 
 // leader is everything that a leader knows, from its election to its end.
@@ -215,7 +215,7 @@
 func newLeader(s *Service, r lead.Term) *leader {
 	w := s.cfg.Facts.Workers
 	ledger := s.newLedger(config.TeamLimits(s.cfg.Facts.Teams))
-	g := &leader{
+	l := &leader{
 		quota: ledger,
 		cfg:   s.cfg, operator: s.operator, clock: s.clock, store: s.store, elector: s.elector, workers: s.workers, cloud: s.cloud, log: s.log, metrics: s.metrics, term: r, budget: s.budget,
 		wakeups: make(chan struct{}, 1), runningSince: r.Since,
@@ -228,317 +228,317 @@
 		cancellationPending: map[*Job]clock.Micros{}, recoveryState: newRecoveryState(r.Since),
 		awaitedMachines: map[*fleet.Machine]bool{}, reservedRoom: map[string]string{}, unreachable: map[*fleet.Machine]bool{}, staleReportProbedAt: map[string]clock.Micros{},
 	}
-	g.snapshot = &plan.Snapshot{Quota: ledger, MaxMoves: s.operator.Repair.Restarts, SampleSize: s.operator.Plan.Sample, Preempt: true, StarvedTurns: plan.MaxStarvedTurns}
-	g.fleet.OnMachineChange = func(m *fleet.Machine) { g.changedMachines[m] = true }
-	g.fleet.OnCapacityChange = g.capacityChanged
-	g.fleet.DecideOrphan = g.decideOrphan
-	g.readRecords, g.checkIsolated = s.readRecords, s.isolated
-	return g
+	l.snapshot = &plan.Snapshot{Quota: ledger, MaxMoves: s.operator.Repair.Restarts, SampleSize: s.operator.Plan.Sample, Preempt: true, StarvedTurns: plan.MaxStarvedTurns}
+	l.fleet.OnMachineChange = func(machine *fleet.Machine) { l.changedMachines[machine] = true }
+	l.fleet.OnCapacityChange = l.capacityChanged
+	l.fleet.DecideOrphan = l.decideOrphan
+	l.readRecords, l.checkIsolated = s.readRecords, s.isolated
+	return l
 }
 
 // capacityChanged keeps the counts that the rules look at: of a job's tasks by zone and
 // machine. The caller holds mu.
-func (g *leader) capacityChanged(b *fleet.Allocation, zone string, sign int) {
-	j, ok := b.Owner.(*Job)
+func (l *leader) capacityChanged(allocation *fleet.Allocation, zone string, sign int) {
+	job, ok := allocation.Owner.(*Job)
 	if !ok {
 		return
 	}
-	j.planJob.Count(zone, b.Machine.Name, sign)
-	if j.isService() {
-		g.replicas += sign
+	job.planJob.Count(zone, allocation.Machine.Name, sign)
+	if job.isService() {
+		l.replicas += sign
 	}
 }
 
 // enqueue puts a task among those that wait. The caller holds mu.
-func (g *leader) enqueue(j *Job, index int) {
+func (l *leader) enqueue(job *Job, index int) {
 	// It may stand there still from before an attempt: twice, it would be placed twice.
-	if !j.tasks[index].queued {
-		j.tasks[index].queued = true
-		j.waiting = append(j.waiting, index)
+	if !job.tasks[index].queued {
+		job.tasks[index].queued = true
+		job.waiting = append(job.waiting, index)
 	}
-	g.queue[j] = true
+	l.queue[job] = true
 }
 
 // resultDelay is how long results may wait to be recorded together: the
 // state service takes so many changes a second, and placements come first.
-func (g *leader) resultDelay() clock.Micros {
-	return min(3*clock.Second, clock.FromSeconds(60/g.cfg.Facts.State.WriteRPS))
+func (l *leader) resultDelay() clock.Micros {
+	return min(3*clock.Second, clock.FromSeconds(60/l.cfg.Facts.State.WriteRPS))
 }
 
 // recordResultSoon marks results to be recorded with others. The caller holds mu.
-func (g *leader) recordResultSoon(j *Job, now clock.Micros) {
-	if _, due := g.pendingResults[j.uid]; !due && !g.dirty[j.uid] {
-		g.pendingResults[j.uid] = now + g.resultDelay()
+func (l *leader) recordResultSoon(job *Job, now clock.Micros) {
+	if _, due := l.pendingResults[job.uid]; !due && !l.dirty[job.uid] {
+		l.pendingResults[job.uid] = now + l.resultDelay()
 	}
 }
 
 // wake asks the loop for a pass soon.
-func (g *leader) wake() {
+func (l *leader) wake() {
 	select {
-	case g.wakeups <- struct{}{}:
+	case l.wakeups <- struct{}{}:
 	default:
 	}
 }
 
 // run leads until ctx ends.
-func (g *leader) run(ctx context.Context) error {
-	g.mu.Lock()
-	g.ctx = ctx
-	g.mu.Unlock()
-	epoch, err := g.loadRecords(ctx)
+func (l *leader) run(ctx context.Context) error {
+	l.mu.Lock()
+	l.ctx = ctx
+	l.mu.Unlock()
+	epoch, err := l.loadRecords(ctx)
 	if err != nil {
 		return fmt.Errorf("load records: %w", err)
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { g.watchJobs(ctx, epoch) })
-	wg.Go(func() { g.autoscaleLoop(ctx) })
-	wg.Go(func() { g.pauseLoop(ctx) })
-	wg.Go(func() { g.orphanLookupLoop(ctx) })
-	g.loop(ctx)
+	wg.Go(func() { l.watchJobs(ctx, epoch) })
+	wg.Go(func() { l.autoscaleLoop(ctx) })
+	wg.Go(func() { l.pauseLoop(ctx) })
+	wg.Go(func() { l.orphanLookupLoop(ctx) })
+	l.loop(ctx)
 	wg.Wait()
 	return nil
 }
 
-func (g *leader) newAllocation(j *Job, index int, attempt uint64) *fleet.Allocation {
-	s := &j.spec
-	return &fleet.Allocation{Owner: j, Task: fleet.TaskID{Job: j.uid, Index: index}, Attempt: attempt, Team: s.Team, Cores: s.Cores, Accelerators: s.Accelerators, RAM: s.RAM,
-		Image: s.Image, Priority: j.priority, Preemptible: s.Preemptible, CheckpointGrace: s.CheckpointGraceS, Checkpoints: s.CheckpointIntervalS > 0, HeartbeatOnly: j.bestEffort()}
+func (l *leader) newAllocation(job *Job, index int, attempt uint64) *fleet.Allocation {
+	spec := &job.spec
+	return &fleet.Allocation{Owner: job, Task: fleet.TaskID{Job: job.uid, Index: index}, Attempt: attempt, Team: spec.Team, Cores: spec.Cores, Accelerators: spec.Accelerators, RAM: spec.RAM,
+		Image: spec.Image, Priority: job.priority, Preemptible: spec.Preemptible, CheckpointGrace: spec.CheckpointGraceS, Checkpoints: spec.CheckpointIntervalS > 0, HeartbeatOnly: job.bestEffort()}
 }
 
 // addJob takes an accepted job in. The caller holds mu.
-func (g *leader) addJob(key string, value []byte, stamp uint64, now clock.Micros) error {
+func (l *leader) addJob(key string, value []byte, stamp uint64, now clock.Micros) error {
 	record, err := recovery.DecodeJob(wire.Row{Key: key, Value: value, ModRevision: stamp})
 	if err != nil {
 		return err
 	}
 	if record.Final == nil {
-		g.addRecord(record, stamp, now)
+		l.addRecord(record, stamp, now)
 	}
 	return nil
 }
 
 // addRecord takes an accepted job's record in. The caller holds mu.
-func (g *leader) addRecord(record store.JobRecord, stamp uint64, now clock.Micros) {
+func (l *leader) addRecord(record store.JobRecord, stamp uint64, now clock.Micros) {
 	s := record.Spec
-	if g.recordRestored(s.UID) {
+	if l.recordRestored(s.UID) {
 		return
 	}
-	if j := g.jobs[s.UID]; j != nil {
-		j.modRevision = max(j.modRevision, stamp)
+	if job := l.jobs[s.UID]; job != nil {
+		job.modRevision = max(job.modRevision, stamp)
 		return
 	}
-	delete(g.jobLookups, s.UID)
+	delete(l.jobLookups, s.UID)
 	priority, _ := wire.ParsePriority(s.Priority)
-	j := &Job{uid: s.UID, spec: s, priority: priority, modRevision: stamp, acceptedAt: record.AcceptedUS, seenAt: now, order: record.AcceptedUS,
+	job := &Job{uid: s.UID, spec: s, priority: priority, modRevision: stamp, acceptedAt: record.AcceptedUS, seenAt: now, order: record.AcceptedUS,
 		tasks: make([]Task, s.Tasks), waiting: make([]int, s.Tasks),
 		chunks: make([]Chunk, (s.Tasks+store.TasksPerChunk-1)/store.TasksPerChunk)}
-	for i := range j.waiting {
-		j.waiting[i] = i
-		j.tasks[i].queued = true
-	}
-	j.planJob = g.newPlanJob(j)
-	g.jobs[s.UID] = j
-	g.queue[j] = true
-	g.jobsChanged = true
+	for i := range job.waiting {
+		job.waiting[i] = i
+		job.tasks[i].queued = true
+	}
+	job.planJob = l.newPlanJob(job)
+	l.jobs[s.UID] = job
+	l.queue[job] = true
+	l.jobsChanged = true
 }
 
 // newPlanJob is the job as the planner sees it; its counts follow the bookings.
-func (g *leader) newPlanJob(j *Job) *plan.Job {
-	s := &j.spec
-	j.startWithin = unlimitedSlack
-	if s.DeadlineS != nil {
-		j.deadline = clock.FromSeconds(*s.DeadlineS)
+func (l *leader) newPlanJob(job *Job) *plan.Job {
+	spec := &job.spec
+	job.startWithin = unlimitedSlack
+	if spec.DeadlineS != nil {
+		job.deadline = clock.FromSeconds(*spec.DeadlineS)
 	}
 	// Starts within a moment are a matter of free room, not of order.
 	const moment = 3
-	for _, o := range g.cfg.Facts.Objectives {
-		if o.Class != s.Class || j.isService() {
+	for _, o := range l.cfg.Facts.Objectives {
+		if o.Class != spec.Class || job.isService() {
 			continue
 		}
 		switch at := clock.FromSeconds(o.WithinS); {
-		case o.Kind == "finished" && (j.finishWithin == 0 || at < j.finishWithin):
-			j.finishWithin = at
-		case o.Kind == "wait" && o.WithinS > moment*g.cfg.Facts.Workers.ReportS:
-			j.startWithin = min(j.startWithin, at)
+		case o.Kind == "finished" && (job.finishWithin == 0 || at < job.finishWithin):
+			job.finishWithin = at
+		case o.Kind == "wait" && o.WithinS > moment*l.cfg.Facts.Workers.ReportS:
+			job.startWithin = min(job.startWithin, at)
 		}
 	}
 	within := 0.0
-	for _, o := range g.cfg.Facts.Objectives {
-		if o.Kind == "wait" && o.Class == s.Class && (within == 0 || o.WithinS < within) {
+	for _, o := range l.cfg.Facts.Objectives {
+		if o.Kind == "wait" && o.Class == spec.Class && (within == 0 || o.WithinS < within) {
 			within = o.WithinS
 		}
 	}
-	return &plan.Job{ImageGB: s.ImageGB, StartWithin: clock.FromSeconds(within), UID: j.uid, Team: s.Team, Priority: j.priority, Service: j.isService(), Tasks: s.Tasks,
-		Cores: s.Cores, Accelerators: s.Accelerators, RAM: s.RAM, MachineTypes: s.MachineTypes, Zone: s.Zone, SameZone: s.SameZone,
-		Spread: s.Spread, Preemptible: s.Preemptible, Image: s.Image, Order: j.order, Gang: j.isGang(), Slack: unlimitedSlack,
+	return &plan.Job{ImageGB: spec.ImageGB, StartWithin: clock.FromSeconds(within), UID: job.uid, Team: spec.Team, Priority: job.priority, Service: job.isService(), Tasks: spec.Tasks,
+		Cores: spec.Cores, Accelerators: spec.Accelerators, RAM: spec.RAM, MachineTypes: spec.MachineTypes, Zone: spec.Zone, SameZone: spec.SameZone,
+		Spread: spec.Spread, Preemptible: spec.Preemptible, Image: spec.Image, Order: job.order, Gang: job.isGang(), Slack: unlimitedSlack,
 		Zones: map[string]int{}, Machines: map[string]int{}}
 }
 
 // unlimitedSlack is the slack of a job without a deadline.
 const unlimitedSlack = 1 << 60
 
-func (g *leader) sleep(ctx context.Context, d clock.Micros) {
+func (l *leader) sleep(ctx context.Context, d clock.Micros) {
 	select {
 	case <-ctx.Done():
-	case <-g.clock.After(d.Duration()):
+	case <-l.clock.After(d.Duration()):
 	}
 }
 
 // cancel stops all tasks of a job. The caller holds mu.
-func (g *leader) cancel(j *Job, now clock.Micros) {
-	if j.cancelled {
+func (l *leader) cancel(job *Job, now clock.Micros) {
+	if job.cancelled {
 		return
 	}
-	j.cancelled = true
-	j.waiting = nil
-	delete(g.queue, j)
-	g.withdrawFailures(j)
-	if j.pendingResult != nil {
-		j.pendingResult.ResultDurable = true // nobody has any use for it any more
-	}
-	for i := range j.tasks {
-		pc := &j.tasks[i]
-		if pc.moveTarget != nil {
-			g.fleet.Remove(pc.moveTarget, now)
-			pc.moveTarget = nil
+	job.cancelled = true
+	job.waiting = nil
+	delete(l.queue, job)
+	l.withdrawFailures(job)
+	if job.pendingResult != nil {
+		job.pendingResult.ResultDurable = true // nobody has any use for it any more
+	}
+	for i := range job.tasks {
+		task := &job.tasks[i]
+		if task.moveTarget != nil {
+			l.fleet.Remove(task.moveTarget, now)
+			task.moveTarget = nil
 		}
-		if pc.allocation == nil {
+		if task.allocation == nil {
 			continue
 		}
-		if g.fleet.Stop(pc.allocation, 0, now) {
-			clearAllocation(pc)
+		if l.fleet.Stop(task.allocation, 0, now) {
+			clearAllocation(task)
 		} else {
-			g.urgentMachines[pc.allocation.Machine] = true
+			l.urgentMachines[task.allocation.Machine] = true
 		}
 	}
-	g.dirty[j.uid] = true
-	g.log.Debug("job cancelled", "job", j.uid)
+	l.dirty[job.uid] = true
+	l.log.Debug("job cancelled", "job", job.uid)
 }
 
 // clearAllocation notes that a task's attempt is over. The caller holds mu.
-func clearAllocation(pc *Task) {
-	pc.allocation = nil
-	pc.state = taskWaiting
+func clearAllocation(task *Task) {
+	task.allocation = nil
+	task.state = taskWaiting
 }
 
 // applyEvents takes in what the fleet has learned. The caller holds mu.
-func (g *leader) applyEvents(list []fleet.Event, now clock.Micros) {
+func (l *leader) applyEvents(list []fleet.Event, now clock.Micros) {
 	for _, n := range list {
-		b := n.Allocation
-		if n.Gone && b.Adopted {
-			g.progress.Settle(b.Machine.Name, recovery.MachineGone, now)
+		allocation := n.Allocation
+		if n.Gone && allocation.Adopted {
+			l.progress.Settle(allocation.Machine.Name, recovery.MachineGone, now)
 		}
-		j := g.jobs[b.Task.Job]
-		if j == nil || b.Task.Index >= len(j.tasks) {
-			b.ResultDurable = true
+		job := l.jobs[allocation.Task.Job]
+		if job == nil || allocation.Task.Index >= len(job.tasks) {
+			allocation.ResultDurable = true
 			continue
 		}
-		pc := &j.tasks[b.Task.Index]
-		if pc.moveTarget == b {
-			pc.moveTarget = nil
-			b.ResultDurable = true
+		task := &job.tasks[allocation.Task.Index]
+		if task.moveTarget == allocation {
+			task.moveTarget = nil
+			allocation.ResultDurable = true
 			continue
 		}
-		if pc.allocation != b {
-			b.ResultDurable = true
+		if task.allocation != allocation {
+			allocation.ResultDurable = true
 			continue
 		}
 		if n.Started {
-			pc.hasRun = true
-			j.started = true
-			j.running++
-			g.metrics.Start(now - j.seenAt)
-			g.log.Debug("task started", "task", b.Task.String(), "class", j.spec.Class, "host", b.Machine.Name, "after", (now - j.seenAt).Seconds(),
-				"placed", (b.ReservedAt - j.seenAt).Seconds(), "fetch", (now - b.ReservedAt).Seconds())
+			task.hasRun = true
+			job.started = true
+			job.running++
+			l.metrics.Start(now - job.seenAt)
+			l.log.Debug("task started", "task", allocation.Task.String(), "class", job.spec.Class, "host", allocation.Machine.Name, "after", (now - job.seenAt).Seconds(),
+				"placed", (allocation.ReservedAt - job.seenAt).Seconds(), "fetch", (now - allocation.ReservedAt).Seconds())
 			continue
 		}
-		g.attemptEnded(j, pc, b, n.Gone, now)
+		l.attemptEnded(job, task, allocation, n.Gone, now)
 	}
 }
 
 // attemptEnded takes in the end of a task's attempt. The caller holds mu.
-func (g *leader) attemptEnded(j *Job, pc *Task, b *fleet.Allocation, gone bool, now clock.Micros) {
-	clearAllocation(pc)
-	if b.RunningSince > 0 {
-		j.running--
-	}
-	c := j.markChanged(b.Task.Index)
-	if j.shared != nil && g.openShared != j.shared && j.shared.modRevision > 0 {
-		g.staleShared[j.shared] = true
-	}
-	if j.cancelled {
-		g.dirty[j.uid] = true
-		b.ResultDurable = true
+func (l *leader) attemptEnded(job *Job, task *Task, allocation *fleet.Allocation, gone bool, now clock.Micros) {
+	clearAllocation(task)
+	if allocation.RunningSince > 0 {
+		job.running--
+	}
+	chunk := job.markChanged(allocation.Task.Index)
+	if job.shared != nil && l.openShared != job.shared && job.shared.modRevision > 0 {
+		l.staleShared[job.shared] = true
+	}
+	if job.cancelled {
+		l.dirty[job.uid] = true
+		allocation.ResultDurable = true
 		return
 	}
-	g.recordResultSoon(j, now)
-	if j.shared != nil && b.Cause == wire.CauseDone && !gone {
+	l.recordResultSoon(job, now)
+	if job.shared != nil && allocation.Cause == wire.CauseDone && !gone {
 		// Its row in the shared record does not hold the result: the end of the job does.
-		j.pendingResult = b
+		job.pendingResult = allocation
 	} else {
-		c.endedAttempts = append(c.endedAttempts, b)
+		chunk.endedAttempts = append(chunk.endedAttempts, allocation)
 	}
-	m := b.Machine
-	cause := b.Cause
+	machine := allocation.Machine
+	cause := allocation.Cause
 	if gone {
 		cause = "gone"
 	}
-	if cause == wire.CauseDone && !j.isService() {
-		if pc.moveTarget != nil {
-			g.fleet.Remove(pc.moveTarget, now)
-			pc.moveTarget = nil
+	if cause == wire.CauseDone && !job.isService() {
+		if task.moveTarget != nil {
+			l.fleet.Remove(task.moveTarget, now)
+			task.moveTarget = nil
 		}
-		pc.state = taskDone
-		j.done++
-		if j.done == len(j.tasks) {
-			g.dirty[j.uid] = true
+		task.state = taskDone
+		job.done++
+		if job.done == len(job.tasks) {
+			l.dirty[job.uid] = true
 		}
-		if g.machineFailures[m] != nil {
-			delete(g.machineFailures, m)
-			g.changedMachines[m] = true
+		if l.machineFailures[machine] != nil {
+			delete(l.machineFailures, machine)
+			l.changedMachines[machine] = true
 		}
-		if j.failures.onTrial() {
-			g.clearJob(j, now)
+		if job.failures.onTrial() {
+			l.clearJob(job, now)
 		}
-		j.failures.succeeded = true
+		job.failures.succeeded = true
 		// The start of an adopted attempt was not seen: it would look short, and
 		// every other machine slow beside it.
-		if b.RunningSince > 0 && !b.Adopted {
-			g.recordRunTime(j, m, now-b.RunningSince)
+		if allocation.RunningSince > 0 && !allocation.Adopted {
+			l.recordRunTime(job, machine, now-allocation.RunningSince)
 		}
 		return
 	}
-	g.log.Debug("task ended", "task", b.Task.String(), "attempt", b.Attempt, "cause", cause, "host", m.Name, "halt", b.Stopping)
+	l.log.Debug("task ended", "task", allocation.Task.String(), "attempt", allocation.Attempt, "cause", cause, "host", machine.Name, "halt", allocation.Stopping)
 	switch cause {
 	case wire.CauseError:
 		ran := clock.Micros(0)
-		if b.RunningSince > 0 {
-			ran = now - b.RunningSince
+		if allocation.RunningSince > 0 {
+			ran = now - allocation.RunningSince
 		}
-		g.attemptFailed(j, pc, m, ran, now)
+		l.attemptFailed(job, task, machine, ran, now)
 	case wire.CauseFull, wire.CauseInUse, wire.CauseAlone:
-		pc.notBefore = now + clock.Second
+		task.notBefore = now + clock.Second
 	case wire.CauseNoSuch:
-		pc.failures++
-		pc.notBefore = now + backoff(pc.failures)
+		task.failures++
+		task.notBefore = now + backoff(task.failures)
 	}
-	if t := pc.moveTarget; t != nil {
+	if t := task.moveTarget; t != nil {
 		// The source's stop is confirmed: the room booked at the target is taken up.
-		pc.moveTarget = nil
+		task.moveTarget = nil
 		if !t.Ended && t.Incarnation == t.Machine.Incarnation && t.Machine.QuarantineReason == "" {
-			pc.state, pc.allocation, pc.attempt = taskPlaced, t, t.Attempt
-			g.dirty[j.uid] = true
+			task.state, task.allocation, task.attempt = taskPlaced, t, t.Attempt
+			l.dirty[job.uid] = true
 			return
 		}
-		g.fleet.Remove(t, now)
+		l.fleet.Remove(t, now)
 	}
-	g.enqueue(j, b.Task.Index)
-	if j.isGang() {
+	l.enqueue(job, allocation.Task.Index)
+	if job.isGang() {
 		// Without this task the others cannot go on: they stop now, and the group
 		// is started again whole.
-		for i := range j.tasks {
-			if o := j.tasks[i].allocation; o != nil && !o.Stopping {
-				g.stopAttempt(j, o, now)
+		for i := range job.tasks {
+			if o := job.tasks[i].allocation; o != nil && !o.Stopping {
+				l.stopAttempt(job, o, now)
 			}
 		}
 	}
@@ -550,93 +550,93 @@
 }
 
 // recordRunTime compares a task's run time with its job's others, to find slow machines.
-func (g *leader) recordRunTime(j *Job, m *fleet.Machine, took clock.Micros) {
-	if j.runTimes.count >= 3 && j.runTimes.mean() > 0 {
-		ratio := float64(took) / float64(j.runTimes.mean())
-		m.Slowness += (ratio - m.Slowness) / float64(min(m.SlownessSamples+2, 6))
-		m.SlownessSamples++
-		g.changedMachines[m] = true
-	}
-	j.runTimes.count++
-	j.runTimes.total += took
+func (l *leader) recordRunTime(job *Job, machine *fleet.Machine, took clock.Micros) {
+	if job.runTimes.count >= 3 && job.runTimes.mean() > 0 {
+		ratio := float64(took) / float64(job.runTimes.mean())
+		machine.Slowness += (ratio - machine.Slowness) / float64(min(machine.SlownessSamples+2, 6))
+		machine.SlownessSamples++
+		l.changedMachines[machine] = true
+	}
+	job.runTimes.count++
+	job.runTimes.total += took
 	// The last few dozen count: classes change over a day.
-	st := g.classRuns[j.spec.Class]
-	if st.count >= 100 {
-		st = runTimeStat{count: 50, total: 50 * st.mean()}
+	stat := l.classRuns[job.spec.Class]
+	if stat.count >= 100 {
+		stat = runTimeStat{count: 50, total: 50 * stat.mean()}
 	}
-	st.count++
-	st.total += took
-	g.classRuns[j.spec.Class] = st
+	stat.count++
+	stat.total += took
+	l.classRuns[job.spec.Class] = stat
 }
 
 // Heartbeat takes in a worker's report and says what to answer. A report without
 // news costs a look-up and the comparison of its task list with the last one.
-func (g *leader) Heartbeat(rep *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
-	now := g.clock.Now()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.lastHeartbeat = now
-	token, may := g.elector.MayAnswerHeartbeats()
-	if !may || !g.loaded {
+func (l *leader) Heartbeat(report *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+	now := l.clock.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastHeartbeat = now
+	token, may := l.elector.MayAnswerHeartbeats()
+	if !may || !l.loaded {
 		return wire.HeartbeatResponse{}, false
 	}
 	ans := wire.HeartbeatResponse{Token: token, Commands: []wire.Command{}}
-	if _, gone := g.returnedMachines[rep.Machine]; gone {
+	if _, gone := l.returnedMachines[report.Machine]; gone {
 		// The cloud has said that this machine and all on it are gone, and names
 		// are not given twice: a copy that was under way all this time.
 		return ans, true
 	}
-	news, fresh := g.fleet.Report(now, rep, true)
-	m := g.fleet.Machine(rep.Machine)
+	news, fresh := l.fleet.Report(now, report, true)
+	machine := l.fleet.Machine(report.Machine)
 	if !fresh {
 		// A late copy, or a new process that counts from the start again: its lease
 		// is counted as renewed, and the worker itself is asked which it is.
-		g.fleet.HeartbeatAnswered(m, now, token)
-		g.probeStaleReporter(m, now)
+		l.fleet.HeartbeatAnswered(machine, now, token)
+		l.probeStaleReporter(machine, now)
 		return ans, true
 	}
-	if m.Suspect {
-		g.startProbe(m)
-	} else if !m.Reported {
-		g.unconfirmed = append(g.unconfirmed, unconfirmedMachine{m, now})
+	if machine.Suspect {
+		l.startProbe(machine)
+	} else if !machine.Reported {
+		l.unconfirmed = append(l.unconfirmed, unconfirmedMachine{machine, now})
 	}
-	if m.Reported {
-		delete(g.awaitedMachines, m)
-		g.progress.Settle(m.Name, recovery.MachineReconciled, now)
-		g.machineBooted(m, now)
+	if machine.Reported {
+		delete(l.awaitedMachines, machine)
+		l.progress.Settle(machine.Name, recovery.MachineReconciled, now)
+		l.machineBooted(machine, now)
 	}
-	g.applyEvents(news, now)
-	g.adoptReported(m, now)
-	g.fleet.HeartbeatAnswered(m, now, token)
+	l.applyEvents(news, now)
+	l.adoptReported(machine, now)
+	l.fleet.HeartbeatAnswered(machine, now, token)
 	if len(news) > 0 {
-		g.wake()
+		l.wake()
 	}
-	scope := g.commandScope()
-	if scope == fleet.AllCommands && g.inFlight[m.Name] {
+	scope := l.commandScope()
+	if scope == fleet.AllCommands && l.inFlight[machine.Name] {
 		scope = fleet.NoRuns
 	}
-	ans.Commands = g.fleet.Commands(m, now, true, scope)
+	ans.Commands = l.fleet.Commands(machine, now, true, scope)
 	return ans, true
 }
 
 // counts tells how many tasks of jobs are done and running.
-func (g *leader) counts(uids []string) map[string][2]int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (l *leader) counts(uids []string) map[string][2]int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	out := make(map[string][2]int, len(uids))
 	for _, uid := range uids {
-		if j := g.jobs[uid]; j != nil && g.loaded {
-			out[uid] = [2]int{j.done, j.running}
+		if job := l.jobs[uid]; job != nil && l.loaded {
+			out[uid] = [2]int{job.done, job.running}
 		}
 	}
 	return out
 }
 
 // sortedJobs lists the jobs in a fixed order. The caller holds mu.
-func (g *leader) sortedJobs() []*Job {
-	out := make([]*Job, 0, len(g.jobs))
-	for _, j := range g.jobs {
-		out = append(out, j)
+func (l *leader) sortedJobs() []*Job {
+	out := make([]*Job, 0, len(l.jobs))
+	for _, job := range l.jobs {
+		out = append(out, job)
 	}
 	sort.Slice(out, func(i, k int) bool {
 		if out[i].order != out[k].order {
--- a/engine_test.go
+++ b/engine_test.go
@@ -74,15 +74,15 @@
 	if mod != nil {
 		mod(&cfg.Facts)
 	}
-	op, err := config.LoadOperator("")
+	operator, err := config.LoadOperator("")
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	return newService(cfg, op, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(s.clk))
+	return newService(cfg, operator, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(s.clk))
 }
 
 // elect makes a node lead for the rest of the test, or until stop is called.
-func (s *site) elect(n *Service) (g *leader, stop func()) {
+func (s *site) elect(n *Service) (l *leader, stop func()) {
 	ctx, cancel := context.WithCancel(s.t.Context())
 	ready := make(chan lead.Term)
 	done := make(chan struct{})
@@ -100,17 +100,17 @@
 	s.t.Cleanup(stop)
 	select {
 	case r := <-ready:
-		g = newLeader(n, r)
-		g.ctx = s.t.Context()
+		l = newLeader(n, r)
+		l.ctx = s.t.Context()
 	case <-time.After(10 * time.Second):
 		s.t.Fatal("not elected")
 	}
-	if _, err := g.loadRecords(s.t.Context()); err != nil {
+	if _, err := l.loadRecords(s.t.Context()); err != nil {
 		s.t.Fatal(err)
 	}
-	g.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
-	g.fleet.SetCatalog(g.catalog)
-	return g, stop
+	l.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
+	l.fleet.SetCatalog(l.catalog)
+	return l, stop
 }
 
 // advance moves the clock in steps, letting the leader renew its lease at each.
@@ -164,10 +164,10 @@
 	t.Helper()
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	w := s.worker("n-1", "x", true)
-	heartbeat(t, g, w)
-	return s, n, g, w
+	heartbeat(t, l, w)
+	return s, n, l, w
 }
 
 func spec(uid string, mod func(*wire.Spec)) wire.Spec {
@@ -211,19 +211,19 @@
 
 // heartbeat lets a worker report to the leader and execute the answer; and once more
 // when the leader has yet to see that the worker knows its token.
-func heartbeat(t testing.TB, g *leader, w *standin.Worker) {
+func heartbeat(t testing.TB, l *leader, w *standin.Worker) {
 	t.Helper()
 	for range 2 {
 		rep := w.Report()
-		ans, ok := g.Heartbeat(&rep)
+		ans, ok := l.Heartbeat(&rep)
 		if !ok {
 			t.Fatalf("beat of %s not answered", rep.Machine)
 		}
 		w.Take(ans)
-		g.mu.Lock()
-		m := g.fleet.Machine(rep.Machine)
-		trusted := m == nil || m.Reported
-		g.mu.Unlock()
+		l.mu.Lock()
+		machine := l.fleet.Machine(rep.Machine)
+		trusted := machine == nil || machine.Reported
+		l.mu.Unlock()
 		if trusted {
 			return
 		}
@@ -231,68 +231,68 @@
 }
 
 // settle runs passes until all direct commands have landed and been taken in.
-func (s *site) settle(g *leader) {
+func (s *site) settle(l *leader) {
 	s.t.Helper()
 	for range 4 {
-		g.pass(s.t.Context())
+		l.pass(s.t.Context())
 		for i := 0; ; i++ {
-			g.mu.Lock()
-			n := len(g.inFlight) + g.openProbes
-			g.mu.Unlock()
+			l.mu.Lock()
+			n := len(l.inFlight) + l.openProbes
+			l.mu.Unlock()
 			if n == 0 {
 				break
 			}
 			if i > 100_000 {
 				s.t.Fatal("direct commands never landed")
 			}
-			<-g.wakeups // every landing wakes the loop
+			<-l.wakeups // every landing wakes the loop
 		}
 	}
 }
 
-func (s *site) resync(g *leader) {
+func (s *site) resync(l *leader) {
 	s.t.Helper()
 	var since uint64
-	if err := g.resync(s.t.Context(), &since); err != nil {
+	if err := l.resync(s.t.Context(), &since); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
 func TestJobRunsToDone(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	if got := w.Live(); !cmp.Equal(got, []string{"j-1/0", "j-1/1"}) {
 		t.Fatalf("on the machine: %v", got)
 	}
 	w.End("j-1/0", wire.CauseDone)
-	heartbeat(t, g, w)
-	s.settle(g)
+	heartbeat(t, l, w)
+	s.settle(l)
 	if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status == wire.JobDone {
 		t.Fatal("done before all its tasks are")
 	}
 	w.End("j-1/1", wire.CauseDone)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	// Done is told only when it is durable: until the pass records it, it is not.
 	if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status == wire.JobDone {
 		t.Fatal("done before it was recorded")
 	}
-	s.settle(g)
+	s.settle(l)
 	if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobDone || v.Done != 2 {
 		t.Fatalf("state %+v, want done", v)
 	}
 	// The run may come again until the worker has shown a higher token.
-	heartbeat(t, g, w)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
+	heartbeat(t, l, w)
 	w.Repeat()
 	for range 4 {
 		s.advance(10 * time.Second)
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 	}
-	s.settle(g)
+	s.settle(l)
 	for range 3 { // learns the token, shows it, forgets
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 		w.Repeat()
 	}
 	if rep := w.Report(); len(rep.Tasks) != 0 {
@@ -307,13 +307,13 @@
 }
 
 func TestResultDurableBeforeForget(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	w.End("j-1/0", wire.CauseDone)
-	heartbeat(t, g, w)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
+	heartbeat(t, l, w)
 	if rep := w.Report(); len(rep.Tasks) != 2 {
 		t.Fatalf("result forgotten before it was recorded: %v", rep.Tasks)
 	}
@@ -322,39 +322,39 @@
 // A run sent directly may arrive minutes after it was given up. The task must
 // not be started elsewhere, nor its room given away, before that is ruled out.
 func TestLateDirectRunAfterCancelOfMachine(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	other := s.worker("n-2", "y", true)
 	w.KeepNext()
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	s.settle(g) // the run is kept back; the token is raised against it
-	heartbeat(t, g, other)
-	g.mu.Lock()
-	b := g.jobs["j-1"].tasks[0].allocation
-	g.stopAttempt(g.jobs["j-1"], b, g.clock.Now())
-	still := g.jobs["j-1"].tasks[0].allocation == b
-	g.mu.Unlock()
+	s.resync(l)
+	s.settle(l) // the run is kept back; the token is raised against it
+	heartbeat(t, l, other)
+	l.mu.Lock()
+	allocation := l.jobs["j-1"].tasks[0].allocation
+	l.stopAttempt(l.jobs["j-1"], allocation, l.clock.Now())
+	still := l.jobs["j-1"].tasks[0].allocation == allocation
+	l.mu.Unlock()
 	if !still {
 		t.Fatal("freed while a run may still arrive")
 	}
-	s.settle(g)
+	s.settle(l)
 	if len(other.Starts()) != 0 {
 		t.Fatal("started elsewhere while a run may still arrive")
 	}
 	// The worker reports without having seen the raised token: no proof yet.
 	rep := w.Report()
-	ans, _ := g.Heartbeat(&rep)
-	s.settle(g)
+	ans, _ := l.Heartbeat(&rep)
+	s.settle(l)
 	if len(other.Starts()) != 0 {
 		t.Fatal("absence believed before the worker saw a higher token")
 	}
 	w.Take(ans)
 	s.advance(5 * time.Second)
-	s.settle(g)
-	heartbeat(t, g, w)
-	heartbeat(t, g, w)
-	heartbeat(t, g, other)
-	s.settle(g)
+	s.settle(l)
+	heartbeat(t, l, w)
+	heartbeat(t, l, w)
+	heartbeat(t, l, other)
+	s.settle(l)
 	w.Deliver()
 	if got := len(w.Starts()) + len(other.Starts()); got != 1 {
 		t.Fatalf("%d starts (%v, %v), want 1", got, w.Starts(), other.Starts())
@@ -366,20 +366,20 @@
 
 // A forget must not go out while a copy of the run may: the worker would start it again.
 func TestNoForgetWhileCopyIsOut(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	w.KeepNext()
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	rep := w.Report()
-	ans, _ := g.Heartbeat(&rep) // carries the run again
+	ans, _ := l.Heartbeat(&rep) // carries the run again
 	low := ans
 	low.Token = 1
 	w.Take(low) // as if answered before the token was raised
 	w.End("j-1/0", wire.CauseDone)
 	rep = w.Report()
-	ans, _ = g.Heartbeat(&rep)
-	s.settle(g)
+	ans, _ = l.Heartbeat(&rep)
+	s.settle(l)
 	for _, o := range ans.Commands {
 		if o.Verb == wire.VerbForget {
 			t.Fatal("forget sent while a run was still out")
@@ -389,10 +389,10 @@
 	if got := w.Starts(); len(got) != 1 {
 		t.Fatalf("started %v", got)
 	}
-	heartbeat(t, g, w)
-	heartbeat(t, g, w)
-	s.settle(g)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
+	heartbeat(t, l, w)
+	s.settle(l)
+	heartbeat(t, l, w)
 	w.Deliver()
 	if got := w.Starts(); len(got) != 1 {
 		t.Fatalf("started %v", got)
@@ -473,9 +473,9 @@
 
 // A transaction whose answer was lost is settled by its nonce, not done twice.
 func TestLostCommitAnswer(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
+	s.resync(l)
 	s.state.LoseAnswers(1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -488,7 +488,7 @@
 			}
 		}
 	}()
-	s.settle(g)
+	s.settle(l)
 	cancel()
 	if got := w.Starts(); len(got) != 1 {
 		t.Fatalf("starts: %v", got)
@@ -499,17 +499,17 @@
 func TestCancelWinsOverPlacement(t *testing.T) {
 	s := newSite(t)
 	a, b := s.node(nil), s.node(nil)
-	g, _ := s.elect(a)
+	l, _ := s.elect(a)
 	w := s.worker("n-1", "x", true)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	s.submit(b, spec("j-1", nil))
-	s.resync(g)
+	s.resync(l)
 	if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || v.Status != wire.JobCancelled {
 		t.Fatalf("abort: %d %+v", code, v)
 	}
-	s.settle(g)
-	heartbeat(t, g, w)
-	s.settle(g)
+	s.settle(l)
+	heartbeat(t, l, w)
+	s.settle(l)
 	if got := w.Starts(); len(got) != 0 {
 		t.Fatalf("started after the cancel: %v", got)
 	}
@@ -519,15 +519,15 @@
 }
 
 func TestCancelStopsRunningTasks(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	if got := w.Live(); len(got) != 0 {
 		t.Fatalf("still on the machine: %v", got)
 	}
@@ -585,12 +585,12 @@
 }
 
 func TestBeatWithoutHold(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	n.attestationLinks["other"] = peer.NewLink("127.0.0.1:1") // nobody attests
 	s.state.Refuse(n.cfg.Node, true)
 	s.clk.Advance(6 * time.Second)
 	rep := w.Report()
-	if _, ok := g.Heartbeat(&rep); ok {
+	if _, ok := l.Heartbeat(&rep); ok {
 		t.Fatal("answered a heartbeat after the lease may have lapsed")
 	}
 }
@@ -660,11 +660,11 @@
 func TestLostRentalAnswer(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	s.cloud.LoseNext = true
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Preemptible = false }))
-	s.resync(g)
-	if err := g.readMachineList(t.Context()); err != nil {
+	s.resync(l)
+	if err := l.readMachineList(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -674,7 +674,7 @@
 			s.clk.Advance(time.Second)
 		}
 	}()
-	g.autoscale(t.Context())
+	l.autoscale(t.Context())
 	cancel()
 	asked := s.cloud.Asked()
 	if len(asked) != 2 || asked[0].RequestID != asked[1].RequestID || len(s.cloud.Hosts()) != 1 {
@@ -685,7 +685,7 @@
 func TestWatchTooOldReadsAgain(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	s.submit(n, spec("j-1", nil))
 	s.state.Forget()
 	if _, err := n.store.Watch(t.Context(), store.PrefixJob, 1, 0); err != store.ErrCompacted {
@@ -693,11 +693,11 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); g.watchJobs(ctx, 1) }()
-	<-g.wakeups
+	go func() { defer close(done); l.watchJobs(ctx, 1) }()
+	<-l.wakeups
 	cancel()
 	<-done
-	if g.jobs["j-1"] == nil {
+	if l.jobs["j-1"] == nil {
 		t.Fatal("job missed")
 	}
 }
@@ -758,16 +758,16 @@
 func TestDeafLeaderAbdicates(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
-	heartbeat(t, g, s.worker("n-1", "x", true))
-	heartbeat(t, g, s.worker("n-2", "y", true))
+	l, _ := s.elect(n)
+	heartbeat(t, l, s.worker("n-1", "x", true))
+	heartbeat(t, l, s.worker("n-2", "y", true))
 	s.advance(9 * time.Second)
-	g.resignIfIsolated(t.Context())
+	l.resignIfIsolated(t.Context())
 	if _, ok := n.elector.MayAnswerHeartbeats(); !ok {
 		t.Fatal("gave up after a pause")
 	}
 	s.advance(2 * time.Second)
-	g.resignIfIsolated(t.Context())
+	l.resignIfIsolated(t.Context())
 	// The lease is dropped: the key goes.
 	for s.state.Value(store.KeyLead, nil) {
 		runtime.Gosched()
@@ -779,18 +779,18 @@
 func TestDeafLeaderOfManyAbdicatesSooner(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	s.advance(time.Second)
 	for i := range reliableReporters {
-		heartbeat(t, g, s.worker(fmt.Sprintf("n-%d", i), "x", true))
+		heartbeat(t, l, s.worker(fmt.Sprintf("n-%d", i), "x", true))
 	}
 	s.advance(5 * time.Second)
-	g.resignIfIsolated(t.Context())
+	l.resignIfIsolated(t.Context())
 	if _, ok := n.elector.MayAnswerHeartbeats(); !ok {
 		t.Fatal("gave up within the time in which a worker may report")
 	}
 	s.advance(time.Second)
-	g.resignIfIsolated(t.Context())
+	l.resignIfIsolated(t.Context())
 	for s.state.Value(store.KeyLead, nil) {
 		runtime.Gosched()
 	}
@@ -842,34 +842,34 @@
 	stop()
 	gb, _ := s.elect(b)
 	other := s.worker("n-2", "y", false)
-	g := gb
-	g.mu.Lock()
-	g.fleet.Machine("n-1").Endpoint = "127.0.0.1:1" // nobody answers there
+	l := gb
+	l.mu.Lock()
+	l.fleet.Machine("n-1").Endpoint = "127.0.0.1:1" // nobody answers there
 	for i := range 5 {                              // booting machines are not silent ones
-		m := g.fleet.Ensure(fmt.Sprintf("n-9%d", i), g.clock.Now()+8*clock.Second)
-		m.Endpoint, m.Type, m.Zone, m.CloudStatus = "127.0.0.1:1", "b", "x", wire.MachineBooting
+		machine := l.fleet.Ensure(fmt.Sprintf("n-9%d", i), l.clock.Now()+8*clock.Second)
+		machine.Endpoint, machine.Type, machine.Zone, machine.CloudStatus = "127.0.0.1:1", "b", "x", wire.MachineBooting
 	}
-	g.mu.Unlock()
+	l.mu.Unlock()
 	for range 3 {
 		s.advance(3 * time.Second)
 		heartbeat(t, gb, other)
 	}
 	for range unreachableAfterProbes {
-		g.probesStartedAt = 0
-		g.probeSilentMachines(t.Context())
+		l.probesStartedAt = 0
+		l.probeSilentMachines(t.Context())
 		for probing := true; probing; runtime.Gosched() {
-			g.mu.Lock()
-			m := g.fleet.Machine("n-1")
-			probing = m != nil && m.Probing
-			g.mu.Unlock()
+			l.mu.Lock()
+			machine := l.fleet.Machine("n-1")
+			probing = machine != nil && machine.Probing
+			l.mu.Unlock()
 		}
 	}
-	g.probesStartedAt = 0
-	g.probeSilentMachines(t.Context())
+	l.probesStartedAt = 0
+	l.probeSilentMachines(t.Context())
 	for gone := false; !gone; runtime.Gosched() {
-		g.mu.Lock()
-		gone = g.fleet.Machine("n-1") == nil
-		g.mu.Unlock()
+		l.mu.Lock()
+		gone = l.fleet.Machine("n-1") == nil
+		l.mu.Unlock()
 	}
 	s.settle(gb)
 	if got := other.Starts(); len(got) != 1 {
@@ -899,34 +899,34 @@
 	heartbeat(t, gb, w)
 	w.End("j-1/1", wire.CauseDone)
 	heartbeat(t, gb, w)
-	if j := gb.jobs["j-1"]; j.done != 2 || j.runTimes.count != 0 {
-		t.Errorf("done %d, runs measured %d; want 2 and none", j.done, j.runTimes.count)
+	if job := gb.jobs["j-1"]; job.done != 2 || job.runTimes.count != 0 {
+		t.Errorf("done %d, runs measured %d; want 2 and none", job.done, job.runTimes.count)
 	}
 }
 
 // With no work at all, the machines that were held for more are given back.
 func TestNoWorkGivesMachinesBack(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	s.settle(g)
-	g.mu.Lock()
-	g.demand(g.clock.Now())
-	g.mu.Unlock()
+	s.resync(l)
+	s.settle(l)
+	l.mu.Lock()
+	l.demand(l.clock.Now())
+	l.mu.Unlock()
 	w.End("j-1/0", wire.CauseDone)
-	heartbeat(t, g, w)
-	s.settle(g)
+	heartbeat(t, l, w)
+	s.settle(l)
 	s.advance(20 * time.Second)
-	g.mu.Lock()
-	held := g.demand(g.clock.Now()).Preemptible.Cores
-	g.mu.Unlock()
+	l.mu.Lock()
+	held := l.demand(l.clock.Now()).Preemptible.Cores
+	l.mu.Unlock()
 	if held == 0 {
 		t.Error("nothing is held right after work was there")
 	}
 	s.advance(30 * time.Second)
-	g.mu.Lock()
-	need := g.demand(g.clock.Now())
-	g.mu.Unlock()
+	l.mu.Lock()
+	need := l.demand(l.clock.Now())
+	l.mu.Unlock()
 	if need.Preemptible.Cores != 0 || need.KeepPreemptible != 0 || need.KeepOnDemand != 0 {
 		t.Errorf("still held: %+v", need)
 	}
@@ -939,7 +939,7 @@
 		f.Objectives = []config.Objective{{Kind: "finished", Class: "lane", WithinS: 180}, {Kind: "wait", Class: "lane", WithinS: 120},
 			{Kind: "wait", Class: "lane", WithinS: 3}}
 	})
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	due := func(d float64) *float64 { return &d }
 	for _, tt := range []struct {
 		class  string
@@ -954,9 +954,9 @@
 		{"other", due(310), 100, 210 * clock.Second},
 		{"other", nil, 100, unlimitedSlack},
 	} {
-		j := &Job{priority: wire.PriorityStandard, spec: spec("j-1", func(sp *wire.Spec) { sp.Class, sp.DeadlineS, sp.ExpectedS = tt.class, tt.due, tt.expect })}
-		g.newPlanJob(j)
-		if got := j.slackAt(0); got != tt.want {
+		job := &Job{priority: wire.PriorityStandard, spec: spec("j-1", func(sp *wire.Spec) { sp.Class, sp.DeadlineS, sp.ExpectedS = tt.class, tt.due, tt.expect })}
+		l.newPlanJob(job)
+		if got := job.slackAt(0); got != tt.want {
 			t.Errorf("%s due %v, expected to run %v s: slack %v, want %v", tt.class, tt.due, tt.expect, got, tt.want)
 		}
 	}
@@ -965,9 +965,9 @@
 // A listing that was read before a job ended may be taken in after it. The job's
 // record then says that it is over, and nothing of it is started again.
 func TestOldListingStartsNothing(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
+	s.resync(l)
 	sp := spec("j-1", nil)
 	over := store.NewFinalRecord(&sp, wire.JobDone, "earlier")
 	rec := store.JobRecord{Spec: wire.Spec{UID: "j-1"}, Final: &over}
@@ -975,13 +975,13 @@
 		t.Fatal(err)
 	}
 	for range 3 {
-		s.settle(g)
-		heartbeat(t, g, w)
+		s.settle(l)
+		heartbeat(t, l, w)
 	}
 	if got := w.Starts(); len(got) != 0 {
 		t.Errorf("started %v of a job that is done", got)
 	}
-	if g.jobs["j-1"] != nil {
+	if l.jobs["j-1"] != nil {
 		t.Error("the job stays on the leader's books")
 	}
 	s.status(n, "j-1", wire.JobDone)
@@ -991,21 +991,21 @@
 // through stands among them once: placed twice by one plan, it would leave a
 // booking that nothing ever frees.
 func TestTaskWaitsOnce(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	g.mu.Lock()
-	now := g.clock.Now()
-	g.runPlan(now)
-	j := g.jobs["j-1"]
-	g.stopAttempt(j, j.tasks[0].allocation, now) // never sent, so it is gone at once
-	g.jobsChanged = true
-	g.runPlan(now)
-	if got := g.fleet.Machine("n-1").AllocationCount(); got != 1 {
+	s.resync(l)
+	l.mu.Lock()
+	now := l.clock.Now()
+	l.runPlan(now)
+	job := l.jobs["j-1"]
+	l.stopAttempt(job, job.tasks[0].allocation, now) // never sent, so it is gone at once
+	l.jobsChanged = true
+	l.runPlan(now)
+	if got := l.fleet.Machine("n-1").AllocationCount(); got != 1 {
 		t.Errorf("%d bookings of one task", got)
 	}
-	g.mu.Unlock()
-	s.settle(g)
+	l.mu.Unlock()
+	s.settle(l)
 	if got := w.Starts(); len(got) != 1 {
 		t.Errorf("started %v, want once", got)
 	}
--- a/failures.go
+++ b/failures.go
@@ -48,59 +48,59 @@
 
 // attemptFailed takes in that a task of j failed on m after running for a while. The
 // caller holds mu.
-func (g *leader) attemptFailed(j *Job, pc *Task, m *fleet.Machine, ran, now clock.Micros) {
-	t := &j.failures
-	pc.failures++
-	pc.notBefore = now + 200*clock.Millisecond*clock.Micros(min(pc.failures, 25))
-	if t.machineFailures == nil {
-		t.machineFailures = map[string]int{}
+func (l *leader) attemptFailed(job *Job, task *Task, machine *fleet.Machine, ran, now clock.Micros) {
+	history := &job.failures
+	task.failures++
+	task.notBefore = now + 200*clock.Millisecond*clock.Micros(min(task.failures, 25))
+	if history.machineFailures == nil {
+		history.machineFailures = map[string]int{}
 	}
-	t.machineFailures[m.Name]++
-	t.lastFailureAt, t.longestFailedRun = now, max(t.longestFailedRun, ran)
-	g.avoidMachine(j, m.Name)
-	if t.failing {
+	history.machineFailures[machine.Name]++
+	history.lastFailureAt, history.longestFailedRun = now, max(history.longestFailedRun, ran)
+	l.avoidMachine(job, machine.Name)
+	if history.failing {
 		return // it proves nothing against the machine
 	}
-	if t.succeeded && pc.failures > toleratedTaskFailures && len(t.machineFailures) > 1 {
+	if history.succeeded && task.failures > toleratedTaskFailures && len(history.machineFailures) > 1 {
 		// Others of its tasks succeed, this one does not, wherever it runs. What has
 		// failed on one machine only says nothing against the task.
-		pc.notBefore = now + backoff(pc.failures)
+		task.notBefore = now + backoff(task.failures)
 		return
 	}
-	g.changedMachines[m] = true
-	if g.machineFailures[m] == nil {
-		g.machineFailures[m] = &failureCounts{firstAt: now, byJob: map[*Job]int{}}
+	l.changedMachines[machine] = true
+	if l.machineFailures[machine] == nil {
+		l.machineFailures[machine] = &failureCounts{firstAt: now, byJob: map[*Job]int{}}
 	}
-	g.machineFailures[m].byJob[j]++
-	if t.succeeded {
-		g.quarantineIfFailing(m, now)
+	l.machineFailures[machine].byJob[job]++
+	if history.succeeded {
+		l.quarantineIfFailing(machine, now)
 		return
 	}
-	if len(t.machineFailures) == 1 && t.machineFailures[m.Name] == 1 {
-		t.nextTrialAt = pc.notBefore
+	if len(history.machineFailures) == 1 && history.machineFailures[machine.Name] == 1 {
+		history.nextTrialAt = task.notBefore
 	}
-	if unclear := g.unexplainedFailures(m); unclear >= 2 && m.QuarantineReason == "" {
-		m.SuspendedUntil = now + suspensionTime
-		g.changedMachines[m] = true
+	if unclear := l.unexplainedFailures(machine); unclear >= 2 && machine.QuarantineReason == "" {
+		machine.SuspendedUntil = now + suspensionTime
+		l.changedMachines[machine] = true
 	}
-	g.evaluateJob(j, now)
+	l.evaluateJob(job, now)
 }
 
 // avoidMachine keeps a job's next tasks off a machine on which one failed, while there
 // are others. The caller holds mu.
-func (g *leader) avoidMachine(j *Job, host string) {
-	t := &j.failures
-	if j.planJob.Avoid[host] {
+func (l *leader) avoidMachine(job *Job, host string) {
+	history := &job.failures
+	if job.planJob.Avoid[host] {
 		return
 	}
-	if j.planJob.Avoid == nil {
-		j.planJob.Avoid = map[string]bool{}
+	if job.planJob.Avoid == nil {
+		job.planJob.Avoid = map[string]bool{}
 	}
-	j.planJob.Avoid[host] = true
-	t.avoided = append(t.avoided, host)
-	for len(t.avoided) > min(maxAvoided, g.fleet.ReportingCount()/2) {
-		delete(j.planJob.Avoid, t.avoided[0])
-		t.avoided = t.avoided[1:]
+	job.planJob.Avoid[host] = true
+	history.avoided = append(history.avoided, host)
+	for len(history.avoided) > min(maxAvoided, l.fleet.ReportingCount()/2) {
+		delete(job.planJob.Avoid, history.avoided[0])
+		history.avoided = history.avoided[1:]
 	}
 }
 
@@ -112,10 +112,10 @@
 
 // unexplainedFailures counts the jobs that failed on a machine since anything was done on it
 // and that are not known to work elsewhere. The caller holds mu.
-func (g *leader) unexplainedFailures(m *fleet.Machine) (n int) {
-	if s := g.machineFailures[m]; s != nil {
-		for j := range s.byJob {
-			if !j.failures.succeeded {
+func (l *leader) unexplainedFailures(machine *fleet.Machine) (n int) {
+	if s := l.machineFailures[machine]; s != nil {
+		for job := range s.byJob {
+			if !job.failures.succeeded {
 				n++
 			}
 		}
@@ -127,70 +127,70 @@
 // with no success between. A task that began there since the first failure and
 // runs on shows that the tasks were at fault; while there is one that has yet to
 // show it, the machine gets nothing new. The caller holds mu.
-func (g *leader) quarantineIfFailing(m *fleet.Machine, now clock.Micros) {
-	s, n := g.machineFailures[m], 0
+func (l *leader) quarantineIfFailing(machine *fleet.Machine, now clock.Micros) {
+	s, n := l.machineFailures[machine], 0
 	if s == nil {
 		return
 	}
-	for j, k := range s.byJob {
-		if j.failures.succeeded {
+	for job, k := range s.byJob {
+		if job.failures.succeeded {
 			n += k
 		}
 	}
-	if n < 2 || m.QuarantineReason != "" || g.fleet.Machine(m.Name) != m {
+	if n < 2 || machine.QuarantineReason != "" || l.fleet.Machine(machine.Name) != machine {
 		return
 	}
 	lasting, young := false, false
-	m.EachAllocation(func(b *fleet.Allocation) {
-		if b.Live() && b.Status == wire.TaskRunning && b.RunningSince >= s.firstAt {
-			lasts := m.LastHeartbeat-b.RunningSince > lastingRun
+	machine.EachAllocation(func(allocation *fleet.Allocation) {
+		if allocation.Live() && allocation.Status == wire.TaskRunning && allocation.RunningSince >= s.firstAt {
+			lasts := machine.LastHeartbeat-allocation.RunningSince > lastingRun
 			lasting, young = lasting || lasts, young || !lasts
 		}
 	})
-	g.changedMachines[m] = true
+	l.changedMachines[machine] = true
 	switch {
 	case lasting:
-		delete(g.machineFailures, m)
+		delete(l.machineFailures, machine)
 	case young:
-		m.SuspendedUntil = max(m.SuspendedUntil, now+lastingRun+clock.Second)
+		machine.SuspendedUntil = max(machine.SuspendedUntil, now+lastingRun+clock.Second)
 	default:
-		m.QuarantineReason = "sick"
-		g.log.Info("machine is sick: its tasks fail", "host", m.Name, "strikes", n)
+		machine.QuarantineReason = "sick"
+		l.log.Info("machine is sick: its tasks fail", "host", machine.Name, "strikes", n)
 	}
 }
 
 // evaluateJob judges a job in doubt by what has become of its tasks. The caller holds mu.
-func (g *leader) evaluateJob(j *Job, now clock.Micros) {
-	t := &j.failures
-	if !t.onTrial() {
+func (l *leader) evaluateJob(job *Job, now clock.Micros) {
+	history := &job.failures
+	if !history.onTrial() {
 		return
 	}
-	if j.done > 0 || g.hasLastingTask(j) {
-		g.clearJob(j, now)
+	if job.done > 0 || l.hasLastingTask(job) {
+		l.clearJob(job, now)
 		return
 	}
-	j.pruneWaiting()
-	if t.failing || len(t.machineFailures) < failingAfterMachines || len(j.waiting) < len(j.tasks) {
+	job.pruneWaiting()
+	if history.failing || len(history.machineFailures) < failingAfterMachines || len(job.waiting) < len(job.tasks) {
 		return
 	}
-	t.failing = true
-	t.nextTrialAt = now + g.trialInterval(t)
-	g.withdrawFailures(j)
+	history.failing = true
+	history.nextTrialAt = now + l.trialInterval(history)
+	l.withdrawFailures(job)
 	// Nothing is rented for tasks that fail.
-	g.arrivals.Withdraw(j)
-	g.log.Info("job is bad: its tasks fail wherever they run", "job", j.uid, "machines", len(t.machineFailures))
+	l.arrivals.Withdraw(job)
+	l.log.Info("job is bad: its tasks fail wherever they run", "job", job.uid, "machines", len(history.machineFailures))
 }
 
 // hasLastingTask tells whether a task of j has run on for clearly longer than those that
 // failed. The caller holds mu.
-func (g *leader) hasLastingTask(j *Job) bool {
-	if j.running == 0 {
+func (l *leader) hasLastingTask(job *Job) bool {
+	if job.running == 0 {
 		return false
 	}
-	enough := max(lastingRun, 2*j.failures.longestFailedRun+clock.Second)
-	for i := range j.tasks {
-		b := j.tasks[i].allocation
-		if b != nil && b.Status == wire.TaskRunning && b.RunningSince > 0 && !b.Ended && b.Machine.Reported && b.Machine.LastHeartbeat-b.RunningSince > enough {
+	enough := max(lastingRun, 2*job.failures.longestFailedRun+clock.Second)
+	for i := range job.tasks {
+		allocation := job.tasks[i].allocation
+		if allocation != nil && allocation.Status == wire.TaskRunning && allocation.RunningSince > 0 && !allocation.Ended && allocation.Machine.Reported && allocation.Machine.LastHeartbeat-allocation.RunningSince > enough {
 			return true
 		}
 	}
@@ -199,69 +199,69 @@
 
 // clearJob notes that a job can succeed: where it failed, the machines are at fault.
 // The caller holds mu.
-func (g *leader) clearJob(j *Job, now clock.Micros) {
-	t := &j.failures
-	if t.failing {
-		g.log.Info("job works after all", "job", j.uid)
+func (l *leader) clearJob(job *Job, now clock.Micros) {
+	history := &job.failures
+	if history.failing {
+		l.log.Info("job works after all", "job", job.uid)
 	}
-	t.succeeded, t.failing, t.suspectAtStart = true, false, false
-	for host := range t.machineFailures {
-		if m := g.fleet.Machine(host); m != nil {
-			g.quarantineIfFailing(m, now)
+	history.succeeded, history.failing, history.suspectAtStart = true, false, false
+	for host := range history.machineFailures {
+		if machine := l.fleet.Machine(host); machine != nil {
+			l.quarantineIfFailing(machine, now)
 		}
 	}
-	if len(j.waiting) > 0 {
-		g.queue[j] = true
-		g.jobsChanged = true
+	if len(job.waiting) > 0 {
+		l.queue[job] = true
+		l.jobsChanged = true
 	}
 }
 
 // withdrawFailures takes back what a job's failures said of machines. The caller holds mu.
-func (g *leader) withdrawFailures(j *Job) {
-	for host := range j.failures.machineFailures {
-		m := g.fleet.Machine(host)
-		if m == nil || g.machineFailures[m] == nil {
+func (l *leader) withdrawFailures(job *Job) {
+	for host := range job.failures.machineFailures {
+		machine := l.fleet.Machine(host)
+		if machine == nil || l.machineFailures[machine] == nil {
 			continue
 		}
-		delete(g.machineFailures[m].byJob, j)
-		if len(g.machineFailures[m].byJob) == 0 {
-			delete(g.machineFailures, m)
-			g.changedMachines[m] = true
+		delete(l.machineFailures[machine].byJob, job)
+		if len(l.machineFailures[machine].byJob) == 0 {
+			delete(l.machineFailures, machine)
+			l.changedMachines[machine] = true
 		}
-		if m.SuspendedUntil > 0 && g.unexplainedFailures(m) < 2 {
-			m.SuspendedUntil = 0
-			g.changedMachines[m] = true
+		if machine.SuspendedUntil > 0 && l.unexplainedFailures(machine) < 2 {
+			machine.SuspendedUntil = 0
+			l.changedMachines[machine] = true
 		}
 	}
 }
 
 // trialInterval is how long after one probe the next may go: soon while few
 // machines have been tried, ever more slowly once the job looks bad.
-func (g *leader) trialInterval(t *failureHistory) clock.Micros {
-	if !t.failing {
-		return clock.Second << min(t.trials, 4)
+func (l *leader) trialInterval(history *failureHistory) clock.Micros {
+	if !history.failing {
+		return clock.Second << min(history.trials, 4)
 	}
-	return min(60*clock.Second, trialGap<<min(t.trials, 4))
+	return min(60*clock.Second, trialGap<<min(history.trials, 4))
 }
 
 // trialTasks lists what a job in doubt may try now: one task, on a machine that it
 // has not failed on, once those before have shown what they come to or have
 // taken long to. The caller holds mu.
-func (g *leader) trialTasks(j *Job, now clock.Micros) []int {
-	t := &j.failures
-	g.evaluateJob(j, now)
-	if !t.onTrial() {
-		return j.waiting
+func (l *leader) trialTasks(job *Job, now clock.Micros) []int {
+	history := &job.failures
+	l.evaluateJob(job, now)
+	if !history.onTrial() {
+		return job.waiting
 	}
-	out := len(j.tasks) - j.done - len(j.waiting)
-	if now < t.nextTrialAt || out > 0 && now-t.lastFailureAt < trialGap {
+	out := len(job.tasks) - job.done - len(job.waiting)
+	if now < history.nextTrialAt || out > 0 && now-history.lastFailureAt < trialGap {
 		return nil
 	}
-	if j.isGang() {
-		return j.waiting
+	if job.isGang() {
+		return job.waiting
 	}
-	for _, i := range j.waiting {
-		if j.tasks[i].notBefore <= now {
+	for _, i := range job.waiting {
+		if job.tasks[i].notBefore <= now {
 			return []int{i}
 		}
 	}
@@ -269,9 +269,9 @@
 }
 
 // probed notes that a probe has been sent on its way. The caller holds mu.
-func (g *leader) trialStarted(j *Job, now clock.Micros) {
-	t := &j.failures
-	t.trials++
-	t.lastFailureAt = now
-	t.nextTrialAt = now + g.trialInterval(t)
+func (l *leader) trialStarted(job *Job, now clock.Micros) {
+	history := &job.failures
+	history.trials++
+	history.lastFailureAt = now
+	history.nextTrialAt = now + l.trialInterval(history)
 }
--- a/failures_test.go
+++ b/failures_test.go
@@ -16,35 +16,35 @@
 	t.Helper()
 	s := newSite(t)
 	node := s.node(nil)
-	g, _ := s.elect(node)
+	l, _ := s.elect(node)
 	var ws []*standin.Worker
 	for i := range n {
 		w := s.worker(fmt.Sprintf("n-%d", i+1), []string{"x", "y"}[i%2], true)
 		for _, uid := range bad {
 			w.FailJob(uid)
 		}
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 		ws = append(ws, w)
 	}
-	return s, node, g, ws
+	return s, node, l, ws
 }
 
 // pass lets seconds go by, with a heartbeat of every worker and a pass in each.
-func (s *site) pass(g *leader, ws []*standin.Worker, seconds int) {
+func (s *site) pass(l *leader, ws []*standin.Worker, seconds int) {
 	s.t.Helper()
 	for range seconds {
 		s.advance(time.Second)
 		for _, w := range ws {
-			heartbeat(s.t, g, w)
+			heartbeat(s.t, l, w)
 		}
-		s.settle(g)
+		s.settle(l)
 	}
 }
 
-func banned(g *leader, ws []*standin.Worker) (out []string) {
+func banned(l *leader, ws []*standin.Worker) (out []string) {
 	for _, w := range ws {
-		if m := g.fleet.Machine(w.Beats.Machine); m.QuarantineReason != "" {
-			out = append(out, m.Name+" "+m.QuarantineReason)
+		if machine := l.fleet.Machine(w.Beats.Machine); machine.QuarantineReason != "" {
+			out = append(out, machine.Name+" "+machine.QuarantineReason)
 		}
 	}
 	return out
@@ -67,23 +67,23 @@
 // truly sick is found all the same, whichever comes first.
 func TestBadJobsBesideASickMachine(t *testing.T) {
 	for _, badFirst := range []bool{true, false} {
-		s, n, g, ws := crew(t, 6, "j-1", "j-2")
+		s, n, l, ws := crew(t, 6, "j-1", "j-2")
 		ws[0].Fail(true)
 		bad := func() {
 			for _, uid := range []string{"j-1", "j-2"} {
 				s.submit(n, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 100, 1, 1 }))
 			}
-			s.resync(g)
-			s.pass(g, ws, 8)
+			s.resync(l)
+			s.pass(l, ws, 8)
 		}
 		good := func() {
 			s.submit(n, spec("j-3", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM, sp.Priority = 12, 1, 1, "high" }))
-			s.resync(g)
-			s.pass(g, ws, 8)
+			s.resync(l)
+			s.pass(l, ws, 8)
 		}
 		if badFirst {
 			bad()
-			if got := banned(g, ws); len(got) > 0 {
+			if got := banned(l, ws); len(got) > 0 {
 				t.Fatalf("banned for bad jobs: %v", got)
 			}
 			good()
@@ -91,7 +91,7 @@
 			good()
 			bad()
 		}
-		if got := banned(g, ws); len(got) != 1 || got[0] != "n-1 sick" {
+		if got := banned(l, ws); len(got) != 1 || got[0] != "n-1 sick" {
 			t.Fatalf("bad jobs first: %t: banned %v, want n-1 alone", badFirst, got)
 		}
 		live := 0
@@ -102,7 +102,7 @@
 			t.Errorf("bad jobs first: %t: %d tasks of the good job run, want 12", badFirst, live)
 		}
 		before := startsOf(ws, "j-1") + startsOf(ws, "j-2")
-		s.pass(g, ws, 60)
+		s.pass(l, ws, 60)
 		if more := startsOf(ws, "j-1") + startsOf(ws, "j-2") - before; more < 2 || more > 16 {
 			t.Errorf("bad jobs first: %t: %d tries of two bad jobs in a minute, want a few", badFirst, more)
 		}
@@ -120,20 +120,20 @@
 
 // Nothing is rented for a job that fails everywhere, and no room kept.
 func TestBadJobsRentNothing(t *testing.T) {
-	s, n, g, ws := crew(t, 4, "j-1")
+	s, n, l, ws := crew(t, 4, "j-1")
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 200, 4, 4 }))
-	s.resync(g)
-	s.pass(g, ws, 90)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.jobs["j-1"].failures.failing {
-		t.Fatalf("not found bad: %+v", g.jobs["j-1"].failures)
-	}
-	if need := g.demand(g.clock.Now()); need.Preemptible.Cores > 0 || need.Urgent.Cores > 0 {
+	s.resync(l)
+	s.pass(l, ws, 90)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.jobs["j-1"].failures.failing {
+		t.Fatalf("not found bad: %+v", l.jobs["j-1"].failures)
+	}
+	if need := l.demand(l.clock.Now()); need.Preemptible.Cores > 0 || need.Urgent.Cores > 0 {
 		t.Errorf("needed for a bad job: %+v", need)
 	}
-	if len(g.reservedRoom) > 0 {
-		t.Errorf("room is kept for a bad job: %v", g.reservedRoom)
+	if len(l.reservedRoom) > 0 {
+		t.Errorf("room is kept for a bad job: %v", l.reservedRoom)
 	}
 }
 
@@ -165,21 +165,21 @@
 // Some tasks of a job fail everywhere while the others succeed: the job is not
 // bad, its other tasks run, and machines are not banned for those that fail.
 func TestTasksThatFailInAGoodJob(t *testing.T) {
-	s, n, g, ws := crew(t, 6, "j-1/3", "j-1/7", "j-1/11", "j-1/12", "j-1/13", "j-1/14")
+	s, n, l, ws := crew(t, 6, "j-1/3", "j-1/7", "j-1/11", "j-1/12", "j-1/13", "j-1/14")
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 40, 1, 1 }))
-	s.resync(g)
-	s.pass(g, ws, 6)
+	s.resync(l)
+	s.pass(l, ws, 6)
 	for _, w := range ws {
 		for _, p := range w.Live() {
 			w.End(p, wire.CauseDone)
 		}
 	}
-	s.pass(g, ws, 40)
-	if got := banned(g, ws); len(got) > 0 {
+	s.pass(l, ws, 40)
+	if got := banned(l, ws); len(got) > 0 {
 		t.Errorf("banned: %v", got)
 	}
-	if j := g.jobs["j-1"]; j.done != 34 || j.failures.failing {
-		t.Errorf("%d tasks done, bad %t; want 34 and not bad", j.done, j.failures.failing)
+	if job := l.jobs["j-1"]; job.done != 34 || job.failures.failing {
+		t.Errorf("%d tasks done, bad %t; want 34 and not bad", job.done, job.failures.failing)
 	}
 	if tries := startsOf(ws, "j-1"); tries > 34+6*9 {
 		t.Errorf("%d starts: those that fail are not slowed down", tries)
@@ -189,13 +189,13 @@
 // Replicas that spot machines may hold are demand for as long as they are wanted,
 // whatever their class's run times.
 func TestLoanedReplicasAreSizedFor(t *testing.T) {
-	s, n, g, ws := crew(t, 1)
+	s, n, l, ws := crew(t, 1)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Kind, sp.Tasks, sp.ExpectedS = wire.KindService, 12, 0 }))
-	s.resync(g)
-	s.pass(g, ws, 30)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if need := g.demand(g.clock.Now()); need.Preemptible.Cores < 24 || need.Urgent.Cores < 24 {
+	s.resync(l)
+	s.pass(l, ws, 30)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if need := l.demand(l.clock.Now()); need.Preemptible.Cores < 24 || need.Urgent.Cores < 24 {
 		t.Errorf("needed for 12 replicas of 2 cores: %+v", need)
 	}
 }
@@ -204,20 +204,20 @@
 // found to be sick, and the task goes to the next one at once, rather than ever
 // more seldom.
 func TestTaskThatFailsOnOneMachineIsNotSlowedDown(t *testing.T) {
-	s, n, g, ws := crew(t, 1)
+	s, n, l, ws := crew(t, 1)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 2, 2 }))
-	s.resync(g)
-	s.pass(g, ws, 6)
+	s.resync(l)
+	s.pass(l, ws, 6)
 	ws[0].End("j-1/0", wire.CauseDone)
-	s.pass(g, ws, 3) // the job works
+	s.pass(l, ws, 3) // the job works
 	ws[0].Fail(true)
 	ws[0].End("j-1/1", wire.CauseError)
-	s.pass(g, ws, 40)
-	if got := banned(g, ws); len(got) != 1 || got[0] != "n-1 sick" {
+	s.pass(l, ws, 40)
+	if got := banned(l, ws); len(got) != 1 || got[0] != "n-1 sick" {
 		t.Errorf("banned %v, want the machine as sick", got)
 	}
 	ws = append(ws, s.worker("n-2", "x", true))
-	s.pass(g, ws, 8)
+	s.pass(l, ws, 8)
 	if got := ws[1].Live(); len(got) != 1 {
 		t.Errorf("on the new machine: %v, want the task that failed", got)
 	}
--- a/gap_test.go
+++ b/gap_test.go
@@ -43,30 +43,30 @@
 
 // gap is a site of three joined controllers of which the first leads, with a
 // worker that runs a task each of j-1 and j-2.
-func gap(t *testing.T) (s *site, nodes []*Service, g *leader, w *standin.Worker) {
+func gap(t *testing.T) (s *site, nodes []*Service, l *leader, w *standin.Worker) {
 	t.Helper()
 	s = newSite(t)
 	for range 3 {
 		nodes = append(nodes, s.node(nil))
 	}
 	s.join(nodes...)
-	g, _ = s.elect(nodes[0])
-	nodes[0].current.Store(g)
+	l, _ = s.elect(nodes[0])
+	nodes[0].current.Store(l)
 	w = s.worker("n-1", "x", true)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	for _, uid := range []string{"j-1", "j-2"} {
 		s.submit(nodes[1], spec(uid, nil))
 	}
 	for _, n := range nodes { // each has had an answer from the state service since it began
 		s.status(n, "j-1", wire.JobQueued)
 	}
-	s.resync(g)
-	s.settle(g)
-	heartbeat(t, g, w)
+	s.resync(l)
+	s.settle(l)
+	heartbeat(t, l, w)
 	if got := len(w.Live()); got != 2 {
 		t.Fatalf("%d tasks run, want 2", got)
 	}
-	return s, nodes, g, w
+	return s, nodes, l, w
 }
 
 func (s *site) status(n *Service, uid, want string) {
@@ -91,7 +91,7 @@
 // answering heartbeats on the others' word, which must carry the cancel: the task is
 // stopped by the answer to a heartbeat, without any hold, and no other is.
 func TestAttestationCarriesCancels(t *testing.T) {
-	s, nodes, g, w := gap(t)
+	s, nodes, l, w := gap(t)
 	deafToHints(nodes[1])
 	s.state.Refuse(nodes[0].cfg.Node, true)
 	s.abort(nodes[1], "j-1")
@@ -106,7 +106,7 @@
 	if _, may := nodes[0].elector.MayAnswerHeartbeats(); !may {
 		t.Fatal("all attest the outage, and the leader answers no heartbeats")
 	}
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	if got := w.Live(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Fatalf("running %v after the attested leader answered, want j-2/0 alone", got)
 	}
@@ -114,9 +114,9 @@
 	s.state.Refuse(nodes[0].cfg.Node, false)
 	s.state.Refuse("", false)
 	s.advance(2 * time.Second)
-	s.resync(g)
-	heartbeat(t, g, w)
-	s.settle(g)
+	s.resync(l)
+	heartbeat(t, l, w)
+	s.settle(l)
 	if got := w.Starts(); len(got) != 2 {
 		t.Errorf("starts %v, want each job's once", got)
 	}
@@ -159,9 +159,9 @@
 	}
 	for name, mod := range tests {
 		t.Run(name, func(t *testing.T) {
-			s, nodes, g, _ := gap(t)
+			s, nodes, l, _ := gap(t)
 			s.first = nodes[0]
-			o := peer.Outage{Asked: true, Lead: g.term.Revision, Epoch: g.syncedRevision()}
+			o := peer.Outage{Asked: true, Lead: l.term.Revision, Epoch: l.syncedRevision()}
 			s.state.Refuse("", true)
 			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: o}); !r.Word.Attests {
 				t.Fatal("does not attest though it can vouch")
@@ -186,8 +186,8 @@
 // A cancel counts as told whether this node made it, passed it on, read it, or
 // does not know yet what became of it.
 func TestEveryCancelToldIsRemembered(t *testing.T) {
-	s, nodes, g, _ := gap(t)
-	since := g.syncedRevision()
+	s, nodes, l, _ := gap(t)
+	since := l.syncedRevision()
 	named := func(n *Service) []string {
 		uids, whole := n.users.Cancels.Since(since, n.store.FirstRevision())
 		if !whole {
@@ -227,7 +227,7 @@
 // controllers: its task is stopped directly before any change could be read.
 // Lost, repeated or untrue, the hint harms nothing.
 func TestHintStopsAtOnce(t *testing.T) {
-	s, nodes, g, w := gap(t)
+	s, nodes, l, w := gap(t)
 	nodes[1].elector = nodes[0].elector // knows who leads
 	s.state.Refuse(nodes[0].cfg.Node, true)
 	s.abort(nodes[1], "j-1")
@@ -241,19 +241,19 @@
 	// Repeated, of a job that is not known, and of one that was not cancelled.
 	nodes[0].answerPeer(t.Context(), peer.Ask{Cancelled: []string{"j-1", "j-99", "j-2"}})
 	for len(w.Live()) != 0 {
-		g.dispatch(t.Context()) // as the loop does when the command before has landed
+		l.dispatch(t.Context()) // as the loop does when the command before has landed
 		runtime.Gosched()
 	}
 	s.advance(time.Second)
-	heartbeat(t, g, w)
-	s.settle(g)
+	heartbeat(t, l, w)
+	s.settle(l)
 	if got := w.Starts(); len(got) != 2 {
 		t.Fatalf("started %v before the state service was asked", got)
 	}
-	s.resync(g)
-	heartbeat(t, g, w)
-	s.settle(g)
-	heartbeat(t, g, w)
+	s.resync(l)
+	heartbeat(t, l, w)
+	s.settle(l)
+	heartbeat(t, l, w)
 	if got := w.Live(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Errorf("running %v, want the job that was not cancelled", got)
 	}
@@ -263,64 +263,64 @@
 // After a spell in which changes may have been missed, no run goes out before
 // they have been read, not even one that was recorded before the spell.
 func TestNoRunOnOldKnowledge(t *testing.T) {
-	spells := map[string]func(s *site, n *Service, g *leader){
+	spells := map[string]func(s *site, n *Service, l *leader){
 		"refused alone": func(s *site, n *Service, _ *leader) {
 			s.state.Refuse(n.cfg.Node, true)
 			s.advance(3 * time.Second)
 			s.state.Refuse(n.cfg.Node, false)
 		},
-		"stood still": func(s *site, _ *Service, g *leader) {
+		"stood still": func(s *site, _ *Service, l *leader) {
 			s.clk.Advance(4 * time.Second)
-			g.checkPause()
+			l.checkPause()
 		},
 	}
 	for name, spell := range spells {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
 			n, other := s.node(nil), s.node(nil)
-			g, _ := s.elect(n)
+			l, _ := s.elect(n)
 			w := s.worker("n-1", "x", true)
-			heartbeat(t, g, w)
-			g.checkPause()
+			heartbeat(t, l, w)
+			l.checkPause()
 			s.submit(n, spec("j-1", nil))
-			s.resync(g)
-			g.mu.Lock()
-			g.runPlan(g.clock.Now())
-			write := g.buildTransaction()
-			g.mu.Unlock()
-			if !g.commit(t.Context(), write) { // recorded, not sent yet
+			s.resync(l)
+			l.mu.Lock()
+			l.runPlan(l.clock.Now())
+			write := l.buildTransaction()
+			l.mu.Unlock()
+			if !l.commit(t.Context(), write) { // recorded, not sent yet
 				t.Fatal("not recorded")
 			}
 			s.abort(other, "j-1")
-			spell(s, n, g)
+			spell(s, n, l)
 			s.advance(2 * time.Second)
 			if _, may := n.elector.HoldsLease(); !may {
 				t.Fatal("the lead was lost")
 			}
-			g.mu.Lock()
-			scope := g.commandScope()
-			g.mu.Unlock()
+			l.mu.Lock()
+			scope := l.commandScope()
+			l.mu.Unlock()
 			if scope != fleet.NoRuns {
 				t.Fatalf("scope %v, want no runs", scope)
 			}
-			heartbeat(t, g, w)
-			g.dispatch(t.Context())
+			heartbeat(t, l, w)
+			l.dispatch(t.Context())
 			if got := w.Starts(); len(got) != 0 {
 				t.Fatalf("started %v, which was cancelled", got)
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
-			go func() { defer close(done); g.watchJobs(ctx, g.syncedRevision()) }()
+			go func() { defer close(done); l.watchJobs(ctx, l.syncedRevision()) }()
 			for scope != fleet.AllCommands { // it reads at once, and without waiting
-				g.mu.Lock()
-				scope = g.commandScope()
-				g.mu.Unlock()
+				l.mu.Lock()
+				scope = l.commandScope()
+				l.mu.Unlock()
 				runtime.Gosched()
 			}
 			cancel()
 			<-done
-			heartbeat(t, g, w)
-			s.settle(g)
+			heartbeat(t, l, w)
+			s.settle(l)
 			if got := w.Starts(); len(got) != 0 {
 				t.Errorf("started %v, which was cancelled", got)
 			}
@@ -331,12 +331,12 @@
 // A leader that renews its lease but can't read the changes of jobs gives the
 // lead up while its successor can still stop in time what was cancelled.
 func TestBlindLeaderGivesUp(t *testing.T) {
-	s, n, g, _ := alone(t)
-	limit := g.maxUnsynced().Duration()
+	s, n, l, _ := alone(t)
+	limit := l.maxUnsynced().Duration()
 	live := func(d time.Duration) {
 		for ; d > 0; d -= time.Second {
 			s.advance(time.Second)
-			g.checkPause()
+			l.checkPause()
 		}
 	}
 	live(limit)
@@ -347,31 +347,31 @@
 	for s.state.Value(store.KeyLead, nil) {
 		runtime.Gosched()
 	}
-	w := g.cfg.Facts.Workers
-	if at := limit.Seconds() + w.LeaseS + g.operator.Lead.TTLs; at >= w.CancelS {
+	w := l.cfg.Facts.Workers
+	if at := limit.Seconds() + w.LeaseS + l.operator.Lead.TTLs; at >= w.CancelS {
 		t.Errorf("gives up %v s after it last knew, too late for a lease before %v s", limit, w.CancelS)
 	}
 }
 
 // Settings under which a cut leader's tasks outlast cancel_s are refused.
 func TestSettingsKeepCancelsInTime(t *testing.T) {
-	op, err := config.LoadOperator("")
+	operator, err := config.LoadOperator("")
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := &config.Platform{Area: "x", Facts: config.Facts{Zones: []string{"x"}, Workers: config.Workers{ReportS: 3, LeaseS: 18, CancelS: 23}}}
-	if err := p.Suits(op); err == nil {
+	if err := p.Suits(operator); err == nil {
 		t.Error("accepted")
 	}
 	p.Facts.Workers.CancelS = 25
-	if err := p.Suits(op); err != nil {
+	if err := p.Suits(operator); err != nil {
 		t.Error(err)
 	}
-	if got := len(p.Tight(op)); got == 0 {
+	if got := len(p.Tight(operator)); got == 0 {
 		t.Error("not named as tight")
 	}
 	p.Facts.Workers.CancelS = 43
-	if err := p.Suits(op); err != nil {
+	if err := p.Suits(operator); err != nil {
 		t.Error(err)
 	}
 }
@@ -379,23 +379,23 @@
 // A cancel that the leader knows, of a task whose machine could not be told, stops
 // it also when the machine reports only in an outage that all attest.
 func TestKnownCancelStopsInAnOutage(t *testing.T) {
-	s, nodes, g, w := gap(t)
+	s, nodes, l, w := gap(t)
 	w.Unreachable(true)
 	s.abort(nodes[1], "j-1")
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	s.state.Refuse("", true)
 	s.advance(8 * time.Second)
 	if _, may := nodes[0].elector.HoldsLease(); may {
 		t.Fatal("the leader still has its lease")
 	}
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	if got := w.Live(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Errorf("running %v after the attested leader answered, want j-2/0 alone", got)
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if b := g.jobs["j-1"].tasks[0].allocation; b == nil || b.Ended {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if allocation := l.jobs["j-1"].tasks[0].allocation; allocation == nil || allocation.Ended {
 		t.Error("freed without a proof")
 	}
 }
--- a/lean_test.go
+++ b/lean_test.go
@@ -12,8 +12,8 @@
 // where it lies in the body, not copied and not decoded.
 func TestUnchangedReportAllocatesLittle(t *testing.T) {
 	allocs := func(machines, tasks int) float64 {
-		_, g := ledFleet(t, machines, tasks)
-		raw := body(t, report(0, tasks, 1, g.term.Token))
+		_, l := ledFleet(t, machines, tasks)
+		raw := body(t, report(0, tasks, 1, l.term.Token))
 		tally := uint64(100)
 		heartbeat := func() {
 			tally++
@@ -22,7 +22,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			ans, ok := g.Heartbeat(&rep)
+			ans, ok := l.Heartbeat(&rep)
 			// The first list that comes as bytes is new.
 			if !ok || len(ans.Commands) != 0 || rep.Tasks != nil && tally > 101 {
 				t.Fatalf("answered %t with %d orders, %d tasks decoded", ok, len(ans.Commands), len(rep.Tasks))
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -108,9 +108,9 @@
 		t.Run(tr.name, func(t *testing.T) {
 			s := newSite(t)
 			nodes := []*Service{s.node(nil), s.node(nil), s.node(nil)}
-			g, _ := s.elect(nodes[0])
+			l, _ := s.elect(nodes[0])
 			w := s.worker("n-1", "x", true)
-			heartbeat(t, g, w)
+			heartbeat(t, l, w)
 			// Every node knows the time before, so that it could answer from it.
 			for _, n := range nodes {
 				if code, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusNotFound {
@@ -124,17 +124,17 @@
 				}
 				s.told("accepted", s.asks(nodes, uid, false), wire.JobQueued, wire.JobRunning, "503")
 			}
-			s.resync(g)
-			s.settle(g)
+			s.resync(l)
+			s.settle(l)
 			tr.set(s.state)
 			if _, v := s.until(nodes[1:], http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
 				t.Fatalf("abort: %+v", v)
 			}
 			s.told("cancelled", s.asks(nodes, "j-2", true), wire.JobCancelled, "503")
-			s.resync(g)
+			s.resync(l)
 			w.End("j-1/0", wire.CauseDone)
-			heartbeat(t, g, w)
-			s.settle(g)
+			heartbeat(t, l, w)
+			s.settle(l)
 			if _, v := s.until(nodes, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobDone {
 				t.Fatalf("ended: %+v", v)
 			}
@@ -158,9 +158,9 @@
 func TestCancelledAtOnceWhileAnswersAreSlow(t *testing.T) {
 	s := newSite(t)
 	nodes := []*Service{s.node(nil), s.node(nil), s.node(nil)}
-	g, _ := s.elect(nodes[0])
+	l, _ := s.elect(nodes[0])
 	w := s.worker("n-1", "x", true)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	for k := range 8 {
 		uid := fmt.Sprintf("j-%d", k)
 		release := s.state.Stall()
@@ -186,8 +186,8 @@
 		}
 		s.told("cancelled", s.asks(nodes, uid, true), wire.JobCancelled)
 	}
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	if got := w.Starts(); len(got) != 0 {
 		t.Errorf("started %v", got)
 	}
@@ -222,13 +222,13 @@
 func TestLostAnswersOfTheLeaderWhileOthersRead(t *testing.T) {
 	s := newSite(t)
 	a, b := s.node(nil), s.node(nil)
-	g, _ := s.elect(a)
+	l, _ := s.elect(a)
 	w := s.worker("n-1", "x", true)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	s.submit(b, spec("j-1", nil))
 	s.submit(b, spec("j-2", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.submit(b, spec("j-3", nil))
-	s.resync(g)
+	s.resync(l)
 	is := func(uid string, allowed ...string) {
 		t.Helper()
 		for _, n := range []*Service{a, b} {
@@ -237,7 +237,7 @@
 		}
 	}
 	// Placements: a user cancels one of the jobs before the leader knows that its attempt is recorded.
-	s.meanwhile(func() { s.settle(g) }, func() {
+	s.meanwhile(func() { s.settle(l) }, func() {
 		if len(w.Starts()) != 0 {
 			t.Errorf("started before the leader knows that it is recorded: %v", w.Starts())
 		}
@@ -245,8 +245,8 @@
 			t.Errorf("abort: %d %+v", code, v)
 		}
 	})
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	is("j-3", wire.JobCancelled)
 	if got := w.Live(); !slices.Equal(got, []string{"j-1/0", "j-2/0", "j-2/1"}) {
 		t.Errorf("on the machine %v", got)
@@ -255,8 +255,8 @@
 	w.End("j-1/0", wire.CauseDone)
 	w.End("j-2/0", wire.CauseDone)
 	w.End("j-2/1", wire.CauseDone)
-	heartbeat(t, g, w)
-	s.meanwhile(func() { g.pass(t.Context()) }, func() {
+	heartbeat(t, l, w)
+	s.meanwhile(func() { l.pass(t.Context()) }, func() {
 		for _, uid := range []string{"j-1", "j-2"} {
 			is(uid, wire.JobDone)
 			_, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
@@ -264,7 +264,7 @@
 		}
 	})
 	c := s.node(nil) // remembers nothing
-	s.settle(g)
+	s.settle(l)
 	for _, n := range []*Service{a, b, c} {
 		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-2": wire.JobDone, "j-3": wire.JobCancelled} {
 			if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); v.Status != want {
@@ -288,21 +288,21 @@
 	life := func(pieces int, lossy bool) (puts int) {
 		s := newSite(t)
 		a, b := s.node(nil), s.node(nil)
-		g, _ := s.elect(a)
+		l, _ := s.elect(a)
 		w := s.worker("n-1", "x", true)
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 		uids := []string{"j-1", "j-2"}
 		for _, uid := range uids {
 			s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 1 }))
 		}
-		s.resync(g)
+		s.resync(l)
 		before := s.state.Puts()
 		now := wire.JobQueued
 		drain := func() {
 			for range 9 {
-				g.mu.Lock()
-				wr := g.buildTransaction()
-				g.mu.Unlock()
+				l.mu.Lock()
+				wr := l.buildTransaction()
+				l.mu.Unlock()
 				if wr == nil {
 					return
 				}
@@ -310,7 +310,7 @@
 					now = wire.JobDone
 				}
 				record := func() {
-					if !g.commit(t.Context(), wr) {
+					if !l.commit(t.Context(), wr) {
 						t.Fatal("the term is over")
 					}
 				}
@@ -329,28 +329,28 @@
 				})
 			}
 		}
-		g.mu.Lock()
-		g.runPlan(g.clock.Now())
-		g.mu.Unlock()
+		l.mu.Lock()
+		l.runPlan(l.clock.Now())
+		l.mu.Unlock()
 		drain()
-		s.settle(g)
+		s.settle(l)
 		if got := len(w.Live()); got != 2*pieces {
 			t.Fatalf("%d tasks run", got)
 		}
 		for _, p := range w.Live() {
 			w.End(p, wire.CauseDone)
 		}
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 		drain()
 		for _, uid := range uids {
 			if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs, spec(uid, nil)); code != http.StatusOK || v.Status != wire.JobDone {
 				t.Errorf("%s submitted again: %d %+v", uid, code, v)
 			}
 		}
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		if len(g.finalMoves)+len(g.jobs)+len(g.dirty)+len(g.staleShared) != 0 {
-			t.Errorf("%d tasks a job: %d moves, %d jobs, %d changes and %d records are left", pieces, len(g.finalMoves), len(g.jobs), len(g.dirty), len(g.staleShared))
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		if len(l.finalMoves)+len(l.jobs)+len(l.dirty)+len(l.staleShared) != 0 {
+			t.Errorf("%d tasks a job: %d moves, %d jobs, %d changes and %d records are left", pieces, len(l.finalMoves), len(l.jobs), len(l.dirty), len(l.staleShared))
 		}
 		if left := s.state.Keys(store.PrefixJob); len(left) != 0 {
 			t.Errorf("jobs that have not moved: %v", left)
@@ -373,18 +373,18 @@
 // go through all the same: without them no run in doubt is ever ruled out, so that
 // what a cancelled task takes counts for ever while its machine reports.
 func TestTokenRaisedAfterALateRaise(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	w.KeepNext()
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	g.mu.Lock()
-	g.tokenRaisedAt = g.clock.Now() // no raise yet
-	g.mu.Unlock()
-	s.settle(g) // the run is held back and in doubt
+	s.resync(l)
+	l.mu.Lock()
+	l.tokenRaisedAt = l.clock.Now() // no raise yet
+	l.mu.Unlock()
+	s.settle(l) // the run is held back and in doubt
 	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
-	s.resync(g)
+	s.resync(l)
 	before, _ := n.elector.HoldsLease()
 	s.state.DelayNext()
 	if _, err := n.elector.RaiseToken(t.Context()); err == nil {
@@ -393,8 +393,8 @@
 	s.state.Deliver()
 	for range 12 {
 		s.advance(time.Second)
-		heartbeat(t, g, w)
-		s.settle(g)
+		heartbeat(t, l, w)
+		s.settle(l)
 	}
 	if now, _ := n.elector.HoldsLease(); now <= before {
 		t.Errorf("the token is still %d", now)
@@ -403,11 +403,11 @@
 	if now, _ := n.elector.HoldsLease(); !s.state.Value(store.KeyToken, &rec) || rec.Token != now {
 		t.Errorf("the leader's token is %d, on record is %d", now, rec.Token)
 	}
-	g.mu.Lock()
-	if used := g.fleet.Machine("n-1").UsedCores; used != 0 {
+	l.mu.Lock()
+	if used := l.fleet.Machine("n-1").UsedCores; used != 0 {
 		t.Errorf("%v cores still count for a cancelled task", used)
 	}
-	g.mu.Unlock()
+	l.mu.Unlock()
 	w.Deliver()
 	if got := w.Starts(); len(got) != 0 {
 		t.Errorf("started %v after the cancel", got)
@@ -429,15 +429,15 @@
 			t.Run(fmt.Sprintf("%d tasks, %s", pieces, proof), func(t *testing.T) {
 				s := newSite(t)
 				a, b, c := s.node(limited(4)), s.node(limited(4)), s.node(limited(4))
-				g, stop := s.elect(a)
+				l, stop := s.elect(a)
 				hung, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
-				heartbeat(t, g, hung)
+				heartbeat(t, l, hung)
 				uids := []string{"j-1", "j-2"}[:3-pieces]
 				for _, uid := range uids {
 					s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Tasks = pieces }))
 				}
-				s.resync(g)
-				s.settle(g)
+				s.resync(l)
+				s.settle(l)
 				if got := hung.Live(); len(got) != 2 {
 					t.Fatalf("on the machine: %v", got)
 				}
@@ -448,50 +448,50 @@
 					}
 				}
 				s.submit(b, spec("j-3", func(sp *wire.Spec) { sp.Tasks = 2 }))
-				nothing := func(when string, g *leader) {
+				nothing := func(when string, l *leader) {
 					t.Helper()
-					heartbeat(t, g, other)
-					s.settle(g)
-					heartbeat(t, g, other)
+					heartbeat(t, l, other)
+					s.settle(l)
+					heartbeat(t, l, other)
 					if got := other.Starts(); len(got) != 0 {
 						t.Fatalf("%s: %v started beyond the limit", when, got)
 					}
 				}
-				heartbeat(t, g, other)
-				s.resync(g)
-				nothing("under the leader that saw the cancel", g)
+				heartbeat(t, l, other)
+				s.resync(l)
+				nothing("under the leader that saw the cancel", l)
 				stop()
-				g, stop = s.elect(b)
-				nothing("under its successor", g)
+				l, stop = s.elect(b)
+				nothing("under its successor", l)
 				s.advance(9 * time.Second)
-				nothing("half a lease later", g)
+				nothing("half a lease later", l)
 				stop()
-				g, _ = s.elect(c)
-				nothing("under the next", g)
+				l, _ = s.elect(c)
+				nothing("under the next", l)
 				switch proof {
 				case "lease end":
 					for range 17 {
 						s.advance(time.Second)
-						nothing("before the lease's end", g)
+						nothing("before the lease's end", l)
 					}
 					hung.Expire()
 					s.advance(4 * time.Second)
 				case "return":
-					g.returnMachines(t.Context(), []string{"n-1"})
+					l.returnMachines(t.Context(), []string{"n-1"})
 				case "newer session":
 					hung.Expire()
 					hung.Unreachable(false)
-					heartbeat(t, g, hung)
+					heartbeat(t, l, hung)
 				case "halted":
 					hung.Unreachable(false)
 					for range 2 {
-						heartbeat(t, g, hung)
-						s.settle(g)
+						heartbeat(t, l, hung)
+						s.settle(l)
 					}
 				}
-				heartbeat(t, g, other)
-				s.settle(g)
-				heartbeat(t, g, other)
+				heartbeat(t, l, other)
+				s.settle(l)
+				heartbeat(t, l, other)
 				if got := len(other.Live()) + len(hung.Live()); proof == "return" && len(other.Live()) != 2 || proof != "return" && got != 2 {
 					t.Errorf("%d tasks run after the proof, want 2: the room is not used", got)
 				}
@@ -515,15 +515,15 @@
 			t.Run(fmt.Sprintf("%d tasks, %s", pieces, moment), func(t *testing.T) {
 				s := newSite(t)
 				a, b, c := s.node(limited(8)), s.node(limited(8)), s.node(limited(8))
-				g, stop := s.elect(a)
+				l, stop := s.elect(a)
 				w := s.worker("n-1", "x", true)
-				heartbeat(t, g, w)
+				heartbeat(t, l, w)
 				for _, uid := range []string{"j-1", "j-2"} {
 					s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 4/float64(pieces) }))
 				}
 				s.submit(a, spec("j-3", func(sp *wire.Spec) { sp.Cores = 4 }))
-				s.resync(g)
-				s.settle(g)
+				s.resync(l)
+				s.settle(l)
 				stop()
 				cancelled := false
 				cancel := func() {
@@ -544,14 +544,14 @@
 				}
 				ctx, end := context.WithCancel(t.Context())
 				r := s.termOf(b)
-				g = newLeader(b, r)
-				g.ctx = ctx
-				epoch, err := g.loadRecords(ctx)
+				l = newLeader(b, r)
+				l.ctx = ctx
+				epoch, err := l.loadRecords(ctx)
 				if err != nil {
 					t.Fatal(err)
 				}
-				g.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
-				g.fleet.SetCatalog(g.catalog)
+				l.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
+				l.fleet.SetCatalog(l.catalog)
 				if cancelled == (moment == "watch") {
 					t.Fatalf("cancelled by the end of the load: %t", cancelled)
 				}
@@ -559,25 +559,25 @@
 				if !cancelled {
 					cancel()
 				}
-				heartbeat(t, g, w)
-				g.mu.Lock()
-				if used := g.fleet.Machine("n-1").UsedCores; used != 8 && len(w.Live()) == 2*pieces {
+				heartbeat(t, l, w)
+				l.mu.Lock()
+				if used := l.fleet.Machine("n-1").UsedCores; used != 8 && len(w.Live()) == 2*pieces {
 					t.Errorf("%v cores in use while %v are there", used, w.Live())
 				}
-				g.mu.Unlock()
+				l.mu.Unlock()
 				watching := make(chan struct{})
-				go func() { defer close(watching); g.watchJobs(ctx, epoch) }()
+				go func() { defer close(watching); l.watchJobs(ctx, epoch) }()
 				for known := false; !known; runtime.Gosched() {
-					g.mu.Lock()
-					j := g.jobs["j-2"]
-					known = j == nil || j.cancelled
-					g.mu.Unlock()
+					l.mu.Lock()
+					job := l.jobs["j-2"]
+					known = job == nil || job.cancelled
+					l.mu.Unlock()
 				}
 				end()
 				<-watching
 				for range 3 {
-					s.settle(g)
-					heartbeat(t, g, w)
+					s.settle(l)
+					heartbeat(t, l, w)
 				}
 				for _, p := range w.Live() {
 					if strings.HasPrefix(p, "j-2/") {
@@ -620,11 +620,11 @@
 			t.Run(fmt.Sprintf("late %t, %d tasks", late, pieces), func(t *testing.T) {
 				s := newSite(t)
 				a, b := s.node(nil), s.node(nil)
-				g, stop := s.elect(a)
+				l, stop := s.elect(a)
 				s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = pieces }))
-				s.resync(g)
+				s.resync(l)
 				w, other := s.worker("n-000200", "x", true), s.worker("n-000201", "y", true)
-				heartbeat(t, g, w)
+				heartbeat(t, l, w)
 				lost := s.state.Lost()
 				if late {
 					s.state.DelayNext()
@@ -633,7 +633,7 @@
 				}
 				ctx, end := context.WithCancel(t.Context())
 				done := make(chan struct{})
-				go func() { defer close(done); g.pass(ctx) }()
+				go func() { defer close(done); l.pass(ctx) }()
 				for s.state.Late() == 0 && s.state.Lost() == lost {
 					runtime.Gosched()
 				}
@@ -643,8 +643,8 @@
 				if got := w.Starts(); len(got) != 0 {
 					t.Fatalf("started before that was known to be recorded: %v", got)
 				}
-				g, _ = s.elect(b)
-				if err := g.readMachineList(t.Context()); err != nil {
+				l, _ = s.elect(b)
+				if err := l.readMachineList(t.Context()); err != nil {
 					t.Fatal(err)
 				}
 				deliver := func() {
@@ -659,30 +659,30 @@
 				}
 				// The machine that holds nothing comes first: it may get the task only if
 				// the record of the first did not come about.
-				heartbeat(t, g, other)
-				s.settle(g)
+				heartbeat(t, l, other)
+				s.settle(l)
 				deliver()
 				if !late && len(other.Starts()) != 0 {
 					t.Errorf("started on another machine than on record: %v", other.Starts())
 				}
 				for range 3 {
-					heartbeat(t, g, w)
-					heartbeat(t, g, other)
-					s.settle(g)
+					heartbeat(t, l, w)
+					heartbeat(t, l, other)
+					s.settle(l)
 				}
-				g.autoscale(t.Context())
+				l.autoscale(t.Context())
 				if got := len(w.Starts()) + len(other.Starts()); got != pieces || len(w.Live())+len(other.Live()) != pieces {
 					t.Errorf("starts %v and %v, want %d", w.Starts(), other.Starts(), pieces)
 				}
 				for range 10 { // longer than three times the list's lag
 					s.advance(3 * time.Second)
-					heartbeat(t, g, w)
-					heartbeat(t, g, other)
+					heartbeat(t, l, w)
+					heartbeat(t, l, other)
 				}
-				if err := g.readMachineList(t.Context()); err != nil {
+				if err := l.readMachineList(t.Context()); err != nil {
 					t.Fatal(err)
 				}
-				if got := s.cloud.Returns(); len(got) != 0 || !s.usable(g, "n-000200") {
+				if got := s.cloud.Returns(); len(got) != 0 || !s.usable(l, "n-000200") {
 					t.Errorf("a machine that no list shows yet is given up: returned %v", got)
 				}
 			})
@@ -701,18 +701,18 @@
 func oldReports(t *testing.T, cancel bool) {
 	s := newSite(t)
 	a, b := s.node(limited(2)), s.node(limited(2))
-	g, stop := s.elect(a)
+	l, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	copies := []wire.Heartbeat{w.Report()} // nothing there yet
 	s.submit(a, spec("j-1", nil))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	copies = append(copies, w.Report()) // the first attempt, in the first session
 	w.Expire()
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	copies = append(copies, w.Report()) // nothing there, in the second session
-	s.settle(g)
+	s.settle(l)
 	if got := w.Starts(); len(got) != 2 {
 		t.Fatalf("starts %v", got)
 	}
@@ -723,8 +723,8 @@
 		}
 	}
 	s.submit(b, spec("j-2", nil)) // the team's limit keeps it waiting
-	g, _ = s.elect(b)
-	b.current.Store(g)
+	l, _ = s.elect(b)
+	b.current.Store(l)
 	all := func() {
 		t.Helper()
 		for _, c := range copies {
@@ -739,37 +739,37 @@
 				}
 			}
 		}
-		heartbeat(t, g, other)
-		s.settle(g)
+		heartbeat(t, l, other)
+		s.settle(l)
 		if got := append(w.Starts(), other.Starts()...); len(got) != 2 {
 			t.Fatalf("started on the word of old reports: %v", got)
 		}
 	}
 	all()
-	if s.usable(g, "n-1") {
+	if s.usable(l, "n-1") {
 		t.Error("trusted on copies from before the term")
 	}
 	all()
 	if cancel {
 		for range 3 {
-			heartbeat(t, g, w)
-			s.settle(g)
-			heartbeat(t, g, other)
+			heartbeat(t, l, w)
+			s.settle(l)
+			heartbeat(t, l, other)
 		}
 		if got := append(w.Live(), other.Live()...); !slices.Equal(got, []string{"j-2/0"}) {
 			t.Errorf("on the machines %v after the worker itself reported", got)
 		}
 		return
 	}
-	heartbeat(t, g, w)
-	s.settle(g)
+	heartbeat(t, l, w)
+	s.settle(l)
 	slices.Reverse(copies) // the oldest comes last
 	all()
-	g.mu.Lock()
-	if m := g.fleet.Machine("n-1"); m.Incarnation != 2 || !m.Reported || m.LiveCount() != 1 {
-		t.Errorf("after copies came behind newer reports: session %d, trusted %t, %d tasks", m.Incarnation, m.Reported, m.LiveCount())
+	l.mu.Lock()
+	if machine := l.fleet.Machine("n-1"); machine.Incarnation != 2 || !machine.Reported || machine.LiveCount() != 1 {
+		t.Errorf("after copies came behind newer reports: session %d, trusted %t, %d tasks", machine.Incarnation, machine.Reported, machine.LiveCount())
 	}
-	g.mu.Unlock()
+	l.mu.Unlock()
 	if got := w.Live(); !slices.Equal(got, []string{"j-1/0"}) {
 		t.Errorf("on the machine %v", got)
 	}
@@ -779,18 +779,18 @@
 }
 
 // entries is how much a leader and the state service keep.
-func (s *site) entries(g *leader) map[string]int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (s *site) entries(l *leader) map[string]int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	bookings := 0
-	g.fleet.EachMachine(func(m *fleet.Machine) { bookings += m.AllocationCount() })
+	l.fleet.EachMachine(func(machine *fleet.Machine) { bookings += machine.AllocationCount() })
 	rows := 0
 	for _, k := range s.state.Keys(store.PrefixShared) {
 		var rec store.SharedRecord
 		s.state.Value(k, &rec)
 		rows += len(rec.Rows)
 	}
-	return map[string]int{"jobs": len(g.jobs), "dirty": len(g.dirty), "lazy": len(g.pendingResults), "queue": len(g.queue), "untidy": len(g.staleShared), "finalMoves": len(g.finalMoves),
+	return map[string]int{"jobs": len(l.jobs), "dirty": len(l.dirty), "lazy": len(l.pendingResults), "queue": len(l.queue), "untidy": len(l.staleShared), "finalMoves": len(l.finalMoves),
 		"bookings": bookings, "unfinished jobs": len(s.state.Keys(store.PrefixJob)), "shared records": len(s.state.Keys(store.PrefixShared)),
 		"rows": rows, "records": len(s.state.Keys(store.PrefixAttempts))}
 }
@@ -802,11 +802,11 @@
 	const perSecond, lasts = 4, 150
 	s := newSite(t)
 	nodes := []*Service{s.node(nil), s.node(nil)}
-	g, stop := s.elect(nodes[0])
+	l, stop := s.elect(nodes[0])
 	var ws []*standin.Worker
 	for i := range 3 {
 		w := s.worker(fmt.Sprintf("n-%d", i+1), "x", true)
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 		ws = append(ws, w)
 	}
 	uid := func(k int) string { return fmt.Sprintf("j-%d", k) }
@@ -825,30 +825,30 @@
 				cancelled[uid(k)] = true
 			}
 		}
-		s.resync(g)
-		s.settle(g)
+		s.resync(l)
+		s.settle(l)
 		for i, w := range ws {
 			for n, p := range w.Live() {
 				if (n+i+at)%3 == 0 {
 					w.End(p, wire.CauseDone)
 				}
 			}
-			heartbeat(t, g, w)
+			heartbeat(t, l, w)
 		}
 		s.ask(nodes[at%2], http.MethodGet, wire.PathJobs+"/"+uid(max(0, 4*at-8)), nil)
-		s.settle(g)
+		s.settle(l)
 		s.advance(time.Second)
 	}
 	for at := range lasts {
 		if at == 40 {
 			stop()
-			g, stop = s.elect(nodes[1])
+			l, stop = s.elect(nodes[1])
 		}
 		second(at, true)
 		if at == 95 {
 			half, most = most, map[string]int{}
 		}
-		for what, n := range s.entries(g) {
+		for what, n := range s.entries(l) {
 			most[what] = max(most[what], n)
 		}
 	}
@@ -864,8 +864,8 @@
 	for k := perSecond * lasts; k < perSecond*lasts+3; k++ {
 		s.submit(nodes[0], spec(uid(k), nil))
 	}
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	for k := perSecond * lasts; k < perSecond*lasts+3; k++ {
 		if _, v, _ := s.ask(nodes[0], http.MethodPost, wire.PathJobs+"/"+uid(k)+"/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
 			t.Errorf("abort: %+v", v)
@@ -874,7 +874,7 @@
 	for at := range 90 {
 		second(lasts+at, false)
 	}
-	for what, n := range s.entries(g) {
+	for what, n := range s.entries(l) {
 		if n > 0 && !(what == "shared records" && n <= 1) {
 			t.Errorf("%d %s left after all jobs are over", n, what)
 		}
@@ -907,12 +907,12 @@
 // told or written since changes by the late one.
 func TestLeadersTransactionsCarriedOutLate(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
-		s, n, g, w := alone(t)
+		s, n, l, w := alone(t)
 		uids := []string{"j-1", "j-2", "j-3"}
 		for _, uid := range uids {
 			s.submit(n, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 1 }))
 		}
-		s.resync(g)
+		s.resync(l)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
 			for s.clk.BlockUntilContext(ctx, 2) == nil {
@@ -922,48 +922,48 @@
 		late := 0
 		drain := func() {
 			for range 12 {
-				g.mu.Lock()
-				wr := g.buildTransaction()
-				g.mu.Unlock()
+				l.mu.Lock()
+				wr := l.buildTransaction()
+				l.mu.Unlock()
 				if wr == nil {
 					return
 				}
 				s.state.DelayNext()
-				if late++; !g.commit(t.Context(), wr) {
+				if late++; !l.commit(t.Context(), wr) {
 					t.Fatal("the term is over")
 				}
 			}
 		}
-		g.mu.Lock()
-		g.runPlan(g.clock.Now())
-		g.mu.Unlock()
+		l.mu.Lock()
+		l.runPlan(l.clock.Now())
+		l.mu.Unlock()
 		drain()
-		s.settle(g)
+		s.settle(l)
 		w.End("j-1/0", wire.CauseDone)
 		w.End("j-1/1", wire.CauseDone)
 		w.End("j-2/0", wire.CauseError)
 		if _, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
 			t.Fatalf("abort: %+v", v)
 		}
-		heartbeat(t, g, w)
-		s.resync(g)
+		heartbeat(t, l, w)
+		s.resync(l)
 		drain()
 		// One that is recorded twice alone: its first record must not come back over the second.
 		s.submit(n, spec("j-4", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 2, 0.5 }))
-		s.resync(g)
-		g.mu.Lock()
-		g.runPlan(g.clock.Now())
-		g.mu.Unlock()
+		s.resync(l)
+		l.mu.Lock()
+		l.runPlan(l.clock.Now())
+		l.mu.Unlock()
 		drain()
-		s.settle(g)
+		s.settle(l)
 		w.End("j-4/0", wire.CauseDone)
-		heartbeat(t, g, w)
-		g.mu.Lock()
-		g.dirty["j-4"] = true // need not wait for others' results
-		g.mu.Unlock()
+		heartbeat(t, l, w)
+		l.mu.Lock()
+		l.dirty["j-4"] = true // need not wait for others' results
+		l.mu.Unlock()
 		drain()
 		cancel()
-		s.settle(g)
+		s.settle(l)
 		keys, puts := s.state.Keys(""), s.state.Puts()
 		if got := s.state.Late(); got != late || late < 3 {
 			t.Fatalf("%d transactions are late, want %d", got, late)
@@ -1043,19 +1043,19 @@
 		for _, first := range []string{"cancel", "end", "end between the cancel's reading and writing"} {
 			s := newSite(t)
 			nodes := []*Service{s.node(nil), s.node(nil)}
-			g, _ := s.elect(nodes[0])
+			l, _ := s.elect(nodes[0])
 			w := s.worker("n-1", "x", true)
-			heartbeat(t, g, w)
+			heartbeat(t, l, w)
 			s.submit(nodes[1], spec("j-1", func(sp *wire.Spec) { sp.Tasks = pieces }))
-			s.resync(g)
-			s.settle(g)
+			s.resync(l)
+			s.settle(l)
 			for _, p := range w.Live() {
 				w.End(p, wire.CauseDone)
 			}
-			heartbeat(t, g, w)
-			g.mu.Lock()
-			wr := g.buildTransaction() // about to be recorded
-			g.mu.Unlock()
+			heartbeat(t, l, w)
+			l.mu.Lock()
+			wr := l.buildTransaction() // about to be recorded
+			l.mu.Unlock()
 			if wr == nil || len(wr.finished) != 1 {
 				t.Fatal("the end is not to be recorded")
 			}
@@ -1065,14 +1065,14 @@
 			}
 			switch first {
 			case "end":
-				g.commit(t.Context(), wr)
+				l.commit(t.Context(), wr)
 			case "cancel":
 			default:
 				once := false
 				s.state.Before(func(path string) {
 					if path == wire.PathCommit && !once {
 						once = true
-						g.commit(t.Context(), wr)
+						l.commit(t.Context(), wr)
 					}
 				})
 			}
@@ -1080,11 +1080,11 @@
 				t.Errorf("%s first: the cancel is answered %q", first, v.Status)
 			}
 			if first == "cancel" {
-				g.commit(t.Context(), wr)
+				l.commit(t.Context(), wr)
 			}
 			s.told(first+" first", s.asks(nodes, "j-1", true), want)
-			s.resync(g)
-			s.settle(g)
+			s.resync(l)
+			s.settle(l)
 			s.told(first+" first, not "+other, s.asks(append(nodes, s.node(nil)), "j-1", true), want)
 			if left := append(s.state.Keys(store.PrefixAttempts), s.state.Keys(store.PrefixJob)...); len(left) != 0 {
 				t.Errorf("%s first: left %v", first, left)
@@ -1099,31 +1099,31 @@
 func TestMachineThatDoesNotHearTheNewLeader(t *testing.T) {
 	s := newSite(t)
 	a, b := s.node(nil), s.node(nil)
-	g, stop := s.elect(a)
+	l, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	s.submit(a, spec("j-1", nil))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	stop()
-	g, _ = s.elect(b)
-	g.operator.Fleet.Enabled = false // nothing is returned: only the worker itself proves
+	l, _ = s.elect(b)
+	l.operator.Fleet.Enabled = false // nothing is returned: only the worker itself proves
 	w.Unreachable(true)
 	for range 10 {
 		s.advance(3 * time.Second)
 		rep := w.Report()
-		g.Heartbeat(&rep) // the answer is lost
-		heartbeat(t, g, other)
-		s.settle(g)
+		l.Heartbeat(&rep) // the answer is lost
+		heartbeat(t, l, other)
+		s.settle(l)
 		if got := other.Starts(); len(got) != 0 {
 			t.Fatalf("started elsewhere while it may run: %v", got)
 		}
 	}
 	w.Expire()
 	rep := w.Report()
-	g.Heartbeat(&rep)
-	heartbeat(t, g, other)
-	s.settle(g)
+	l.Heartbeat(&rep)
+	heartbeat(t, l, other)
+	s.settle(l)
 	if got := other.Starts(); len(got) != 1 || len(w.Live()) != 0 {
 		t.Errorf("after its session ended: %v started", got)
 	}
@@ -1135,24 +1135,24 @@
 func TestTenLeadersWhileTasksEndFarApart(t *testing.T) {
 	s := newSite(t)
 	nodes := []*Service{s.node(nil), s.node(nil)}
-	g, stop := s.elect(nodes[0])
+	l, stop := s.elect(nodes[0])
 	w := s.worker("n-1", "x", true)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	s.submit(nodes[0], spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.submit(nodes[0], spec("j-2", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 3, 1 }))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	ends := map[int]string{1: "j-1/0", 3: "j-2/0", 5: "j-2/1", 7: "j-1/1", 9: "j-2/2"}
-	last := g.term.Token
+	last := l.term.Token
 	for k := 1; k <= 10; k++ {
 		if p := ends[k]; p != "" {
 			w.End(p, wire.CauseDone)
-			heartbeat(t, g, w)
+			heartbeat(t, l, w)
 			if k != 5 { // this result is not recorded when the leader ends
-				s.settle(g)
+				s.settle(l)
 				s.advance(3 * time.Second)
-				heartbeat(t, g, w)
-				s.settle(g)
+				heartbeat(t, l, w)
+				s.settle(l)
 			}
 		}
 		if k%4 == 0 {
@@ -1165,13 +1165,13 @@
 		stop()
 		s.state.Refuse("", false)
 		s.clk.Advance(6 * time.Second) // what could not be dropped lapses
-		g, stop = s.elect(nodes[k%2])
-		if g.term.Token <= last {
-			t.Fatalf("token %d after %d", g.term.Token, last)
+		l, stop = s.elect(nodes[k%2])
+		if l.term.Token <= last {
+			t.Fatalf("token %d after %d", l.term.Token, last)
 		}
-		last = g.term.Token
-		heartbeat(t, g, w)
-		s.settle(g)
+		last = l.term.Token
+		heartbeat(t, l, w)
+		s.settle(l)
 		want := map[string]string{"j-1": wire.JobQueued, "j-2": wire.JobQueued}
 		if k >= 7 {
 			want["j-1"] = wire.JobDone
@@ -1198,25 +1198,25 @@
 func TestAllControllersAwayForLongerThanTheLease(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, stop := s.elect(n)
+	l, stop := s.elect(n)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	stop()
 	s.clk.Advance(40 * time.Second)
 	s.nodes--
-	g, _ = s.elect(s.node(nil))
-	heartbeat(t, g, other)
-	s.settle(g)
+	l, _ = s.elect(s.node(nil))
+	heartbeat(t, l, other)
+	s.settle(l)
 	if got := other.Starts(); len(got) != 0 {
 		t.Fatalf("started before the machine on record reported: %v", got)
 	}
 	w.Expire()
-	heartbeat(t, g, w)
-	heartbeat(t, g, other)
-	s.settle(g)
+	heartbeat(t, l, w)
+	heartbeat(t, l, other)
+	s.settle(l)
 	if got := len(w.Live()) + len(other.Live()); got != 2 || len(w.Starts())+len(other.Starts()) != 4 {
 		t.Errorf("%d tasks run, starts %v and %v", got, w.Starts(), other.Starts())
 	}
@@ -1226,30 +1226,30 @@
 // They do not renew its lease: it gets nothing new beyond that, what it holds is
 // started elsewhere only then, and a cancel still stops a task there at once.
 func TestMuteWorkerThatDirectCommandsReach(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	other := s.worker("n-2", "y", true)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Cores = 4 }))
 	s.submit(n, spec("j-2", func(sp *wire.Spec) { sp.Cores = 4 }))
-	s.resync(g)
-	s.settle(g)
-	heartbeat(t, g, other)
+	s.resync(l)
+	s.settle(l)
+	heartbeat(t, l, other)
 	for range 2 {
 		s.advance(3 * time.Second)
-		heartbeat(t, g, other)
-		s.settle(g)
+		heartbeat(t, l, other)
+		s.settle(l)
 	}
 	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	if got := w.Live(); !slices.Equal(got, []string{"j-1/0"}) {
 		t.Errorf("on the mute machine %v after the cancel", got)
 	}
 	for range 4 {
 		s.advance(3 * time.Second)
-		heartbeat(t, g, other)
-		s.settle(g)
+		heartbeat(t, l, other)
+		s.settle(l)
 		if got := other.Starts(); len(got) != 0 {
 			t.Fatalf("started elsewhere within the lease: %v", got)
 		}
@@ -1258,10 +1258,10 @@
 	s.advance(3 * time.Second)
 	before := len(w.Starts())
 	s.submit(n, spec("j-3", nil))
-	s.resync(g)
+	s.resync(l)
 	for range 2 {
-		heartbeat(t, g, other)
-		s.settle(g)
+		heartbeat(t, l, other)
+		s.settle(l)
 	}
 	if got := other.Live(); !slices.Equal(got, []string{"j-1/0", "j-3/0"}) || len(w.Starts()) != before {
 		t.Errorf("after the lease: %v on the other machine, %v started on the mute one", got, w.Starts()[before:])
@@ -1274,30 +1274,30 @@
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	here := []*standin.Worker{s.worker("n-1", "x", true), s.worker("n-2", "x", true), s.worker("n-3", "x", true)}
 	there := []*standin.Worker{s.worker("n-4", "y", true), s.worker("n-5", "y", true)}
 	for _, w := range here {
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 	}
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.Zone = 2, 4, "x" }))
 	s.submit(n, spec("j-2", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.SameZone = 4, 4, true }))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	if startsOf(here, "j-1") != 2 || startsOf(here, "j-2") != 4 {
 		t.Fatalf("started %v, %v and %v", here[0].Starts(), here[1].Starts(), here[2].Starts())
 	}
 	// One with some of the array is gone, and the zone has no room for that.
 	lost := slices.IndexFunc(here, func(w *standin.Worker) bool { return startsOf([]*standin.Worker{w}, "j-2") > 0 })
-	g.returnMachines(t.Context(), []string{here[lost].Beats.Machine})
+	l.returnMachines(t.Context(), []string{here[lost].Beats.Machine})
 	for _, w := range here {
 		w.Unreachable(true)
 	}
 	for range 6 {
 		for _, w := range there {
-			heartbeat(t, g, w)
+			heartbeat(t, l, w)
 		}
-		s.settle(g)
+		s.settle(l)
 		s.advance(3 * time.Second)
 		if got := startsOf(there, "j-1") + startsOf(there, "j-2"); got != 0 {
 			t.Fatalf("%d started in another zone while the array may go on in its own", got)
@@ -1306,9 +1306,9 @@
 	for range 3 {
 		s.advance(3 * time.Second)
 		for _, w := range there {
-			heartbeat(t, g, w)
+			heartbeat(t, l, w)
 		}
-		s.settle(g)
+		s.settle(l)
 	}
 	if got := startsOf(there, "j-1"); got != 0 {
 		t.Errorf("%d of a job run in a zone that it does not allow", got)
@@ -1429,10 +1429,10 @@
 			cancel()
 			<-done
 			before = token()
-			g, _ := s.elect(b)
+			l, _ := s.elect(b)
 			s.state.Deliver() // the predecessor's raise
-			if g.term.Token <= before || g.term.Token != token() {
-				t.Errorf("the next leads under %d, on record are %d, and %d before", g.term.Token, token(), before)
+			if l.term.Token <= before || l.term.Token != token() {
+				t.Errorf("the next leads under %d, on record are %d, and %d before", l.term.Token, token(), before)
 			}
 		})
 	}
@@ -1445,28 +1445,28 @@
 	for _, pieces := range []int{1, 2} {
 		s := newSite(t)
 		a, b := s.node(limited(4)), s.node(limited(4))
-		g, stop := s.elect(a)
+		l, stop := s.elect(a)
 		w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 		s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 4/float64(pieces) }))
-		s.resync(g)
-		s.settle(g)
+		s.resync(l)
+		s.settle(l)
 		for _, p := range w.Live() {
 			w.End(p, wire.CauseDone)
 		}
-		heartbeat(t, g, w)
-		g.mu.Lock()
-		wr := g.buildTransaction()
-		g.mu.Unlock()
-		if wr == nil || len(wr.finished) != 1 || !g.commit(t.Context(), wr) {
+		heartbeat(t, l, w)
+		l.mu.Lock()
+		wr := l.buildTransaction()
+		l.mu.Unlock()
+		if wr == nil || len(wr.finished) != 1 || !l.commit(t.Context(), wr) {
 			t.Fatal("the end was not recorded")
 		}
 		stop()
 		s.submit(b, spec("j-2", nil))
-		g, _ = s.elect(b)
-		heartbeat(t, g, other)
-		s.settle(g)
-		heartbeat(t, g, other)
+		l, _ = s.elect(b)
+		heartbeat(t, l, other)
+		s.settle(l)
+		heartbeat(t, l, other)
 		if got := other.Starts(); len(got) != 1 {
 			t.Errorf("%d tasks a job: %v started beside tasks that have ended, want the job that waits", pieces, got)
 		}
--- a/model_test.go
+++ b/model_test.go
@@ -768,8 +768,8 @@
 // token is what the leader was given when it took the lead, or 0.
 func (w *world) token() uint64 {
 	if p := w.running(fmt.Sprintf("node-%d", w.leader()+1)); p != nil {
-		if g := p.current.Load(); g != nil {
-			return g.term.Token
+		if l := p.current.Load(); l != nil {
+			return l.term.Token
 		}
 	}
 	return 0
@@ -802,7 +802,7 @@
 	for _, team := range slices.Sorted(maps.Keys(w.s.limits)) {
 		cfg.Facts.Teams = append(cfg.Facts.Teams, config.Team{Name: team, CPUsMax: w.s.limits[team], CPUs: w.s.floors[team]})
 	}
-	op, err := config.LoadOperator("")
+	operator, err := config.LoadOperator("")
 	if err != nil {
 		w.t.Error(err)
 		return
@@ -810,7 +810,7 @@
 	dialMu.Lock()
 	realDial := link.Dial
 	link.Dial = w.net.Dialer(from)
-	n := newService(cfg, op, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(standin.NewSteady()))
+	n := newService(cfg, operator, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(standin.NewSteady()))
 	link.Dial = realDial
 	dialMu.Unlock()
 	if w.s.ledger != nil {
@@ -1358,27 +1358,29 @@
 	if p == nil {
 		return "nobody leads"
 	}
-	g := p.current.Load()
-	if g == nil {
+	l := p.current.Load()
+	if l == nil {
 		return "nobody leads"
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	sp, _ := w.Job(uid)
 	text := fmt.Sprintf("%+v; leader %s; ", sp, p.name)
-	if j := g.jobs[uid]; j == nil {
+	if job := l.jobs[uid]; job == nil {
 		text += "job unknown; "
 	} else {
-		text += fmt.Sprintf("waiting %v of %d queued jobs; ", j.waiting, len(g.queue))
+		text += fmt.Sprintf("waiting %v of %d queued jobs; ", job.waiting, len(l.queue))
 	}
 	rec, token := store.TokenRecord{}, uint64(0)
 	w.state.Value(store.KeyToken, &rec)
-	token, _ = g.elector.HoldsLease()
+	token, _ = l.elector.HoldsLease()
 	text += fmt.Sprintf("token %d, on record %d; ", token, rec.Token)
-	for _, m := range g.fleet.Machines() {
-		text += fmt.Sprintf("\n%s %s %s cores %v banned %q cordoned %v usable %v tally %d token %d unheard %d;", m.Name, m.Type, m.Zone, m.UsedCores, m.QuarantineReason, m.Cordoned,
-			g.usable(m, g.clock.Now()), m.Sequence, m.Token, m.Unacknowledged)
-		m.EachAllocation(func(b *fleet.Allocation) { text += fmt.Sprintf("\n  %v#%d %+v", b.Task, b.Attempt, *b) })
+	for _, machine := range l.fleet.Machines() {
+		text += fmt.Sprintf("\n%s %s %s cores %v banned %q cordoned %v usable %v tally %d token %d unheard %d;", machine.Name, machine.Type, machine.Zone, machine.UsedCores, machine.QuarantineReason, machine.Cordoned,
+			l.usable(machine, l.clock.Now()), machine.Sequence, machine.Token, machine.Unacknowledged)
+		machine.EachAllocation(func(allocation *fleet.Allocation) {
+			text += fmt.Sprintf("\n  %v#%d %+v", allocation.Task, allocation.Attempt, *allocation)
+		})
 	}
 	return text
 }
--- a/operators.go
+++ b/operators.go
@@ -147,8 +147,8 @@
 // leaderRecovery reads how far the leader has taken over, here or at the controller that leads.
 func (s *Service) leaderRecovery(ctx context.Context) (r recovery.Report, err error) {
 	leader := s.elector.Leader()
-	if g := s.current.Load(); g != nil {
-		r, known := g.recoveryReport()
+	if l := s.current.Load(); l != nil {
+		r, known := l.recoveryReport()
 		if !known {
 			return r, errNoLeader
 		}
@@ -177,11 +177,11 @@
 
 // encodedReport answers another controller that serves operators: with nothing, unless this one leads.
 func (s *Service) encodedReport(kind string) []byte {
-	g := s.current.Load()
-	if g == nil || kind != peer.ReportRecovery {
+	l := s.current.Load()
+	if l == nil || kind != peer.ReportRecovery {
 		return nil
 	}
-	report, known := g.recoveryReport()
+	report, known := l.recoveryReport()
 	if !known {
 		return nil
 	}
--- a/picture.go
+++ b/picture.go
@@ -12,31 +12,31 @@
 )
 
 // usable tells whether a machine may be given tasks.
-func (g *leader) usable(m *fleet.Machine, now clock.Micros) bool {
-	return m.Reported && !m.Suspect && !m.Unresponsive && m.RunningOrphans() == 0 && m.Cores > 0 && !m.LeaseExpired(now) && !m.Returning && m.PreemptionAt == 0 && m.SuspendedUntil <= now
+func (l *leader) usable(machine *fleet.Machine, now clock.Micros) bool {
+	return machine.Reported && !machine.Suspect && !machine.Unresponsive && machine.RunningOrphans() == 0 && machine.Cores > 0 && !machine.LeaseExpired(now) && !machine.Returning && machine.PreemptionAt == 0 && machine.SuspendedUntil <= now
 }
 
 // evaluateMachine bans a machine that has a notice, is slow or does not hear, and lifts
 // the ban when its reason ends. The caller holds mu.
-func (g *leader) evaluateMachine(m *fleet.Machine) {
-	if m.QuarantineReason == quarantineNotAcknowledging && !m.NotAcknowledging() {
-		m.QuarantineReason = ""
-		g.notAcknowledging--
-		g.log.Info("machine hears again", "host", m.Name)
+func (l *leader) evaluateMachine(machine *fleet.Machine) {
+	if machine.QuarantineReason == quarantineNotAcknowledging && !machine.NotAcknowledging() {
+		machine.QuarantineReason = ""
+		l.notAcknowledging--
+		l.log.Info("machine hears again", "host", machine.Name)
 	}
 	switch {
-	case m.PreemptionAt > 0 && m.QuarantineReason == "":
-		m.QuarantineReason = "notice"
-	case m.PreemptionAt == 0 && m.QuarantineReason == "notice":
-		m.QuarantineReason = ""
-	case m.QuarantineReason == "" && m.SlownessSamples >= 3 && m.Slowness > 1.6:
-		m.QuarantineReason = "slow"
-		g.log.Info("machine is slow", "host", m.Name, "factor", fmt.Sprintf("%.2f", m.Slowness))
+	case machine.PreemptionAt > 0 && machine.QuarantineReason == "":
+		machine.QuarantineReason = "notice"
+	case machine.PreemptionAt == 0 && machine.QuarantineReason == "notice":
+		machine.QuarantineReason = ""
+	case machine.QuarantineReason == "" && machine.SlownessSamples >= 3 && machine.Slowness > 1.6:
+		machine.QuarantineReason = "slow"
+		l.log.Info("machine is slow", "host", machine.Name, "factor", fmt.Sprintf("%.2f", machine.Slowness))
 	}
-	if m.NotAcknowledging() && m.QuarantineReason == "" {
-		m.QuarantineReason = quarantineNotAcknowledging
-		g.notAcknowledging++
-		g.log.Info("machine is deaf: it reports, but nothing told to it takes effect", "host", m.Name)
+	if machine.NotAcknowledging() && machine.QuarantineReason == "" {
+		machine.QuarantineReason = quarantineNotAcknowledging
+		l.notAcknowledging++
+		l.log.Info("machine is deaf: it reports, but nothing told to it takes effect", "host", machine.Name)
 	}
 }
 
@@ -47,77 +47,77 @@
 const stopGrace = 3 * clock.Second
 
 // refreshMachine brings the picture up to date with a machine. The caller holds mu.
-func (g *leader) refreshMachine(m *fleet.Machine, now clock.Micros) (again bool) {
-	pm := g.snapshot.Machine(m.Name)
-	if g.fleet.Machine(m.Name) != m {
-		if m.QuarantineReason == quarantineNotAcknowledging {
-			g.notAcknowledging--
-			m.QuarantineReason = ""
+func (l *leader) refreshMachine(machine *fleet.Machine, now clock.Micros) (again bool) {
+	planMachine := l.snapshot.Machine(machine.Name)
+	if l.fleet.Machine(machine.Name) != machine {
+		if machine.QuarantineReason == quarantineNotAcknowledging {
+			l.notAcknowledging--
+			machine.QuarantineReason = ""
 		}
-		if g.fleet.Machine(m.Name) == nil && pm != nil {
-			g.snapshot.Remove(m.Name)
+		if l.fleet.Machine(machine.Name) == nil && planMachine != nil {
+			l.snapshot.Remove(machine.Name)
 		}
-		delete(g.urgentMachines, m)
-		delete(g.awaitedMachines, m)
-		delete(g.machineFailures, m)
+		delete(l.urgentMachines, machine)
+		delete(l.awaitedMachines, machine)
+		delete(l.machineFailures, machine)
 		return false
 	}
-	if m.SuspendedUntil > 0 && m.SuspendedUntil <= now {
-		m.SuspendedUntil = 0
-		g.quarantineIfFailing(m, now)
+	if machine.SuspendedUntil > 0 && machine.SuspendedUntil <= now {
+		machine.SuspendedUntil = 0
+		l.quarantineIfFailing(machine, now)
 	}
-	g.evaluateMachine(m)
-	if pm == nil {
-		pm = &plan.Machine{Name: m.Name, Images: map[string]plan.ImageState{}}
+	l.evaluateMachine(machine)
+	if planMachine == nil {
+		planMachine = &plan.Machine{Name: machine.Name, Images: map[string]plan.ImageState{}}
 	}
-	c, a, r := m.Free()
-	pm.Type, pm.Zone, pm.Preemptible, pm.Cores, pm.Accelerators, pm.RAM = m.Type, m.Zone, m.Preemptible, c, a, r
-	pm.Usable, pm.QuarantineReason, pm.Cordoned, pm.ReservedFor = g.usable(m, now), m.QuarantineReason, m.Cordoned, g.reservedRoom[m.Name]
-	if b, known := g.fleet.MachineType(m.Type); known {
-		pm.FetchGBs = b.FetchGBs
+	c, a, r := machine.Free()
+	planMachine.Type, planMachine.Zone, planMachine.Preemptible, planMachine.Cores, planMachine.Accelerators, planMachine.RAM = machine.Type, machine.Zone, machine.Preemptible, c, a, r
+	planMachine.Usable, planMachine.QuarantineReason, planMachine.Cordoned, planMachine.ReservedFor = l.usable(machine, now), machine.QuarantineReason, machine.Cordoned, l.reservedRoom[machine.Name]
+	if b, known := l.fleet.MachineType(machine.Type); known {
+		planMachine.FetchGBs = b.FetchGBs
 	}
-	for b := range pm.Images {
-		if _, still := m.Images[b]; !still {
-			delete(pm.Images, b)
+	for b := range planMachine.Images {
+		if _, still := machine.Images[b]; !still {
+			delete(planMachine.Images, b)
 		}
 	}
-	for b, whole := range m.Images {
-		pm.Images[b] = plan.ImageFetching
+	for b, whole := range machine.Images {
+		planMachine.Images[b] = plan.ImageFetching
 		if whole {
-			pm.Images[b] = plan.ImageHeld
+			planMachine.Images[b] = plan.ImageHeld
 		}
 	}
-	pm.HasFailures = g.machineFailures[m] != nil
-	again = m.SuspendedUntil > now // looked at again when that is over
-	pm.StoppingCores, pm.StoppingAccelerators, pm.StoppingRAM = 0, 0, 0
-	pm.Victims = pm.Victims[:0]
-	guarantees := g.quota.Guarantees()
-	m.EachAllocation(func(b *fleet.Allocation) {
-		if !b.Live() {
+	planMachine.HasFailures = l.machineFailures[machine] != nil
+	again = machine.SuspendedUntil > now // looked at again when that is over
+	planMachine.StoppingCores, planMachine.StoppingAccelerators, planMachine.StoppingRAM = 0, 0, 0
+	planMachine.Victims = planMachine.Victims[:0]
+	guarantees := l.quota.Guarantees()
+	machine.EachAllocation(func(allocation *fleet.Allocation) {
+		if !allocation.Live() {
 			return
 		}
-		if b.Stopping {
+		if allocation.Stopping {
 			// One that does not obey leaves room that may be long in coming.
-			if now-b.StopRequestedAt <= stopGrace {
+			if now-allocation.StopRequestedAt <= stopGrace {
 				again = true
-				pm.StoppingCores += b.Cores
-				pm.StoppingAccelerators += b.Accelerators
-				pm.StoppingRAM += b.RAM
+				planMachine.StoppingCores += allocation.Cores
+				planMachine.StoppingAccelerators += allocation.Accelerators
+				planMachine.StoppingRAM += allocation.RAM
 			}
 			return
 		}
-		j, ok := b.Owner.(*Job)
-		if !ok || j.isService() && !guarantees || j.isGang() || j.cancelled || j.preemptionExempt && len(j.tasks)-j.done-len(j.waiting) <= plan.StarvedTasks || j.tasks[b.Task.Index].allocation != b {
+		job, ok := allocation.Owner.(*Job)
+		if !ok || job.isService() && !guarantees || job.isGang() || job.cancelled || job.preemptionExempt && len(job.tasks)-job.done-len(job.waiting) <= plan.StarvedTasks || job.tasks[allocation.Task.Index].allocation != allocation {
 			return
 		}
-		pm.Victims = append(pm.Victims, plan.Victim{Task: plan.TaskID{Job: j.uid, Index: b.Task.Index}, Job: j.planJob, Priority: j.priority,
-			Cores: b.Cores, Accelerators: b.Accelerators, RAM: b.RAM, RunningSince: b.RunningSince, Replica: j.isService()})
+		planMachine.Victims = append(planMachine.Victims, plan.Victim{Task: plan.TaskID{Job: job.uid, Index: allocation.Task.Index}, Job: job.planJob, Priority: job.priority,
+			Cores: allocation.Cores, Accelerators: allocation.Accelerators, RAM: allocation.RAM, RunningSince: allocation.RunningSince, Replica: job.isService()})
 	})
-	slices.SortStableFunc(pm.Victims, func(a, b plan.Victim) int {
+	slices.SortStableFunc(planMachine.Victims, func(a, b plan.Victim) int {
 		// Least progress first: not begun, then begun last. Replicas come after all else.
 		return cmp.Or(compareBool(a.Replica, b.Replica), cmp.Compare(a.Priority, b.Priority), cmp.Compare(zeroLast(b.RunningSince), zeroLast(a.RunningSince)))
 	})
-	g.snapshot.Put(pm)
+	l.snapshot.Put(planMachine)
 	return again
 }
 
@@ -145,39 +145,39 @@
 
 // avoidsStruck tells whether jobs on trial keep away from machines on which
 // anything has failed: not where that is most of them. The caller holds mu.
-func (g *leader) avoidsStruck() bool { return 2*len(g.machineFailures) < g.fleet.ReportingCount() }
+func (l *leader) avoidsStruck() bool { return 2*len(l.machineFailures) < l.fleet.ReportingCount() }
 
 // planInput readies the picture for a plan: it lists the tasks that wait. The
 // caller holds mu.
-func (g *leader) planInput(now clock.Micros, round bool) *plan.Snapshot {
-	p := g.snapshot
-	g.writeSequence++
-	p.Seed, p.Now = g.writeSequence, now
-	p.MaxMoves = max(g.operator.Repair.Restarts, int(float64(g.replicas)*g.operator.Repair.Share))
+func (l *leader) planInput(now clock.Micros, round bool) *plan.Snapshot {
+	p := l.snapshot
+	l.writeSequence++
+	p.Seed, p.Now = l.writeSequence, now
+	p.MaxMoves = max(l.operator.Repair.Restarts, int(float64(l.replicas)*l.operator.Repair.Share))
 	p.Waiting, p.Candidates = p.Waiting[:0], p.Candidates[:0]
-	p.AvoidFailures = g.avoidsStruck()
-	g.markEntitled(now)
-	wall := g.clock.Wall()
+	p.AvoidFailures = l.avoidsStruck()
+	l.markEntitled(now)
+	wall := l.clock.Wall()
 	const perPass = 400 // tasks of one job offered to one pass
-	low := g.bestEffortAllowance(now)
-	unbooked := g.fleet.HasOrphans()
-	for j := range g.queue {
-		j.pruneWaiting()
-		if j.cancelled || len(j.waiting) == 0 {
-			delete(g.queue, j)
+	low := l.bestEffortAllowance(now)
+	unbooked := l.fleet.HasOrphans()
+	for job := range l.queue {
+		job.pruneWaiting()
+		if job.cancelled || len(job.waiting) == 0 {
+			delete(l.queue, job)
 			continue
 		}
-		if j.cancellationPending {
+		if job.cancellationPending {
 			continue
 		}
-		tries := j.waiting
-		pj := j.planJob
-		if pj.OnTrial = j.failures.onTrial(); pj.OnTrial {
-			tries = g.trialTasks(j, now)
-			pj.OnTrial = j.failures.onTrial()
+		tries := job.waiting
+		pj := job.planJob
+		if pj.OnTrial = job.failures.onTrial(); pj.OnTrial {
+			tries = l.trialTasks(job, now)
+			pj.OnTrial = job.failures.onTrial()
 		}
 		most := perPass
-		if j.bestEffort() {
+		if job.bestEffort() {
 			if most = min(perPass, low); most <= 0 {
 				continue
 			}
@@ -185,27 +185,27 @@
 		idx := make([]int, 0, min(len(tries), most))
 		lost := false
 		for _, i := range tries {
-			if j.tasks[i].notBefore > now || unbooked && g.fleet.MayRunAsOrphan(fleet.TaskID{Job: j.uid, Index: i}, now) {
+			if job.tasks[i].notBefore > now || unbooked && l.fleet.MayRunAsOrphan(fleet.TaskID{Job: job.uid, Index: i}, now) {
 				continue
 			}
 			idx = append(idx, i)
-			lost = lost || j.tasks[i].hasRun
-			if len(idx) >= most && !j.isGang() {
+			lost = lost || job.tasks[i].hasRun
+			if len(idx) >= most && !job.isGang() {
 				break
 			}
 		}
 		if len(idx) == 0 {
 			continue
 		}
-		pj.Started, pj.Unfinished = j.started, len(j.tasks)-j.done
-		pj.StartsPartially = !j.started && clock.Micros(j.acceptedAt)+agedAfter < wall
-		pj.Starved = pj.StartsPartially && !j.isService() && !pj.OnTrial
-		pj.Slack = j.slackAt(wall)
+		pj.Started, pj.Unfinished = job.started, len(job.tasks)-job.done
+		pj.StartsPartially = !job.started && clock.Micros(job.acceptedAt)+agedAfter < wall
+		pj.Starved = pj.StartsPartially && !job.isService() && !pj.OnTrial
+		pj.Slack = job.slackAt(wall)
 		p.Waiting = append(p.Waiting, plan.Waiting{Job: pj, Indexes: idx, Replacement: lost})
 	}
 	// The planner's order has no ties, so that of the map does not matter.
 	if round {
-		g.candidates(p)
+		l.candidates(p)
 	}
 	return p
 }
@@ -217,15 +217,15 @@
 const bestEffortPerCore = 1500
 
 // bestEffortRate is how many tasks of the lowest priority may be started in a second.
-func (g *leader) bestEffortRate() float64 {
-	return max(10, bestEffortPerCore*min(1, g.cfg.Facts.Limits.CoreShare))
+func (l *leader) bestEffortRate() float64 {
+	return max(10, bestEffortPerCore*min(1, l.cfg.Facts.Limits.CoreShare))
 }
 
 // bestEffortAllowance is how many of them may be started now. The caller holds mu.
-func (g *leader) bestEffortAllowance(now clock.Micros) int {
-	g.bestEffortTokens = min(g.bestEffortRate(), g.bestEffortTokens+g.bestEffortRate()*(now-g.bestEffortAt).Seconds())
-	g.bestEffortAt = now
-	return int(g.bestEffortTokens)
+func (l *leader) bestEffortAllowance(now clock.Micros) int {
+	l.bestEffortTokens = min(l.bestEffortRate(), l.bestEffortTokens+l.bestEffortRate()*(now-l.bestEffortAt).Seconds())
+	l.bestEffortAt = now
+	return int(l.bestEffortTokens)
 }
 
 // slackAt is the time left in which the job's tasks must start to meet its
@@ -251,21 +251,21 @@
 
 // markEntitled marks the jobs that fit into their team's guarantee together with
 // the team's earlier ones, where there are guarantees at all, once a second.
-func (g *leader) markEntitled(now clock.Micros) {
-	if !g.quota.Guarantees() || now-g.entitledAt < clock.Second && !g.jobsChanged {
+func (l *leader) markEntitled(now clock.Micros) {
+	if !l.quota.Guarantees() || now-l.entitledAt < clock.Second && !l.jobsChanged {
 		return
 	}
-	g.entitledAt = now
+	l.entitledAt = now
 	var jobs []*Job
 	var demands []quota.Demand
-	for _, j := range g.sortedJobs() {
-		if j.cancelled {
+	for _, job := range l.sortedJobs() {
+		if job.cancelled {
 			continue
 		}
-		jobs = append(jobs, j)
-		demands = append(demands, quota.Demand{Team: j.spec.Team, Amount: j.taskAmount().Times(len(j.tasks) - j.done)})
+		jobs = append(jobs, job)
+		demands = append(demands, quota.Demand{Team: job.spec.Team, Amount: job.taskAmount().Times(len(job.tasks) - job.done)})
 	}
-	for i, entitled := range g.quota.Entitled(demands) {
+	for i, entitled := range l.quota.Entitled(demands) {
 		jobs[i].planJob.Entitled = entitled
 	}
 }
@@ -275,7 +275,7 @@
 
 // fitsTeamLimit tells whether the job's team may use as much more as a task of it takes. The
 // caller holds mu.
-func (g *leader) fitsTeamLimit(j *Job) bool { return g.quota.Fits(j.spec.Team, j.taskAmount()) }
+func (l *leader) fitsTeamLimit(job *Job) bool { return l.quota.Fits(job.spec.Team, job.taskAmount()) }
 
 // minReplicaAge is how long a replica is left alone after its start: a start that is
 // undone within half a minute is none to its users.
@@ -284,39 +284,39 @@
 // candidates lists the placed tasks on offending machines or in broken rules.
 // Batch tasks that could not save are left to finish on a machine that still
 // works: stopping them would lose what repair is meant to protect.
-func (g *leader) candidates(p *plan.Snapshot) {
+func (l *leader) candidates(p *plan.Snapshot) {
 	now := p.Now
 	// Spreading goes slowly, so only some of the replicas that share a machine are
 	// looked at in a round, beginning elsewhere each time.
 	sharing := 4 * max(1, p.MaxMoves)
-	machines := g.fleet.Machines()
+	machines := l.fleet.Machines()
 	if len(machines) > 0 {
-		at := int(g.writeSequence*97) % len(machines)
+		at := int(l.writeSequence*97) % len(machines)
 		machines = slices.Concat(machines[at:], machines[:at])
 	}
-	for _, m := range machines {
-		m.EachAllocation(func(b *fleet.Allocation) {
-			j, known := b.Owner.(*Job)
-			if !b.Live() || b.Stopping || !known || j.cancelled || j.isGang() {
+	for _, machine := range machines {
+		machine.EachAllocation(func(allocation *fleet.Allocation) {
+			job, known := allocation.Owner.(*Job)
+			if !allocation.Live() || allocation.Stopping || !known || job.cancelled || job.isGang() {
 				return
 			}
-			pc := &j.tasks[b.Task.Index]
-			if pc.allocation != b || pc.moveTarget != nil {
+			task := &job.tasks[allocation.Task.Index]
+			if task.allocation != allocation || task.moveTarget != nil {
 				return
 			}
 			reason := ""
 			switch {
-			case m.QuarantineReason != "" && (j.isService() || b.Checkpoints || m.QuarantineReason == "sick"):
+			case machine.QuarantineReason != "" && (job.isService() || allocation.Checkpoints || machine.QuarantineReason == "sick"):
 				reason = plan.ReasonQuarantine
-			case m.Cordoned && j.isService() && now-b.ReservedAt > minReplicaAge:
+			case machine.Cordoned && job.isService() && now-allocation.ReservedAt > minReplicaAge:
 				reason = plan.ReasonDrain
-			case j.isService() && j.planJob.Machines[m.Name] > 1 && sharing > 0:
+			case job.isService() && job.planJob.Machines[machine.Name] > 1 && sharing > 0:
 				reason = plan.ReasonSpread
 				sharing--
 			default:
 				return
 			}
-			p.Candidates = append(p.Candidates, plan.Candidate{Job: j.planJob, Index: b.Task.Index, Machine: m.Name, Reason: reason})
+			p.Candidates = append(p.Candidates, plan.Candidate{Job: job.planJob, Index: allocation.Task.Index, Machine: machine.Name, Reason: reason})
 		})
 	}
 }
--- a/quota_test.go
+++ b/quota_test.go
@@ -15,16 +15,16 @@
 )
 
 // ledWork is a platform whose first leader has placed what it could of a job.
-func ledWork(t *testing.T, n *Service, s *site, tasks int) (g *leader, w *standin.Worker, stop func()) {
+func ledWork(t *testing.T, n *Service, s *site, tasks int) (l *leader, w *standin.Worker, stop func()) {
 	t.Helper()
-	g, stop = s.elect(n)
+	l, stop = s.elect(n)
 	w = s.worker("n-1", "x", true)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = tasks }))
-	s.resync(g)
-	s.settle(g)
-	heartbeat(t, g, w)
-	return g, w, stop
+	s.resync(l)
+	s.settle(l)
+	heartbeat(t, l, w)
+	return l, w, stop
 }
 
 // A leader is paused right after it has reserved a team's last room and before that is
@@ -133,7 +133,7 @@
 func TestLateEndsFreeNothing(t *testing.T) {
 	s := newSite(t)
 	n := s.node(limited(2))
-	g, w, _ := ledWork(t, n, s, 2)
+	l, w, _ := ledWork(t, n, s, 2)
 	running := w.Live()
 	if len(running) != 1 {
 		t.Fatalf("one task of 2 cores under a limit of 2: %v", running)
@@ -141,26 +141,26 @@
 	w.End(running[0], wire.CauseDone)
 	late := w.Report() // of the first task's end
 	for range 3 {
-		heartbeat(t, g, w)
-		s.settle(g)
+		heartbeat(t, l, w)
+		s.settle(l)
 	}
 	if got := w.Live(); len(got) != 1 || got[0] == running[0] {
 		t.Fatalf("after the first task's end: %v", got)
 	}
 	used := func() float64 {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return g.quota.Usage("team").Total.Cores.Decimal()
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		return l.quota.Usage("team").Total.Cores.Decimal()
 	}
 	for range 2 {
-		if _, ok := g.Heartbeat(&late); !ok {
+		if _, ok := l.Heartbeat(&late); !ok {
 			t.Fatal("not answered")
 		}
 		if got := used(); got != 2 {
 			t.Errorf("after a late copy: %v in use, want 2", got)
 		}
 	}
-	s.settle(g)
+	s.settle(l)
 	if got := w.Starts(); len(got) != 2 {
 		t.Errorf("starts %v, want each task once", got)
 	}
@@ -170,7 +170,7 @@
 func TestBadSubmissionsLeaveTheLedgerAlone(t *testing.T) {
 	s := newSite(t)
 	n := s.node(limited(4))
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	for name, tt := range map[string]struct {
 		mod  func(m map[string]any)
 		want int
@@ -193,13 +193,13 @@
 			t.Errorf("%s: status %d, want %d", name, code, tt.want)
 		}
 	}
-	s.resync(g)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if use := g.quota.Usage("team"); use.Total != (quota.Amount{}) || len(g.jobs) > 0 || len(s.state.Keys(store.PrefixJob)) > 0 {
-		t.Errorf("%+v in use, %d jobs", use, len(g.jobs))
+	s.resync(l)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if use := l.quota.Usage("team"); use.Total != (quota.Amount{}) || len(l.jobs) > 0 || len(s.state.Keys(store.PrefixJob)) > 0 {
+		t.Errorf("%+v in use, %d jobs", use, len(l.jobs))
 	}
-	if got := fmt.Sprint(g.quota.Teams()); got != "[team]" {
+	if got := fmt.Sprint(l.quota.Teams()); got != "[team]" {
 		t.Errorf("teams %s", got)
 	}
 }
@@ -211,17 +211,17 @@
 	n := s.node(func(f *config.Facts) {
 		f.Teams = append(f.Teams, config.Team{Name: "owner", CPUs: 2})
 	})
-	g, w, _ := ledWork(t, n, s, 8)
+	l, w, _ := ledWork(t, n, s, 8)
 	if got := w.Live(); len(got) != 4 {
 		t.Fatalf("four tasks of 2 cores on 8: %v", got)
 	}
 	for i := range 3 {
 		s.submit(n, spec(fmt.Sprintf("j-%d", i+2), func(sp *wire.Spec) { sp.Team, sp.Priority, sp.Cores = "owner", "low", 1 }))
 	}
-	s.resync(g)
+	s.resync(l)
 	for range 6 {
-		s.settle(g)
-		heartbeat(t, g, w)
+		s.settle(l)
+		heartbeat(t, l, w)
 		s.advance(time.Second)
 	}
 	own := 0
--- a/record.go
+++ b/record.go
@@ -61,36 +61,36 @@
 func (j *Job) sharesRecord() bool { return len(j.tasks) == 1 && !j.isService() && !j.isGang() }
 
 // joinShared finds a job a record for its only task's attempts. The caller holds mu.
-func (g *leader) joinShared(j *Job) {
-	if g.openShared == nil || g.sharedIsFull(g.openShared) {
-		g.sharedCount++
-		g.openShared = &SharedRecord{key: store.SharedKey(g.term.Revision, g.sharedCount)}
-	}
-	j.shared = g.openShared
-	j.shared.jobCount++
-	j.shared.jobs = append(j.shared.jobs, j)
+func (l *leader) joinShared(job *Job) {
+	if l.openShared == nil || l.sharedIsFull(l.openShared) {
+		l.sharedCount++
+		l.openShared = &SharedRecord{key: store.SharedKey(l.term.Revision, l.sharedCount)}
+	}
+	job.shared = l.openShared
+	job.shared.jobCount++
+	job.shared.jobs = append(job.shared.jobs, job)
 }
 
 // sharedIsFull tells whether a shared record takes no more jobs: its first write is
 // conditional on each of them.
-func (g *leader) sharedIsFull(s *SharedRecord) bool {
-	return s != g.openShared || s.jobCount >= min(store.JobsPerSharedRecord, 4*g.cfg.Facts.State.TxnOps-8)
+func (l *leader) sharedIsFull(shared *SharedRecord) bool {
+	return shared != l.openShared || shared.jobCount >= min(store.JobsPerSharedRecord, 4*l.cfg.Facts.State.TxnOps-8)
 }
 
 // leaveShared takes a job of which nothing may be anywhere any more out of its
 // record, which is written again when there are changes to spare. The caller holds mu.
-func (g *leader) leaveShared(j *Job) {
-	s := j.shared
-	if s == nil {
+func (l *leader) leaveShared(job *Job) {
+	shared := job.shared
+	if shared == nil {
 		return
 	}
-	if i := slices.Index(s.jobs, j); i >= 0 {
-		s.jobs = slices.Delete(s.jobs, i, i+1)
-		s.version++
+	if i := slices.Index(shared.jobs, job); i >= 0 {
+		shared.jobs = slices.Delete(shared.jobs, i, i+1)
+		shared.version++
 	}
-	j.shared = nil
-	if s.modRevision > 0 {
-		g.staleShared[s] = true
+	job.shared = nil
+	if shared.modRevision > 0 {
+		l.staleShared[shared] = true
 	}
 }
 
@@ -100,15 +100,15 @@
 
 // recordPriority orders what is to be recorded: placements and ends by priority, then what
 // is left of jobs that are over.
-func (g *leader) recordPriority(uid string) int {
-	j := g.jobs[uid]
+func (l *leader) recordPriority(uid string) int {
+	job := l.jobs[uid]
 	switch {
-	case j == nil || j.cancelled:
+	case job == nil || job.cancelled:
 		return -1
-	case j.isService():
+	case job.isService():
 		return int(wire.PriorityCritical)
 	}
-	return int(j.priority)
+	return int(job.priority)
 }
 
 // buildTransaction builds the next transaction from what has changed; nil when nothing
@@ -116,170 +116,170 @@
 // takes only changes that are to spare, or few: a full transaction of it would
 // keep the next urgent one waiting for as long as the service takes for it. The
 // caller holds mu.
-func (g *leader) buildTransaction() *transaction {
+func (l *leader) buildTransaction() *transaction {
 	// Results are recorded together with others, and give way to placements.
-	now := g.clock.Now()
+	now := l.clock.Now()
 	var due []string
-	for uid, at := range g.pendingResults {
+	for uid, at := range l.pendingResults {
 		if at <= now {
 			due = append(due, uid)
 		}
 	}
-	room := g.cfg.Facts.State.TxnOps / 2
+	room := l.cfg.Facts.State.TxnOps / 2
 	slices.SortFunc(due, func(a, b string) int {
-		return cmp.Or(cmp.Compare(g.pendingResults[a], g.pendingResults[b]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(l.pendingResults[a], l.pendingResults[b]), cmp.Compare(a, b))
 	})
 	for _, uid := range due {
-		if room--; room < 0 || len(g.dirty) > 0 && g.pendingResults[uid]+g.resultDelay() > now {
+		if room--; room < 0 || len(l.dirty) > 0 && l.pendingResults[uid]+l.resultDelay() > now {
 			break
 		}
-		delete(g.pendingResults, uid)
-		g.dirty[uid] = true
+		delete(l.pendingResults, uid)
+		l.dirty[uid] = true
 	}
-	g.writeSequence++
-	w := &transaction{nonce: fmt.Sprintf("%d.%d", g.term.Revision, g.writeSequence), sharedRecords: map[*SharedRecord]bool{}}
-	w.txn.Conditions = []wire.Condition{{Key: store.KeyLead, ModRevision: g.term.Revision}}
-	spare, all := max(minDeferredOperations, g.store.SpareWrites()), g.cfg.Facts.State.TxnOps
-	if g.smallTransactions > 0 {
-		g.smallTransactions--
+	l.writeSequence++
+	tx := &transaction{nonce: fmt.Sprintf("%d.%d", l.term.Revision, l.writeSequence), sharedRecords: map[*SharedRecord]bool{}}
+	tx.txn.Conditions = []wire.Condition{{Key: store.KeyLead, ModRevision: l.term.Revision}}
+	spare, all := max(minDeferredOperations, l.store.SpareWrites()), l.cfg.Facts.State.TxnOps
+	if l.smallTransactions > 0 {
+		l.smallTransactions--
 		spare, all = 1, 1
 	}
-	uids := make([]string, 0, len(g.dirty))
-	for uid := range g.dirty {
+	uids := make([]string, 0, len(l.dirty))
+	for uid := range l.dirty {
 		uids = append(uids, uid)
 	}
 	slices.SortFunc(uids, func(a, b string) int {
-		return cmp.Or(cmp.Compare(g.recordPriority(b), g.recordPriority(a)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(l.recordPriority(b), l.recordPriority(a)), cmp.Compare(a, b))
 	})
 	for _, uid := range uids {
-		j := g.jobs[uid]
-		if j == nil {
-			delete(g.dirty, uid)
+		job := l.jobs[uid]
+		if job == nil {
+			delete(l.dirty, uid)
 			continue
 		}
 		most := all
-		if g.recordPriority(uid) < int(wire.PriorityStandard) {
+		if l.recordPriority(uid) < int(wire.PriorityStandard) {
 			most = min(most, spare)
 		}
-		if len(w.txn.Operations) >= most || w.size > maxTransactionBytes || len(w.txn.Conditions)+2 > 4*g.cfg.Facts.State.TxnOps {
+		if len(tx.txn.Operations) >= most || tx.size > maxTransactionBytes || len(tx.txn.Conditions)+2 > 4*l.cfg.Facts.State.TxnOps {
 			break
 		}
 		clean := true
 		switch {
-		case j.cancelled:
-			clean = g.addDeletions(w, j, most)
-		case j.done == len(j.tasks) && !j.isService():
-			g.addFinished(w, j)
-		case j.shared != nil:
-			clean = g.addShared(w, j.shared)
+		case job.cancelled:
+			clean = l.addDeletions(tx, job, most)
+		case job.done == len(job.tasks) && !job.isService():
+			l.addFinished(tx, job)
+		case job.shared != nil:
+			clean = l.addShared(tx, job.shared)
 		default:
-			before := len(w.txn.Operations)
-			for n := range j.chunks {
-				c := &j.chunks[n]
-				if c.version == c.savedVersion || c.unreadable > 0 {
+			before := len(tx.txn.Operations)
+			for n := range job.chunks {
+				chunk := &job.chunks[n]
+				if chunk.version == chunk.savedVersion || chunk.unreadable > 0 {
 					continue
 				}
-				if len(w.txn.Operations) >= most || w.size > maxTransactionBytes || len(w.txn.Conditions)+2 > 4*g.cfg.Facts.State.TxnOps {
+				if len(tx.txn.Operations) >= most || tx.size > maxTransactionBytes || len(tx.txn.Conditions)+2 > 4*l.cfg.Facts.State.TxnOps {
 					clean = false
 					break
 				}
-				g.addChunk(w, j, n)
+				l.addChunk(tx, job, n)
 			}
-			if len(w.txn.Operations) > before {
+			if len(tx.txn.Operations) > before {
 				// Only with a change of its own: conditions are limited, too.
-				w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(uid), ModRevision: j.modRevision})
+				tx.txn.Conditions = append(tx.txn.Conditions, wire.Condition{Key: store.JobKey(uid), ModRevision: job.modRevision})
 			}
 		}
 		if clean {
-			delete(g.dirty, uid)
+			delete(l.dirty, uid)
 		}
 	}
-	if len(w.txn.Operations) == 0 {
-		g.addFinalMoves(w)
+	if len(tx.txn.Operations) == 0 {
+		l.addFinalMoves(tx)
 	}
-	if len(w.txn.Operations) == 0 {
+	if len(tx.txn.Operations) == 0 {
 		return nil
 	}
-	return w
+	return tx
 }
 
-func (g *leader) addChunk(w *transaction, j *Job, n int) {
-	c := &j.chunks[n]
+func (l *leader) addChunk(tx *transaction, job *Job, n int) {
+	chunk := &job.chunks[n]
 	base := n * store.TasksPerChunk
-	end := min(base+store.TasksPerChunk, len(j.tasks))
+	end := min(base+store.TasksPerChunk, len(job.tasks))
 	done := make([]bool, end-base)
 	var runs []store.TaskAttempt
-	wr := chunkWrite{chunk: c, key: store.ChunkKey(j.uid, n), job: j, version: c.version, ended: c.endedAttempts}
-	c.endedAttempts = nil
+	write := chunkWrite{chunk: chunk, key: store.ChunkKey(job.uid, n), job: job, version: chunk.version, ended: chunk.endedAttempts}
+	chunk.endedAttempts = nil
 	for i := base; i < end; i++ {
-		pc := &j.tasks[i]
+		task := &job.tasks[i]
 		switch {
-		case pc.state == taskDone:
+		case task.state == taskDone:
 			done[i-base] = true
-		case pc.allocation != nil:
-			runs = append(runs, store.TaskAttempt{Index: i - base, Attempt: pc.attempt, Machine: pc.allocation.Machine.Name, Incarnation: pc.allocation.Incarnation})
-			if !pc.allocation.Durable {
-				wr.attempts = append(wr.attempts, pc.allocation)
+		case task.allocation != nil:
+			runs = append(runs, store.TaskAttempt{Index: i - base, Attempt: task.attempt, Machine: task.allocation.Machine.Name, Incarnation: task.allocation.Incarnation})
+			if !task.allocation.Durable {
+				write.attempts = append(write.attempts, task.allocation)
 			}
-		case pc.attempt > 0:
-			runs = append(runs, store.TaskAttempt{Index: i - base, Attempt: pc.attempt})
+		case task.attempt > 0:
+			runs = append(runs, store.TaskAttempt{Index: i - base, Attempt: task.attempt})
 		}
 	}
-	w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: wr.key, ModRevision: c.modRevision})
-	w.txn.Operations = append(w.txn.Operations, wire.Operation{Set: wr.key, Value: store.NewChunkRecord(w.nonce, done, runs)})
-	w.chunks = append(w.chunks, wr)
-	w.size += 200 + 36*len(runs)
+	tx.txn.Conditions = append(tx.txn.Conditions, wire.Condition{Key: write.key, ModRevision: chunk.modRevision})
+	tx.txn.Operations = append(tx.txn.Operations, wire.Operation{Set: write.key, Value: store.NewChunkRecord(tx.nonce, done, runs)})
+	tx.chunks = append(tx.chunks, write)
+	tx.size += 200 + 36*len(runs)
 }
 
 // addShared records what has changed of the single tasks that share a record,
 // once in a transaction; false when it has no room for all that this takes. Each
 // attempt that becomes durable by it is conditional on its own job, as always.
-func (g *leader) addShared(w *transaction, s *SharedRecord) bool {
-	if s.version == s.savedVersion || w.sharedRecords[s] {
+func (l *leader) addShared(tx *transaction, shared *SharedRecord) bool {
+	if shared.version == shared.savedVersion || tx.sharedRecords[shared] {
 		return true
 	}
-	wr := chunkWrite{chunk: &s.Chunk, key: s.key, shared: s, version: s.version, ended: s.endedAttempts}
-	rec := store.SharedRecord{Nonce: w.nonce, Rows: append([]store.SharedRow{}, s.keptRows...)}
-	when := []wire.Condition{{Key: s.key, ModRevision: s.modRevision}}
-	for _, j := range s.jobs {
-		pc := &j.tasks[0]
+	write := chunkWrite{chunk: &shared.Chunk, key: shared.key, shared: shared, version: shared.version, ended: shared.endedAttempts}
+	rec := store.SharedRecord{Nonce: tx.nonce, Rows: append([]store.SharedRow{}, shared.keptRows...)}
+	when := []wire.Condition{{Key: shared.key, ModRevision: shared.modRevision}}
+	for _, job := range shared.jobs {
+		task := &job.tasks[0]
 		switch {
-		case pc.allocation != nil:
-			rec.Rows = append(rec.Rows, store.SharedRow{UID: j.uid, Attempt: pc.attempt, Machine: pc.allocation.Machine.Name, Incarnation: pc.allocation.Incarnation})
-			if !pc.allocation.Durable && !j.cancelled {
-				wr.attempts = append(wr.attempts, pc.allocation)
-				when = append(when, wire.Condition{Key: store.JobKey(j.uid), ModRevision: j.modRevision})
+		case task.allocation != nil:
+			rec.Rows = append(rec.Rows, store.SharedRow{UID: job.uid, Attempt: task.attempt, Machine: task.allocation.Machine.Name, Incarnation: task.allocation.Incarnation})
+			if !task.allocation.Durable && !job.cancelled {
+				write.attempts = append(write.attempts, task.allocation)
+				when = append(when, wire.Condition{Key: store.JobKey(job.uid), ModRevision: job.modRevision})
 			}
-		case pc.attempt > 0:
-			rec.Rows = append(rec.Rows, store.SharedRow{UID: j.uid, Attempt: pc.attempt})
+		case task.attempt > 0:
+			rec.Rows = append(rec.Rows, store.SharedRow{UID: job.uid, Attempt: task.attempt})
 		}
 	}
-	if len(w.txn.Conditions)+len(when) > 4*g.cfg.Facts.State.TxnOps && len(w.txn.Operations) > 0 {
+	if len(tx.txn.Conditions)+len(when) > 4*l.cfg.Facts.State.TxnOps && len(tx.txn.Operations) > 0 {
 		return false
 	}
-	w.sharedRecords[s] = true
-	s.endedAttempts = nil
-	w.txn.Conditions = append(w.txn.Conditions, when...)
-	if len(rec.Rows) == 0 && g.sharedIsFull(s) && s.modRevision > 0 {
-		wr.deleted = true
-		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: s.key})
+	tx.sharedRecords[shared] = true
+	shared.endedAttempts = nil
+	tx.txn.Conditions = append(tx.txn.Conditions, when...)
+	if len(rec.Rows) == 0 && l.sharedIsFull(shared) && shared.modRevision > 0 {
+		write.deleted = true
+		tx.txn.Operations = append(tx.txn.Operations, wire.Operation{Delete: shared.key})
 	} else {
-		w.txn.Operations = append(w.txn.Operations, wire.Operation{Set: s.key, Value: rec})
+		tx.txn.Operations = append(tx.txn.Operations, wire.Operation{Set: shared.key, Value: rec})
 	}
-	w.chunks = append(w.chunks, wr)
-	w.size += 100 + 70*len(rec.Rows)
+	tx.chunks = append(tx.chunks, write)
+	tx.size += 100 + 70*len(rec.Rows)
 	return true
 }
 
 // addFinished calls a job done, in its own record: one change, however many
 // come at a time. It moves to its final place later.
-func (g *leader) addFinished(w *transaction, j *Job) {
-	rec := store.NewFinalRecord(&j.spec, wire.JobDone, w.nonce)
-	w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(j.uid), ModRevision: j.modRevision})
-	w.txn.Operations = append(w.txn.Operations, wire.Operation{Set: store.JobKey(j.uid),
-		Value: store.JobRecord{Spec: wire.Spec{UID: j.uid}, AcceptedUS: j.acceptedAt, Final: &rec}})
-	w.finished = append(w.finished, j)
-	w.size += 300
+func (l *leader) addFinished(tx *transaction, job *Job) {
+	rec := store.NewFinalRecord(&job.spec, wire.JobDone, tx.nonce)
+	tx.txn.Conditions = append(tx.txn.Conditions, wire.Condition{Key: store.JobKey(job.uid), ModRevision: job.modRevision})
+	tx.txn.Operations = append(tx.txn.Operations, wire.Operation{Set: store.JobKey(job.uid),
+		Value: store.JobRecord{Spec: wire.Spec{UID: job.uid}, AcceptedUS: job.acceptedAt, Final: &rec}})
+	tx.finished = append(tx.finished, job)
+	tx.size += 300
 }
 
 // finalMoveSpare is how many changes must be to spare for jobs that are done to move
@@ -292,66 +292,66 @@
 
 // addFinalMoves moves jobs that are done to their final place, and writes the
 // records again that hold rows of them, when nothing else is to be recorded.
-func (g *leader) addFinalMoves(w *transaction) {
-	spare := min(g.cfg.Facts.State.TxnOps, g.store.SpareWrites())
-	if (spare < min(finalMoveSpare, g.cfg.Facts.State.TxnOps) || g.store.Overloaded()) && len(g.finalMoves) < maxPendingFinalMoves {
+func (l *leader) addFinalMoves(tx *transaction) {
+	spare := min(l.cfg.Facts.State.TxnOps, l.store.SpareWrites())
+	if (spare < min(finalMoveSpare, l.cfg.Facts.State.TxnOps) || l.store.Overloaded()) && len(l.finalMoves) < maxPendingFinalMoves {
 		return
 	}
-	for len(g.finalMoves) > 0 && len(w.txn.Operations)+3 <= max(3, spare) && len(w.txn.Conditions) < 3*g.cfg.Facts.State.TxnOps {
-		f := g.finalMoves[0]
-		g.finalMoves = g.finalMoves[1:]
+	for len(l.finalMoves) > 0 && len(tx.txn.Operations)+3 <= max(3, spare) && len(tx.txn.Conditions) < 3*l.cfg.Facts.State.TxnOps {
+		move := l.finalMoves[0]
+		l.finalMoves = l.finalMoves[1:]
 		// A row that outlived its job's record would have to be looked up by a new leader.
-		if f.shared != nil && f.shared.modRevision > 0 {
-			if !g.addShared(w, f.shared) {
-				g.finalMoves = append(g.finalMoves, f)
+		if move.shared != nil && move.shared.modRevision > 0 {
+			if !l.addShared(tx, move.shared) {
+				l.finalMoves = append(l.finalMoves, move)
 				break
 			}
-			delete(g.staleShared, f.shared)
+			delete(l.staleShared, move.shared)
 		}
-		w.txn.Conditions = append(w.txn.Conditions, wire.Condition{Key: store.JobKey(f.uid), ModRevision: f.modRevision})
-		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: store.JobKey(f.uid)}, wire.Operation{Set: store.FinalKey(f.uid), Value: f.record})
-		w.moved = append(w.moved, f)
+		tx.txn.Conditions = append(tx.txn.Conditions, wire.Condition{Key: store.JobKey(move.uid), ModRevision: move.modRevision})
+		tx.txn.Operations = append(tx.txn.Operations, wire.Operation{Delete: store.JobKey(move.uid)}, wire.Operation{Set: store.FinalKey(move.uid), Value: move.record})
+		tx.moved = append(tx.moved, move)
 	}
-	for s := range g.staleShared {
-		if len(w.txn.Operations) >= spare {
+	for shared := range l.staleShared {
+		if len(tx.txn.Operations) >= spare {
 			break
 		}
-		if !g.addShared(w, s) {
+		if !l.addShared(tx, shared) {
 			break
 		}
-		delete(g.staleShared, s)
+		delete(l.staleShared, shared)
 	}
 }
 
 // addDeletions deletes a cancelled job's records once none of its tasks can
 // exist any more; false while some may.
-func (g *leader) addDeletions(w *transaction, j *Job, most int) bool {
-	for i := range j.tasks {
-		if j.tasks[i].allocation != nil {
+func (l *leader) addDeletions(tx *transaction, job *Job, most int) bool {
+	for i := range job.tasks {
+		if job.tasks[i].allocation != nil {
 			return true // its end will mark the job again
 		}
 	}
-	if g.unreadable[j] {
+	if l.unreadable[job] {
 		return true // so will the end of the doubt about its tasks
 	}
-	for n := range j.chunks {
-		if j.chunks[n].modRevision == 0 {
+	for n := range job.chunks {
+		if job.chunks[n].modRevision == 0 {
 			continue
 		}
-		if len(w.txn.Operations) >= most {
+		if len(tx.txn.Operations) >= most {
 			return false
 		}
-		key := store.ChunkKey(j.uid, n)
-		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: key})
-		w.chunks = append(w.chunks, chunkWrite{chunk: &j.chunks[n], key: key, job: j, deleted: true})
+		key := store.ChunkKey(job.uid, n)
+		tx.txn.Operations = append(tx.txn.Operations, wire.Operation{Delete: key})
+		tx.chunks = append(tx.chunks, chunkWrite{chunk: &job.chunks[n], key: key, job: job, deleted: true})
 	}
-	g.leaveShared(j)
-	if len(w.txn.Operations) == 0 || !slices.ContainsFunc(w.chunks, func(wr chunkWrite) bool { return wr.job == j }) {
+	l.leaveShared(job)
+	if len(tx.txn.Operations) == 0 || !slices.ContainsFunc(tx.chunks, func(write chunkWrite) bool { return write.job == job }) {
 		// Nothing of its own is recorded, or no longer.
-		g.forgetJob(j)
+		l.forgetJob(job)
 		return true
 	}
-	w.deleted = append(w.deleted, j)
+	tx.deleted = append(tx.deleted, job)
 	return true
 }
 
@@ -359,144 +359,144 @@
 // answer that was lost is settled by sending the very same transaction again:
 // its conditions let it be applied once, and its nonce tells whether it was.
 // It gives false when the term is over.
-func (g *leader) commit(ctx context.Context, w *transaction) bool {
+func (l *leader) commit(ctx context.Context, tx *transaction) bool {
 	pause := 100 * clock.Millisecond
 	for ctx.Err() == nil {
-		epoch, err := g.store.Commit(ctx, store.Urgent, w.txn)
+		epoch, err := l.store.Commit(ctx, store.Urgent, tx.txn)
 		if err == nil {
-			g.transactionApplied(w, epoch)
+			l.transactionApplied(tx, epoch)
 			return true
 		}
 		var conflict *store.Conflict
 		if errors.As(err, &conflict) {
-			return g.resolveConflict(ctx, w, conflict.Failed)
+			return l.resolveConflict(ctx, tx, conflict.Failed)
 		}
-		g.log.Debug("record", "error", err)
+		l.log.Debug("record", "error", err)
 		if errors.Is(err, store.ErrMalformed) {
 			// Never carried out, and never will be: what it held is recorded in steps as
 			// small as can be, so that one that is at fault keeps nothing else up for ever.
-			g.log.Error("record refused", "error", err, "changes", len(w.txn.Operations), "conditions", len(w.txn.Conditions))
-			g.mu.Lock()
-			g.smallTransactions = smallTransactionsAfterRefusal
-			g.requeue(w, nil)
-			g.mu.Unlock()
+			l.log.Error("record refused", "error", err, "changes", len(tx.txn.Operations), "conditions", len(tx.txn.Conditions))
+			l.mu.Lock()
+			l.smallTransactions = smallTransactionsAfterRefusal
+			l.requeue(tx, nil)
+			l.mu.Unlock()
 			return ctx.Err() == nil
 		}
-		g.sleep(ctx, pause)
+		l.sleep(ctx, pause)
 		pause = min(2*pause, clock.Second)
 	}
 	return false
 }
 
 // transactionApplied notes what has become durable.
-func (g *leader) transactionApplied(w *transaction, epoch uint64) {
-	now := g.clock.Now()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, wr := range w.chunks {
-		c := wr.chunk
-		if wr.deleted {
-			c.modRevision, c.savedVersion = 0, wr.version
+func (l *leader) transactionApplied(tx *transaction, epoch uint64) {
+	now := l.clock.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, write := range tx.chunks {
+		chunk := write.chunk
+		if write.deleted {
+			chunk.modRevision, chunk.savedVersion = 0, write.version
 			continue
 		}
-		c.modRevision, c.savedVersion = epoch, wr.version
-		for _, b := range wr.attempts {
-			g.fleet.MarkDurable(b)
-			g.urgentMachines[b.Machine] = true
+		chunk.modRevision, chunk.savedVersion = epoch, write.version
+		for _, allocation := range write.attempts {
+			l.fleet.MarkDurable(allocation)
+			l.urgentMachines[allocation.Machine] = true
 		}
-		for _, b := range wr.ended {
-			b.ResultDurable = true
+		for _, allocation := range write.ended {
+			allocation.ResultDurable = true
 		}
 		switch {
-		case c.version == c.savedVersion:
-		case wr.shared != nil:
-			g.markSharedAgain(wr.shared)
+		case chunk.version == chunk.savedVersion:
+		case write.shared != nil:
+			l.markSharedAgain(write.shared)
 		default:
-			g.markJobAgain(wr.job, now)
+			l.markJobAgain(write.job, now)
 		}
 	}
-	for _, j := range w.finished {
-		g.finalMoves = append(g.finalMoves, &finalMove{uid: j.uid, modRevision: epoch, record: store.NewFinalRecord(&j.spec, wire.JobDone, w.nonce), shared: j.shared})
-		if j.pendingResult != nil {
-			j.pendingResult.ResultDurable = true
+	for _, job := range tx.finished {
+		l.finalMoves = append(l.finalMoves, &finalMove{uid: job.uid, modRevision: epoch, record: store.NewFinalRecord(&job.spec, wire.JobDone, tx.nonce), shared: job.shared})
+		if job.pendingResult != nil {
+			job.pendingResult.ResultDurable = true
 		}
-		for n := range j.chunks {
-			for _, b := range j.chunks[n].endedAttempts {
-				b.ResultDurable = true
+		for n := range job.chunks {
+			for _, allocation := range job.chunks[n].endedAttempts {
+				allocation.ResultDurable = true
 			}
-			j.chunks[n].endedAttempts = nil
+			job.chunks[n].endedAttempts = nil
 		}
-		g.metrics.Done(now - j.seenAt)
-		g.log.Debug("job done", "job", j.uid)
+		l.metrics.Done(now - job.seenAt)
+		l.log.Debug("job done", "job", job.uid)
 		// What is left of its records is deleted like a cancelled job's.
-		j.cancelled = true
-		g.dirty[j.uid] = true
+		job.cancelled = true
+		l.dirty[job.uid] = true
 	}
-	for _, j := range w.deleted {
-		g.forgetJob(j)
+	for _, job := range tx.deleted {
+		l.forgetJob(job)
 	}
 }
 
 // markSharedAgain does what again does for the jobs of a shared record. The caller holds mu.
-func (g *leader) markSharedAgain(s *SharedRecord) {
-	for _, j := range s.jobs {
-		switch b := j.tasks[0].allocation; {
-		case j.cancelled:
-		case b != nil && !b.Durable || j.done == 1:
-			g.dirty[j.uid] = true
+func (l *leader) markSharedAgain(shared *SharedRecord) {
+	for _, job := range shared.jobs {
+		switch allocation := job.tasks[0].allocation; {
+		case job.cancelled:
+		case allocation != nil && !allocation.Durable || job.done == 1:
+			l.dirty[job.uid] = true
 		}
 	}
-	if s.version != s.savedVersion && s.modRevision > 0 {
-		g.staleShared[s] = true
+	if shared.version != shared.savedVersion && shared.modRevision > 0 {
+		l.staleShared[shared] = true
 	}
 }
 
 // markJobAgain marks a job whose record is behind: at once if a placement waits for it.
 // The caller holds mu.
-func (g *leader) markJobAgain(j *Job, now clock.Micros) {
-	if j.cancelled || j.done == len(j.tasks) {
-		g.dirty[j.uid] = true
+func (l *leader) markJobAgain(job *Job, now clock.Micros) {
+	if job.cancelled || job.done == len(job.tasks) {
+		l.dirty[job.uid] = true
 		return
 	}
-	for n := range j.chunks {
-		c := &j.chunks[n]
-		if c.version == c.savedVersion || c.unreadable > 0 {
+	for n := range job.chunks {
+		chunk := &job.chunks[n]
+		if chunk.version == chunk.savedVersion || chunk.unreadable > 0 {
 			continue
 		}
 		base := n * store.TasksPerChunk
-		for i := base; i < min(base+store.TasksPerChunk, len(j.tasks)); i++ {
-			if b := j.tasks[i].allocation; b != nil && !b.Durable {
-				g.dirty[j.uid] = true
+		for i := base; i < min(base+store.TasksPerChunk, len(job.tasks)); i++ {
+			if allocation := job.tasks[i].allocation; allocation != nil && !allocation.Durable {
+				l.dirty[job.uid] = true
 				return
 			}
 		}
 	}
-	g.recordResultSoon(j, now)
+	l.recordResultSoon(job, now)
 }
 
 // readKey reads a key, again until there is an answer or the term is over.
-func (g *leader) readKey(ctx context.Context, key string) (row wire.Row, found bool, err error) {
+func (l *leader) readKey(ctx context.Context, key string) (row wire.Row, found bool, err error) {
 	for {
-		row, found, err = g.store.Get(ctx, store.Urgent, key)
+		row, found, err = l.store.Get(ctx, store.Urgent, key)
 		if err == nil || ctx.Err() != nil {
 			return row, found, err
 		}
-		g.sleep(ctx, 200*clock.Millisecond)
+		l.sleep(ctx, 200*clock.Millisecond)
 	}
 }
 
 // resolveConflict finds out why a transaction was refused: an earlier copy of it was
 // applied, a job was cancelled meanwhile, or the term is over.
-func (g *leader) resolveConflict(ctx context.Context, w *transaction, failed []string) bool {
+func (l *leader) resolveConflict(ctx context.Context, tx *transaction, failed []string) bool {
 	for _, key := range failed {
 		if key == store.KeyLead {
-			g.log.Info("another controller leads")
+			l.log.Info("another controller leads")
 			return false
 		}
 	}
 	for _, key := range failed {
 		uid, isJob := strings.CutPrefix(key, store.PrefixJob)
-		row, found, err := g.readKey(ctx, key)
+		row, found, err := l.readKey(ctx, key)
 		var mark struct {
 			Nonce string             `msgpack:"w"`
 			Over  *store.FinalRecord `msgpack:"o"`
@@ -510,30 +510,30 @@
 		if isJob && mark.Over != nil {
 			mark.Nonce = mark.Over.Nonce
 		}
-		if found && mark.Nonce == w.nonce {
-			g.transactionApplied(w, row.ModRevision)
+		if found && mark.Nonce == tx.nonce {
+			l.transactionApplied(tx, row.ModRevision)
 			return true
 		}
-		g.mu.Lock()
+		l.mu.Lock()
 		if isJob {
 			// Over by an earlier transaction, it was taken in again from an old listing.
-			if j := g.jobs[uid]; j != nil && (!found || mark.Over != nil) {
-				g.cancel(j, g.clock.Now())
-			} else if j != nil {
-				j.modRevision = max(j.modRevision, row.ModRevision)
+			if job := l.jobs[uid]; job != nil && (!found || mark.Over != nil) {
+				l.cancel(job, l.clock.Now())
+			} else if job != nil {
+				job.modRevision = max(job.modRevision, row.ModRevision)
 			}
 		}
-		for _, wr := range w.chunks {
-			if wr.key == key {
-				wr.chunk.modRevision = row.ModRevision
+		for _, write := range tx.chunks {
+			if write.key == key {
+				write.chunk.modRevision = row.ModRevision
 			}
 		}
-		g.mu.Unlock()
+		l.mu.Unlock()
 	}
 	// Not applied, and its conditions can never hold again.
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.requeue(w, failed)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.requeue(tx, failed)
 	return true
 }
 
@@ -542,29 +542,29 @@
 
 // requeue makes what a transaction that will never be applied held due once more,
 // but for moves whose conditions failed. The caller holds mu.
-func (g *leader) requeue(w *transaction, failed []string) {
-	for _, wr := range w.chunks {
-		c := wr.chunk
-		c.endedAttempts = append(c.endedAttempts, wr.ended...)
-		if wr.shared != nil {
-			g.markSharedAgain(wr.shared)
+func (l *leader) requeue(tx *transaction, failed []string) {
+	for _, write := range tx.chunks {
+		chunk := write.chunk
+		chunk.endedAttempts = append(chunk.endedAttempts, write.ended...)
+		if write.shared != nil {
+			l.markSharedAgain(write.shared)
 			continue
 		}
-		g.dirty[wr.job.uid] = true
-		if wr.job.cancelled {
-			for _, b := range c.endedAttempts {
-				b.ResultDurable = true
+		l.dirty[write.job.uid] = true
+		if write.job.cancelled {
+			for _, allocation := range chunk.endedAttempts {
+				allocation.ResultDurable = true
 			}
-			c.endedAttempts = nil
+			chunk.endedAttempts = nil
 		}
 	}
-	for _, f := range w.moved {
+	for _, move := range tx.moved {
 		// What is not where it was has moved already, by a copy of this that came late.
-		if !slices.Contains(failed, store.JobKey(f.uid)) {
-			g.finalMoves = append(g.finalMoves, f)
+		if !slices.Contains(failed, store.JobKey(move.uid)) {
+			l.finalMoves = append(l.finalMoves, move)
 		}
 	}
-	for _, j := range append(w.finished, w.deleted...) {
-		g.dirty[j.uid] = true
+	for _, job := range append(tx.finished, tx.deleted...) {
+		l.dirty[job.uid] = true
 	}
 }
--- a/recover_test.go
+++ b/recover_test.go
@@ -37,10 +37,10 @@
 }
 
 // lookUps reads the jobs of tasks that workers show and that are not on the books.
-func (s *site) lookUps(g *leader) {
+func (s *site) lookUps(l *leader) {
 	s.t.Helper()
-	for _, uid := range g.takeWantedLookups() {
-		if err := g.lookUpJob(s.t.Context(), uid); err != nil {
+	for _, uid := range l.takeWantedLookups() {
+		if err := l.lookUpJob(s.t.Context(), uid); err != nil {
 			s.t.Fatal(err)
 		}
 	}
@@ -51,9 +51,9 @@
 	w.Take(wire.HeartbeatResponse{Token: token, Commands: []wire.Command{{Verb: wire.VerbRun, Task: task, Attempt: attempt}}})
 }
 
-func mustReport(t *testing.T, g *leader) recovery.Report {
+func mustReport(t *testing.T, l *leader) recovery.Report {
 	t.Helper()
-	r, known := g.recoveryReport()
+	r, known := l.recoveryReport()
 	if !known {
 		t.Fatal("the leader tells nothing of its recovery")
 	}
@@ -63,19 +63,19 @@
 // A task of a job that the state never recorded is left alone, counted and shown. When its
 // user submits the job, that attempt is stopped before the task begins anywhere else.
 func TestTaskOfAJobThatWasNeverRecorded(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	other := s.worker("n-2", "y", true)
-	heartbeat(t, g, other)
-	runsBy(w, g.term.Token, "j-9/0", 3)
-	heartbeat(t, g, w)
-	s.lookUps(g)
+	heartbeat(t, l, other)
+	runsBy(w, l.term.Token, "j-9/0", 3)
+	heartbeat(t, l, w)
+	s.lookUps(l)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 4, 2 }))
-	s.resync(g)
+	s.resync(l)
 	for range 3 {
-		heartbeat(t, g, w)
-		heartbeat(t, g, other)
-		s.settle(g)
-		s.lookUps(g)
+		heartbeat(t, l, w)
+		heartbeat(t, l, other)
+		s.settle(l)
+		s.lookUps(l)
 	}
 	if got := w.Live(); !slices.Equal(got, []string{"j-9/0"}) {
 		t.Fatalf("on the machine: %v, want the task that was never recorded, and nothing new", got)
@@ -83,7 +83,7 @@
 	if got := other.Live(); len(got) != 4 {
 		t.Errorf("on the other: %v, want all of the job", got)
 	}
-	r := mustReport(t, g)
+	r := mustReport(t, l)
 	if len(r.Unrecorded) != 1 || r.Unrecorded[0].Task != "j-9/0" || r.Unrecorded[0].Machine != "n-1" || r.Unrecorded[0].Why != recovery.Retain.String() {
 		t.Errorf("operators are told %+v", r.Unrecorded)
 	}
@@ -92,28 +92,28 @@
 	}
 	// An idle machine with it is not returned.
 	for range 10 {
-		s.pass(g, []*standin.Worker{w, other}, 20)
-		g.autoscale(t.Context())
+		s.pass(l, []*standin.Worker{w, other}, 20)
+		l.autoscale(t.Context())
 	}
 	if got := slices.Concat(s.cloud.Returns()...); slices.Contains(got, "n-1") {
 		t.Errorf("returned %v with the task on it", got)
 	}
 
 	s.submit(n, spec("j-9", nil))
-	s.resync(g)
+	s.resync(l)
 	third := s.worker("n-3", "x", true) // has room for it
-	heartbeat(t, g, third)
-	s.settle(g)
+	heartbeat(t, l, third)
+	s.settle(l)
 	if got := third.Live(); len(got) != 0 {
 		t.Fatalf("on the third: %v, started while it runs elsewhere", got)
 	}
 	for range 3 {
-		s.pass(g, []*standin.Worker{w, other, third}, 1)
+		s.pass(l, []*standin.Worker{w, other, third}, 1)
 	}
 	if got := append(w.Live(), third.Live()...); !slices.Equal(got, []string{"j-9/0"}) {
 		t.Errorf("on machines: %v, want the submitted job's task once", got)
 	}
-	if got := mustReport(t, g).Unrecorded; len(got) != 0 {
+	if got := mustReport(t, l).Unrecorded; len(got) != 0 {
 		t.Errorf("still shown: %+v", got)
 	}
 }
@@ -121,48 +121,48 @@
 // A task of a job that is over is stopped as soon as that has been read, not with the next
 // heartbeat; one of a job that was submitted and cancelled again after it had been looked up, too.
 func TestTaskOfAJobThatIsOverIsStopped(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	over := spec("j-9", nil)
 	s.write(n, store.FinalKey("j-9"), store.NewFinalRecord(&over, wire.JobCancelled, "earlier"))
-	runsBy(w, g.term.Token, "j-9/0", 3)
-	runsBy(w, g.term.Token, "j-8/0", 1)
-	heartbeat(t, g, w)
-	s.lookUps(g)
-	s.settle(g)
+	runsBy(w, l.term.Token, "j-9/0", 3)
+	runsBy(w, l.term.Token, "j-8/0", 1)
+	heartbeat(t, l, w)
+	s.lookUps(l)
+	s.settle(l)
 	if got := w.Live(); !slices.Equal(got, []string{"j-8/0"}) {
 		t.Fatalf("on the machine: %v, want only the task of which nothing is known", got)
 	}
 	// The leader sees neither the submission nor the cancel: it looks again by itself.
 	sp := spec("j-8", nil)
 	s.write(n, store.FinalKey("j-8"), store.NewFinalRecord(&sp, wire.JobCancelled, "later"))
-	s.pass(g, []*standin.Worker{w}, int(lookupValidFor/clock.Second)+2)
-	s.lookUps(g)
-	s.settle(g)
+	s.pass(l, []*standin.Worker{w}, int(lookupValidFor/clock.Second)+2)
+	s.lookUps(l)
+	s.settle(l)
 	if got := w.Live(); len(got) != 0 {
 		t.Errorf("on the machine: %v, long after its job was cancelled", got)
 	}
 }
 
 // oldCopy is a report that names so many tasks of jobs that are on nobody's books.
-func oldCopy(t *testing.T, g *leader, w *standin.Worker, jobs int) {
+func oldCopy(t *testing.T, l *leader, w *standin.Worker, jobs int) {
 	t.Helper()
 	rep := w.Report()
 	for i := range jobs {
 		rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: fmt.Sprintf("j-%d/0", 100+i), Attempt: 1, Status: wire.TaskRunning})
 	}
-	if _, ok := g.Heartbeat(&rep); !ok {
+	if _, ok := l.Heartbeat(&rep); !ok {
 		t.Fatal("not answered")
 	}
 }
 
 // A copy of an old report may name hundreds of jobs that are over: they are read at a pace.
 func TestLookUpsArePaced(t *testing.T) {
-	s, _, g, w := alone(t)
-	oldCopy(t, g, w, 200)
-	g.cfg.Facts.State.RPS = 8 // a look-up a second
+	s, _, l, w := alone(t)
+	oldCopy(t, l, w, 200)
+	l.cfg.Facts.State.RPS = 8 // a look-up a second
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
-	go g.orphanLookupLoop(ctx)
+	go l.orphanLookupLoop(ctx)
 	const seconds = 5
 	for range seconds {
 		if err := s.clk.BlockUntilContext(ctx, 2); err != nil { // the leader's lease and the look-ups
@@ -173,22 +173,22 @@
 	if err := s.clk.BlockUntilContext(ctx, 2); err != nil {
 		t.Fatal("the look-ups do not wait")
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if n := len(g.jobLookups); n == 0 || n > seconds+1 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if n := len(l.jobLookups); n == 0 || n > seconds+1 {
 		t.Errorf("%d look-ups in %d s", n, seconds)
 	}
 }
 
 // Jobs of which no worker shows a task any more are not read.
 func TestNoLookUpOfWhatIsNotShown(t *testing.T) {
-	s, _, g, w := alone(t)
-	oldCopy(t, g, w, 200)
-	heartbeat(t, g, w) // a newer report
+	s, _, l, w := alone(t)
+	oldCopy(t, l, w, 200)
+	heartbeat(t, l, w) // a newer report
 	before := s.state.Requests()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
-	g.lookUpOrphans(ctx)
+	l.lookUpOrphans(ctx)
 	if reads := s.state.Requests() - before; reads != 0 {
 		t.Errorf("%d requests for a report that was no longer true", reads)
 	}
@@ -196,18 +196,18 @@
 
 // What is read of a job counts only under the leader's lease.
 func TestNothingIsDecidedWithoutTheLease(t *testing.T) {
-	s, n, g, w := alone(t)
-	runsBy(w, g.term.Token, "j-9/0", 3)
-	heartbeat(t, g, w)
+	s, n, l, w := alone(t)
+	runsBy(w, l.term.Token, "j-9/0", 3)
+	heartbeat(t, l, w)
 	s.kill(n)
 	s.clk.Advance(20 * time.Second)
-	if err := g.lookUpJob(t.Context(), "j-9"); err == nil {
+	if err := l.lookUpJob(t.Context(), "j-9"); err == nil {
 		t.Error("read without the lease")
 	}
-	if state := g.jobState("j-9"); state != recovery.JobNotRead {
+	if state := l.jobState("j-9"); state != recovery.JobNotRead {
 		t.Errorf("taken for %v", state)
 	}
-	if _, known := g.recoveryReport(); known {
+	if _, known := l.recoveryReport(); known {
 		t.Error("operators are told of a recovery by a controller that may not lead")
 	}
 }
@@ -505,11 +505,11 @@
 	s.write(a, store.KeyDemand, torn)
 	s.write(a, "j/not a job", torn)
 	stop()
-	g, _ := s.elect(b)
-	if r := mustReport(t, g); len(r.Damaged) != 3 || r.Stage != recovery.StageComplete {
+	l, _ := s.elect(b)
+	if r := mustReport(t, l); len(r.Damaged) != 3 || r.Stage != recovery.StageComplete {
 		t.Errorf("operators are told %+v", r)
 	}
-	if err := g.readCatalog(t.Context()); err != nil || g.catalogRevision == 0 {
+	if err := l.readCatalog(t.Context()); err != nil || l.catalogRevision == 0 {
 		t.Errorf("the catalogue is not written anew: %v", err)
 	}
 }
@@ -519,13 +519,13 @@
 	const replicas = 12
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) {
 		sp.Tasks, sp.Cores, sp.Kind, sp.Priority, sp.ExpectedS, sp.Preemptible = replicas, 8, wire.KindService, "critical", 0, false
 	}))
-	s.resync(g)
+	s.resync(l)
 	for range 4 {
-		g.autoscale(t.Context())
+		l.autoscale(t.Context())
 	}
 	var ws []*standin.Worker
 	for _, h := range s.cloud.Hosts() {
@@ -534,7 +534,7 @@
 	if len(ws) < replicas {
 		t.Fatalf("%d machines rented", len(ws))
 	}
-	s.pass(g, ws, 10)
+	s.pass(l, ws, 10)
 	next := s.node(nil)
 	next.cfg.Others = []config.Node{{Node: "node-8"}, {Node: "node-9"}}
 	s.kill(n)
