--- a/recovery_scenes_test.go
+++ b/recovery_scenes_test.go
@@ -285,8 +285,8 @@
 		since := time.Since(back).Seconds()
 		var report recovery.Report
 		if p := w.running(fmt.Sprintf("node-%d", w.leader()+1)); p != nil {
-			if g := p.current.Load(); g != nil {
-				report, _ = g.recoveryReport()
+			if l := p.current.Load(); l != nil {
+				report, _ = l.recoveryReport()
 			}
 		}
 		run, want := w.replicas()
--- a/rules_test.go
+++ b/rules_test.go
@@ -19,17 +19,17 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func (s *site) usable(g *leader, host string) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	m := g.fleet.Machine(host)
-	return m != nil && g.usable(m, g.clock.Now())
+func (s *site) usable(l *leader, host string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	machine := l.fleet.Machine(host)
+	return machine != nil && l.usable(machine, l.clock.Now())
 }
 
 // deliver hands a report to the leader without the worker learning the answer.
-func deliver(t *testing.T, g *leader, rep wire.Heartbeat) wire.HeartbeatResponse {
+func deliver(t *testing.T, l *leader, rep wire.Heartbeat) wire.HeartbeatResponse {
 	t.Helper()
-	ans, ok := g.Heartbeat(&rep)
+	ans, ok := l.Heartbeat(&rep)
 	if !ok {
 		t.Fatalf("beat of %s not answered", rep.Machine)
 	}
@@ -42,20 +42,20 @@
 func TestWorkerThatKeepsTheTokenToItself(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	w := s.worker("n-1", "x", true)
 	rep := w.Report()
-	ans, _ := g.Heartbeat(&rep)
+	ans, _ := l.Heartbeat(&rep)
 	w.Take(ans)
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	s.settle(g)
-	if s.usable(g, "n-1") || len(w.Starts()) != 0 {
+	s.resync(l)
+	s.settle(l)
+	if s.usable(l, "n-1") || len(w.Starts()) != 0 {
 		t.Fatal("trusted on a report that may be a copy")
 	}
 	s.advance(time.Second)
-	s.settle(g)
-	if !s.usable(g, "n-1") || len(w.Starts()) != 1 {
+	s.settle(l)
+	if !s.usable(l, "n-1") || len(w.Starts()) != 1 {
 		t.Errorf("not trusted after its answer to a question; started %v", w.Starts())
 	}
 }
@@ -64,22 +64,22 @@
 // workers that report are not mute for that, and are not returned.
 func TestQuestionsLostInASurgeReturnNothing(t *testing.T) {
 	const machines = 12
-	s, g := adopted(t, machines, 2)
+	s, l := adopted(t, machines, 2)
 	for tally := uint64(1); tally < 5; tally++ {
 		for i := range machines {
 			rep := report(i, 2, tally, 0)
 			rep.Endpoint = "127.0.0.1:1" // nothing answers there
-			if _, ok := g.Heartbeat(rep); !ok {
+			if _, ok := l.Heartbeat(rep); !ok {
 				t.Fatal("not answered")
 			}
 		}
 		s.advance(time.Second)
-		s.settle(g)
+		s.settle(l)
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if len(g.unconfirmed) != 0 || len(g.unreachable) != 0 {
-		t.Errorf("%d workers wait to be asked and %d that report count as mute", len(g.unconfirmed), len(g.unreachable))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.unconfirmed) != 0 || len(l.unreachable) != 0 {
+		t.Errorf("%d workers wait to be asked and %d that report count as mute", len(l.unconfirmed), len(l.unreachable))
 	}
 	if got := s.cloud.Returns(); len(got) != 0 {
 		t.Errorf("returned %v", got)
@@ -156,43 +156,43 @@
 // A deaf machine reports on while nothing told to it takes effect. It gets no
 // more work, its task is settled by the cloud's word, and it is gone.
 func TestDeafMachineIsReturned(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	for i := range 4 { // others that hear, so that the fault is not the leader's
-		heartbeat(t, g, s.worker(fmt.Sprintf("n-9%d", i), "z", false))
+		heartbeat(t, l, s.worker(fmt.Sprintf("n-9%d", i), "z", false))
 	}
 	other := s.worker("n-2", "y", true)
 	w.Unreachable(true)
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	for range 4 {
 		s.advance(3 * time.Second)
-		deliver(t, g, w.Report()) // its answer is lost
-		s.settle(g)
+		deliver(t, l, w.Report()) // its answer is lost
+		s.settle(l)
 	}
-	if s.usable(g, "n-1") {
+	if s.usable(l, "n-1") {
 		t.Fatal("still given work")
 	}
-	heartbeat(t, g, other)
+	heartbeat(t, l, other)
 	if len(other.Starts()) != 0 {
 		t.Fatal("its task was started elsewhere without proof")
 	}
 	for known := true; known; {
-		g.probesStartedAt = 0
-		g.probeSilentMachines(t.Context())
-		g.mu.Lock()
-		known = g.fleet.Machine("n-1") != nil
-		g.mu.Unlock()
+		l.probesStartedAt = 0
+		l.probeSilentMachines(t.Context())
+		l.mu.Lock()
+		known = l.fleet.Machine("n-1") != nil
+		l.mu.Unlock()
 	}
 	// Whatever still comes from it is an old copy and brings nothing back.
-	deliver(t, g, w.Report())
-	g.mu.Lock()
-	back := g.fleet.Machine("n-1") != nil
-	g.mu.Unlock()
+	deliver(t, l, w.Report())
+	l.mu.Lock()
+	back := l.fleet.Machine("n-1") != nil
+	l.mu.Unlock()
 	if back {
 		t.Error("a returned machine came back with a late report")
 	}
-	s.settle(g)
+	s.settle(l)
 	if got := other.Starts(); len(got) != 1 {
 		t.Errorf("its task was not started elsewhere: %v", got)
 	}
@@ -200,26 +200,26 @@
 
 // A machine that hears again is trusted again.
 func TestDeafMachineHearsAgain(t *testing.T) {
-	s, n, g, w := alone(t)
-	g.operator.Fleet.Enabled = false // nothing is returned
+	s, n, l, w := alone(t)
+	l.operator.Fleet.Enabled = false // nothing is returned
 	w.Unreachable(true)
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	for range 4 {
 		s.advance(3 * time.Second)
-		deliver(t, g, w.Report())
-		s.settle(g)
+		deliver(t, l, w.Report())
+		s.settle(l)
 	}
-	if s.usable(g, "n-1") && g.fleet.Machine("n-1").QuarantineReason == "" {
+	if s.usable(l, "n-1") && l.fleet.Machine("n-1").QuarantineReason == "" {
 		t.Fatal("not banned")
 	}
 	w.Unreachable(false)
-	heartbeat(t, g, w)
-	heartbeat(t, g, w)
-	s.settle(g)
-	if !s.usable(g, "n-1") || g.fleet.Machine("n-1").QuarantineReason != "" || len(w.Starts()) != 1 {
-		t.Errorf("banned %q after it heard again, starts %v", g.fleet.Machine("n-1").QuarantineReason, w.Starts())
+	heartbeat(t, l, w)
+	heartbeat(t, l, w)
+	s.settle(l)
+	if !s.usable(l, "n-1") || l.fleet.Machine("n-1").QuarantineReason != "" || len(w.Starts()) != 1 {
+		t.Errorf("banned %q after it heard again, starts %v", l.fleet.Machine("n-1").QuarantineReason, w.Starts())
 	}
 }
 
@@ -227,25 +227,25 @@
 func TestLeaderThatNobodyHearsAbdicates(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	var all []*standin.Worker
 	for i := range 4 {
 		w := s.worker("n-"+string(rune('1'+i)), "x", true)
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 		w.Unreachable(true)
 		all = append(all, w)
 	}
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 4, 8 }))
-	s.resync(g)
+	s.resync(l)
 	for range 6 {
-		s.settle(g)
+		s.settle(l)
 		s.advance(2 * time.Second)
 		for _, w := range all {
 			rep := w.Report()
-			g.Heartbeat(&rep) // the answer is lost
+			l.Heartbeat(&rep) // the answer is lost
 		}
 	}
-	g.pass(t.Context())
+	l.pass(t.Context())
 	for s.state.Value(store.KeyLead, nil) {
 		runtime.Gosched()
 	}
@@ -290,14 +290,14 @@
 // A result in a late copy that the record does not know is nobody's: only the
 // attempt on record can end the task.
 func TestLateCopyBringsNoResult(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	copied := w.Report()
 	copied.Tasks = []wire.TaskReport{{Task: "j-1/0", Attempt: 7, Status: wire.TaskEnded, Cause: wire.CauseDone}}
-	deliver(t, g, copied)
-	s.settle(g)
+	deliver(t, l, copied)
+	s.settle(l)
 	if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status == wire.JobDone {
 		t.Error("done by an attempt that was never made")
 	}
@@ -306,23 +306,23 @@
 // A machine that was silent is not given work on the word of one report, which
 // may have been held back all the while; its answer to a question is of now.
 func TestSilentMachineMustAnswer(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	held := w.Report()
 	s.advance(8 * time.Second)
 	w.Unreachable(true)
-	deliver(t, g, held)
+	deliver(t, l, held)
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	s.settle(g)
-	if s.usable(g, "n-1") || len(w.Starts()) != 0 {
+	s.resync(l)
+	s.settle(l)
+	if s.usable(l, "n-1") || len(w.Starts()) != 0 {
 		t.Fatal("revived by a late copy")
 	}
 	w.Unreachable(false)
-	heartbeat(t, g, w)
-	s.settle(g)
-	heartbeat(t, g, w)
-	s.settle(g)
-	if !s.usable(g, "n-1") || len(w.Starts()) != 1 {
+	heartbeat(t, l, w)
+	s.settle(l)
+	heartbeat(t, l, w)
+	s.settle(l)
+	if !s.usable(l, "n-1") || len(w.Starts()) != 1 {
 		t.Errorf("not trusted after it answered; starts %v", w.Starts())
 	}
 }
@@ -330,24 +330,24 @@
 // A worker that is back within a moment as a new process counts from the start
 // again. It is not ignored, and its predecessor's task starts once more, once.
 func TestMachineBackAsNewProcess(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	for range 5 {
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 	}
 	w.Restart()
 	for range 3 {
 		s.advance(time.Second)
 		rep := w.Report()
-		w.Take(deliver(t, g, rep))
-		s.settle(g)
+		w.Take(deliver(t, l, rep))
+		s.settle(l)
 	}
 	if got := w.Live(); !cmp.Equal(got, []string{"j-1/0"}) || len(w.Starts()) != 2 {
 		t.Errorf("on the machine %v, starts %v", got, w.Starts())
 	}
-	if !s.usable(g, "n-1") {
+	if !s.usable(l, "n-1") {
 		t.Error("the new process is ignored")
 	}
 }
@@ -357,12 +357,12 @@
 func TestControllerBackWithinAMoment(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	w := s.worker("n-1", "x", true)
-	heartbeat(t, g, w)
-	before := g.term
+	heartbeat(t, l, w)
+	before := l.term
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
+	s.resync(l)
 	s.state.DelayNext() // the old process's record of a placement arrives late
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { // until it is killed, it goes on trying
@@ -371,7 +371,7 @@
 		}
 		cancel()
 	}()
-	g.pass(ctx)
+	l.pass(ctx)
 	s.kill(n)
 	s.nodes-- // the same node again
 	again := s.node(nil)
@@ -398,10 +398,10 @@
 	n := s.node(nil)
 	n.attestationLinks["other"], n.relayLinks["other"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
 	n.users.Relay, n.users.Alone = n.relay, n.isolated
-	g, _ := s.elect(n)
-	n.current.Store(g)
+	l, _ := s.elect(n)
+	n.current.Store(l)
 	w := s.worker("n-1", "x", true)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	s.submit(n, spec("j-1", nil))
 	s.state.Refuse(n.cfg.Node, true)
 	s.advance(5 * time.Second)
@@ -415,7 +415,7 @@
 	if rec.Code != http.StatusServiceUnavailable {
 		t.Errorf("beat: %d %s", rec.Code, rec.Body)
 	}
-	s.settle(g)
+	s.settle(l)
 	if len(w.Starts()) != 0 {
 		t.Error("ordered something")
 	}
@@ -451,7 +451,7 @@
 // A job that waits long begins although work of higher priority keeps coming: its
 // first task goes first, and room is kept for it.
 func TestLargeJobBeginsUnderLastingOverload(t *testing.T) {
-	s, n, g, w := alone(t) // 8 cores
+	s, n, l, w := alone(t) // 8 cores
 	uid := 100
 	next := func() string {
 		uid++
@@ -463,10 +463,10 @@
 	for range 6 {
 		small()
 	}
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 3, 8, 20 }))
-	s.resync(g)
+	s.resync(l)
 	began := 0
 	for at := 0; at < 240; at += 4 {
 		s.advance(4 * time.Second)
@@ -479,11 +479,11 @@
 			w.End(live[0], wire.CauseDone)
 			small()
 		}
-		heartbeat(t, g, w)
-		s.resync(g)
-		s.settle(g)
-		heartbeat(t, g, w)
-		s.settle(g)
+		heartbeat(t, l, w)
+		s.resync(l)
+		s.settle(l)
+		heartbeat(t, l, w)
+		s.settle(l)
 	}
 	if began == 0 {
 		t.Error("the large job did not begin within four minutes")
@@ -492,21 +492,21 @@
 
 // silence lets machines with a replica each fall silent while others report,
 // and asks them until they count as mute.
-func (s *site) silence(g *leader, n *Service, zones []string, others int) {
+func (s *site) silence(l *leader, n *Service, zones []string, others int) {
 	s.t.Helper()
 	var hung []*standin.Worker
 	for i, z := range zones {
 		w := s.worker(fmt.Sprintf("n-1%d", i), z, false)
-		heartbeat(s.t, g, w)
+		heartbeat(s.t, l, w)
 		hung = append(hung, w)
 	}
 	s.submit(n, spec("j-1", func(sp *wire.Spec) {
 		sp.Kind, sp.Priority, sp.Preemptible, sp.Tasks = wire.KindService, "critical", false, len(zones)
 	}))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	for _, w := range hung {
-		heartbeat(s.t, g, w)
+		heartbeat(s.t, l, w)
 		w.Unreachable(true)
 	}
 	var rest []*standin.Worker
@@ -515,28 +515,28 @@
 	}
 	for range 2 {
 		for _, w := range rest {
-			heartbeat(s.t, g, w)
+			heartbeat(s.t, l, w)
 		}
 		s.advance(3 * time.Second)
 	}
 	for _, w := range rest {
-		heartbeat(s.t, g, w)
+		heartbeat(s.t, l, w)
 	}
 	for range unreachableAfterProbes {
-		g.probesStartedAt = 0
-		g.probeSilentMachines(s.t.Context())
-		s.settle(g)
+		l.probesStartedAt = 0
+		l.probeSilentMachines(s.t.Context())
+		s.settle(l)
 	}
-	g.probesStartedAt = 0
-	g.probeSilentMachines(s.t.Context())
+	l.probesStartedAt = 0
+	l.probeSilentMachines(s.t.Context())
 }
 
 // Silent machines with replicas are returned together, in one request.
 func TestSilentMachinesGoInOneRequest(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
-	s.silence(g, n, []string{"y", "y"}, 12)
+	l, _ := s.elect(n)
+	s.silence(l, n, []string{"y", "y"}, 12)
 	for len(s.cloud.Returns()) == 0 {
 		runtime.Gosched()
 	}
@@ -550,14 +550,14 @@
 func TestCutZoneIsWaitedFor(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
-	s.silence(g, n, []string{"x", "x", "x"}, 18)
+	l, _ := s.elect(n)
+	s.silence(l, n, []string{"x", "x", "x"}, 18)
 	if got := s.cloud.Returns(); len(got) != 0 {
 		t.Errorf("returned %v", got)
 	}
-	g.mu.Lock()
-	muted := len(g.unreachable)
-	g.mu.Unlock()
+	l.mu.Lock()
+	muted := len(l.unreachable)
+	l.mu.Unlock()
 	if muted != 3 {
 		t.Errorf("%d machines mute, want 3", muted)
 	}
@@ -567,11 +567,11 @@
 // each other, and placements of a job go in one change.
 func TestPutsFollowRecords(t *testing.T) {
 	puts := func(tasks int) (placed, ended int) {
-		s, n, g, w := alone(t)
+		s, n, l, w := alone(t)
 		s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = tasks, 0.05, 0.1 }))
-		s.resync(g)
+		s.resync(l)
 		before := s.state.Puts()
-		s.settle(g)
+		s.settle(l)
 		placed = s.state.Puts() - before
 		if len(w.Live()) != tasks {
 			t.Fatalf("%d of %d tasks run", len(w.Live()), tasks)
@@ -579,12 +579,12 @@
 		before = s.state.Puts()
 		for i := range tasks - 1 {
 			w.End(fmt.Sprintf("j-1/%d", i), wire.CauseDone)
-			heartbeat(t, g, w)
-			s.settle(g)
+			heartbeat(t, l, w)
+			s.settle(l)
 		}
 		s.advance(3 * time.Second)
-		heartbeat(t, g, w)
-		s.settle(g)
+		heartbeat(t, l, w)
+		s.settle(l)
 		return placed, s.state.Puts() - before
 	}
 	fewPlaced, fewEnded := puts(6)
--- a/service.go
+++ b/service.go
@@ -64,12 +64,12 @@
 }
 
 // New wires a controller's parts; Run starts it.
-func New(cfg *config.Platform, op *config.Operator, log *slog.Logger) *Service {
-	return newService(cfg, op, log, clock.New(nil))
+func New(cfg *config.Platform, operator *config.Operator, log *slog.Logger) *Service {
+	return newService(cfg, operator, log, clock.New(nil))
 }
 
-func newService(cfg *config.Platform, op *config.Operator, log *slog.Logger, ck *clock.Clock) *Service {
-	s := &Service{cfg: cfg, operator: op, log: log, clock: ck, metrics: metrics.New(), attestationLinks: map[string]*peer.Link{}, relayLinks: map[string]*peer.Link{}, newLedger: quota.NewLedger, readRecords: recovery.Read}
+func newService(cfg *config.Platform, operator *config.Operator, log *slog.Logger, clk *clock.Clock) *Service {
+	s := &Service{cfg: cfg, operator: operator, log: log, clock: clk, metrics: metrics.New(), attestationLinks: map[string]*peer.Link{}, relayLinks: map[string]*peer.Link{}, newLedger: quota.NewLedger, readRecords: recovery.Read}
 	f := cfg.Facts
 	s.store = store.New(cfg.Outside.State, f.State, 1+len(cfg.Others))
 	s.cloud = cloud.New(cfg.Outside.Cloud, f.Cloud.RPS)
@@ -79,7 +79,7 @@
 		s.attestationLinks[o.Node] = peer.NewLink(o.Addr)
 		s.relayLinks[o.Node] = peer.NewLink(o.Addr)
 	}
-	s.elector = lead.New(cfg.Node, s.store, s.clock, op, s.requestAttestations, log)
+	s.elector = lead.New(cfg.Node, s.store, s.clock, operator, s.requestAttestations, log)
 	s.users = &api.Users{Store: s.store, Clock: s.clock, Node: cfg.Node, Teams: f.Teams, Catalog: s.machineTypes, Counts: s.counts, Log: log, Observe: s.metrics.Submission,
 		Cancelled: s.hintCancelled, Pause: pollPause(f.Limits.CoreShare)}
 	if len(s.attestationLinks) > 0 {
@@ -164,10 +164,10 @@
 // serveTerm is one term of this node.
 func (s *Service) serveTerm(ctx context.Context, r lead.Term) {
 	for ctx.Err() == nil {
-		g := newLeader(s, r)
-		s.current.Store(g)
+		l := newLeader(s, r)
+		s.current.Store(l)
 		s.store.SetLeading(true)
-		if err := g.run(ctx); err != nil {
+		if err := l.run(ctx); err != nil {
 			s.log.Error("leading", "error", err)
 		}
 		select {
@@ -180,12 +180,12 @@
 }
 
 // Heartbeat implements agent.Steward.
-func (s *Service) Heartbeat(rep *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
-	g := s.current.Load()
-	if g == nil {
+func (s *Service) Heartbeat(report *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+	l := s.current.Load()
+	if l == nil {
 		return wire.HeartbeatResponse{}, false
 	}
-	return g.Heartbeat(rep)
+	return l.Heartbeat(report)
 }
 
 // Leader implements agent.Steward.
@@ -202,12 +202,12 @@
 	if a.Outage.Asked {
 		r.Word = s.attest(ctx, a.Outage)
 	}
-	if g := s.current.Load(); g != nil && len(a.Cancelled) > 0 {
-		g.hintCancelled(a.Cancelled)
+	if l := s.current.Load(); l != nil && len(a.Cancelled) > 0 {
+		l.hintCancelled(a.Cancelled)
 	}
 	if len(a.Counts) > 0 {
-		if g := s.current.Load(); g != nil {
-			r.Counts = g.counts(a.Counts)
+		if l := s.current.Load(); l != nil {
+			r.Counts = l.counts(a.Counts)
 		}
 	}
 	if a.Teams {
@@ -300,11 +300,11 @@
 // what was cancelled through it since this leader last knew; their tasks are told
 // to stop before the word counts.
 func (s *Service) requestAttestations(ctx context.Context) bool {
-	g := s.current.Load()
-	if g == nil {
+	l := s.current.Load()
+	if l == nil {
 		return false
 	}
-	o := peer.Outage{Asked: true, Lead: g.term.Revision, Epoch: g.syncedRevision()}
+	o := peer.Outage{Asked: true, Lead: l.term.Revision, Epoch: l.syncedRevision()}
 	cancelled, all := s.users.Cancels.Since(o.Epoch, s.store.FirstRevision())
 	answers := make(chan peer.Word, len(s.attestationLinks))
 	for _, l := range s.attestationLinks {
@@ -321,7 +321,7 @@
 		all = all && w.Attests
 		cancelled = append(cancelled, w.Cancelled...)
 	}
-	g.hintCancelled(cancelled)
+	l.hintCancelled(cancelled)
 	return all
 }
 
@@ -339,8 +339,8 @@
 // learn from the state service, if that serves it. It is a hint: lost, late or
 // repeated it harms nothing.
 func (s *Service) hintCancelled(uid string) {
-	if g := s.current.Load(); g != nil {
-		g.hintCancelled([]string{uid})
+	if l := s.current.Load(); l != nil {
+		l.hintCancelled([]string{uid})
 		return
 	}
 	if len(s.relayLinks) == 0 {
@@ -382,8 +382,8 @@
 
 // counts asks the leader for jobs' counts, which are for display only.
 func (s *Service) counts(ctx context.Context, uids []string) map[string][2]int {
-	if g := s.current.Load(); g != nil {
-		return g.counts(uids)
+	if l := s.current.Load(); l != nil {
+		return l.counts(uids)
 	}
 	l := s.relayLinks[s.elector.Leader()]
 	if l == nil {
--- a/silence.go
+++ b/silence.go
@@ -18,34 +18,34 @@
 // plausible tells whether so many machines may be at fault themselves: when many
 // seem to be at once, the fault is rather this controller's network, and no
 // machine is given up for it. The caller holds mu.
-func (g *leader) plausible(n int) bool { return n <= max(2, g.fleet.Len()/5) }
+func (l *leader) plausible(n int) bool { return n <= max(2, l.fleet.Len()/5) }
 
 // pauseThreshold is the gap between two looks at the clock that shows that this
 // process has not run meanwhile.
 const pauseThreshold = 3 * clock.Second
 
 // pauseLoop watches for this process having stood still while its clocks ran on.
-func (g *leader) pauseLoop(ctx context.Context) {
+func (l *leader) pauseLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		g.checkPause()
-		g.sleep(ctx, passInterval)
+		l.checkPause()
+		l.sleep(ctx, passInterval)
 	}
 }
 
 // checkPause notes when this process went on after standing still. Whatever seemed
 // silent, idle or slow to boot meanwhile was only not listened to, so that is
 // counted from then on: one that wakes must not give up all its machines.
-func (g *leader) checkPause() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.clock.Now()
-	if g.pauseCheckedAt > 0 && now-g.pauseCheckedAt > pauseThreshold {
-		g.log.Info("this process stood still: silence is counted anew", "seconds", (now - g.pauseCheckedAt).Seconds())
-		g.runningSince = now
-		g.processPauses++
+func (l *leader) checkPause() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.clock.Now()
+	if l.pauseCheckedAt > 0 && now-l.pauseCheckedAt > pauseThreshold {
+		l.log.Info("this process stood still: silence is counted anew", "seconds", (now - l.pauseCheckedAt).Seconds())
+		l.runningSince = now
+		l.processPauses++
 	}
-	g.pauseCheckedAt = now
-	g.checkSync(now)
+	l.pauseCheckedAt = now
+	l.checkSync(now)
 }
 
 // probeSilentMachines asks workers that have gone silent for a sign of life. A machine
@@ -53,56 +53,56 @@
 // replicas gone, so that they start elsewhere long before the machine's lease
 // would have run out. Deaf machines are returned too: their reports go on, so
 // that counting what their lease might have been extended to would never end.
-func (g *leader) probeSilentMachines(ctx context.Context) {
-	now := g.clock.Now()
-	report := clock.FromSeconds(g.cfg.Facts.Workers.ReportS)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if now-g.probesStartedAt < passInterval || now-g.runningSince < 2*report {
+func (l *leader) probeSilentMachines(ctx context.Context) {
+	now := l.clock.Now()
+	report := clock.FromSeconds(l.cfg.Facts.Workers.ReportS)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now-l.probesStartedAt < passInterval || now-l.runningSince < 2*report {
 		return
 	}
-	g.probesStartedAt = now
-	if _, may := g.elector.HoldsLease(); !may || !g.operator.Fleet.Enabled {
+	l.probesStartedAt = now
+	if _, may := l.elector.HoldsLease(); !may || !l.operator.Fleet.Enabled {
 		return
 	}
 	var silent []*fleet.Machine
-	for _, m := range g.fleet.SilentMachines(now, report+report/4+300*clock.Millisecond) {
-		if !m.Returning && !m.LeaseExpired(now) {
-			silent = append(silent, m)
+	for _, machine := range l.fleet.SilentMachines(now, report+report/4+300*clock.Millisecond) {
+		if !machine.Returning && !machine.LeaseExpired(now) {
+			silent = append(silent, machine)
 		}
 	}
 	// Recorded by a predecessor, and silent since: with leaders changing, each
 	// would wait out a whole lease anew. Machines that boot hold nothing and are
 	// not silent; counting them once kept a hung one from being returned.
-	if now-g.term.Since > 2*report+2*clock.Second {
-		for m := range g.awaitedMachines {
-			if m.Reported || m.AllocationCount() == 0 || g.fleet.Machine(m.Name) != m {
-				delete(g.awaitedMachines, m)
-			} else if m.Endpoint != "" && !m.Returning && !m.LeaseExpired(now) {
-				silent = append(silent, m)
+	if now-l.term.Since > 2*report+2*clock.Second {
+		for machine := range l.awaitedMachines {
+			if machine.Reported || machine.AllocationCount() == 0 || l.fleet.Machine(machine.Name) != machine {
+				delete(l.awaitedMachines, machine)
+			} else if machine.Endpoint != "" && !machine.Returning && !machine.LeaseExpired(now) {
+				silent = append(silent, machine)
 			}
 		}
 	}
-	if g.plausible(len(silent)) && now-g.lastHeartbeat < report {
-		for _, m := range silent {
-			if g.hasReplica(m) {
-				g.startProbe(m)
+	if l.plausible(len(silent)) && now-l.lastHeartbeat < report {
+		for _, machine := range silent {
+			if l.hasReplica(machine) {
+				l.startProbe(machine)
 			}
 		}
-		g.returnUnreachable(ctx, silent)
+		l.returnUnreachable(ctx, silent)
 	}
-	if g.notAcknowledging > 0 && g.plausible(g.notAcknowledging) {
+	if l.notAcknowledging > 0 && l.plausible(l.notAcknowledging) {
 		var names []string
-		for name, pm := range g.notAcknowledgingMachines() {
+		for name, pm := range l.notAcknowledgingMachines() {
 			if !pm.Returning && len(names) < wire.MaxReturnPerRequest {
 				pm.Returning = true
-				g.changedMachines[pm] = true
+				l.changedMachines[pm] = true
 				names = append(names, name)
 			}
 		}
 		if len(names) > 0 {
-			g.log.Info("machines are deaf: returning them", "hosts", names)
-			go g.returnMachines(ctx, names)
+			l.log.Info("machines are deaf: returning them", "hosts", names)
+			go l.returnMachines(ctx, names)
 		}
 	}
 }
@@ -111,57 +111,57 @@
 // a zone that is silent as a whole are left alone: it is cut off, its
 // replicas run on until their leases end, and new machines take longer to boot
 // than that. The caller holds mu.
-func (g *leader) returnUnreachable(ctx context.Context, silent []*fleet.Machine) {
-	if len(g.unreachable) == 0 {
+func (l *leader) returnUnreachable(ctx context.Context, silent []*fleet.Machine) {
+	if len(l.unreachable) == 0 {
 		return
 	}
 	quiet, all := map[string]int{}, map[string]int{}
-	for _, m := range silent {
-		quiet[m.Zone]++
+	for _, machine := range silent {
+		quiet[machine.Zone]++
 	}
-	g.fleet.EachMachine(func(m *fleet.Machine) {
-		if m.Reported || g.awaitedMachines[m] {
-			all[m.Zone]++
+	l.fleet.EachMachine(func(machine *fleet.Machine) {
+		if machine.Reported || l.awaitedMachines[machine] {
+			all[machine.Zone]++
 		}
 	})
 	cut := unreachableZones(quiet, all)
 	var names []string
-	for m := range g.unreachable {
+	for machine := range l.unreachable {
 		switch {
-		case g.fleet.Machine(m.Name) != m || m.Returning || m.UnansweredProbes < unreachableAfterProbes || !g.hasReplica(m):
-			delete(g.unreachable, m)
-		case cut[m.Zone] && m.Reported:
+		case l.fleet.Machine(machine.Name) != machine || machine.Returning || machine.UnansweredProbes < unreachableAfterProbes || !l.hasReplica(machine):
+			delete(l.unreachable, machine)
+		case cut[machine.Zone] && machine.Reported:
 		case len(names) < wire.MaxReturnPerRequest:
-			m.Returning = true
-			g.changedMachines[m] = true
-			delete(g.unreachable, m)
-			names = append(names, m.Name)
+			machine.Returning = true
+			l.changedMachines[machine] = true
+			delete(l.unreachable, machine)
+			names = append(names, machine.Name)
 		}
 	}
 	if len(names) > 0 {
 		slices.Sort(names)
-		g.log.Info("machines are silent and hold replicas: returning them", "hosts", names)
-		go g.returnMachines(ctx, names)
+		l.log.Info("machines are silent and hold replicas: returning them", "hosts", names)
+		go l.returnMachines(ctx, names)
 	}
 }
 
 // notAcknowledgingMachines finds the machines that are banned as deaf. The caller holds mu.
-func (g *leader) notAcknowledgingMachines() map[string]*fleet.Machine {
+func (l *leader) notAcknowledgingMachines() map[string]*fleet.Machine {
 	out := map[string]*fleet.Machine{}
-	g.fleet.EachMachine(func(m *fleet.Machine) {
-		if m.QuarantineReason == quarantineNotAcknowledging {
-			out[m.Name] = m
+	l.fleet.EachMachine(func(machine *fleet.Machine) {
+		if machine.QuarantineReason == quarantineNotAcknowledging {
+			out[machine.Name] = machine
 		}
 	})
 	return out
 }
 
 // hasReplica tells whether a replica may be on a machine. The caller holds mu.
-func (g *leader) hasReplica(m *fleet.Machine) bool {
+func (l *leader) hasReplica(machine *fleet.Machine) bool {
 	found := false
-	m.EachAllocation(func(b *fleet.Allocation) {
-		j, known := b.Owner.(*Job)
-		found = found || b.Live() && known && j.isService() && !j.cancelled
+	machine.EachAllocation(func(allocation *fleet.Allocation) {
+		job, known := allocation.Owner.(*Job)
+		found = found || allocation.Live() && known && job.isService() && !job.cancelled
 	})
 	return found
 }
@@ -179,12 +179,12 @@
 
 // confirmMachines asks the workers that have not shown the token they were told. The
 // caller holds mu.
-func (g *leader) confirmMachines(now clock.Micros) {
-	for len(g.unconfirmed) > 0 && now-g.unconfirmed[0].at >= confirmAfter && g.openProbes < g.budget.Questions {
-		m := g.unconfirmed[0].machine
-		g.unconfirmed = g.unconfirmed[1:]
-		if !m.Reported && g.fleet.Machine(m.Name) == m {
-			g.startProbe(m)
+func (l *leader) confirmMachines(now clock.Micros) {
+	for len(l.unconfirmed) > 0 && now-l.unconfirmed[0].at >= confirmAfter && l.openProbes < l.budget.Questions {
+		machine := l.unconfirmed[0].machine
+		l.unconfirmed = l.unconfirmed[1:]
+		if !machine.Reported && l.fleet.Machine(machine.Name) == machine {
+			l.startProbe(machine)
 		}
 	}
 }
@@ -192,54 +192,54 @@
 // probeStaleReporter asks a worker whose report is older than what is known of it, now and
 // then: only its answer tells a late copy from a new process that counts from
 // the start again. The caller holds mu.
-func (g *leader) probeStaleReporter(m *fleet.Machine, now clock.Micros) {
-	if at, asked := g.staleReportProbedAt[m.Name]; asked && now-at < clock.FromSeconds(g.cfg.Facts.Workers.ReportS) {
+func (l *leader) probeStaleReporter(machine *fleet.Machine, now clock.Micros) {
+	if at, asked := l.staleReportProbedAt[machine.Name]; asked && now-at < clock.FromSeconds(l.cfg.Facts.Workers.ReportS) {
 		return
 	}
-	if len(g.staleReportProbedAt) > 4096 {
-		clear(g.staleReportProbedAt)
+	if len(l.staleReportProbedAt) > 4096 {
+		clear(l.staleReportProbedAt)
 	}
-	g.staleReportProbedAt[m.Name] = now
-	g.startProbe(m)
+	l.staleReportProbedAt[machine.Name] = now
+	l.startProbe(machine)
 }
 
 // startProbe asks a worker for its report. The caller holds mu.
-func (g *leader) startProbe(m *fleet.Machine) {
-	if m.Probing || m.Endpoint == "" || m.Returning || g.openProbes >= g.budget.Questions || g.ctx == nil {
+func (l *leader) startProbe(machine *fleet.Machine) {
+	if machine.Probing || machine.Endpoint == "" || machine.Returning || l.openProbes >= l.budget.Questions || l.ctx == nil {
 		return
 	}
-	m.Probing = true
-	g.openProbes++
-	g.log.Debug("worker is asked for its report", "host", m.Name, "silent", (g.clock.Now() - m.LastHeartbeat).Seconds(), "mute", m.UnansweredProbes)
-	go g.probe(g.ctx, m, m.Endpoint, m.ReportVersion())
+	machine.Probing = true
+	l.openProbes++
+	l.log.Debug("worker is asked for its report", "host", machine.Name, "silent", (l.clock.Now() - machine.LastHeartbeat).Seconds(), "mute", machine.UnansweredProbes)
+	go l.probe(l.ctx, machine, machine.Endpoint, machine.ReportVersion())
 }
 
-func (g *leader) probe(ctx context.Context, m *fleet.Machine, endpoint string, known wire.ReportVersion) {
+func (l *leader) probe(ctx context.Context, machine *fleet.Machine, endpoint string, known wire.ReportVersion) {
 	pctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
-	rep, err := g.workers.Show(pctx, endpoint)
+	rep, err := l.workers.Show(pctx, endpoint)
 	cancel()
-	now := g.clock.Now()
-	report := clock.FromSeconds(g.cfg.Facts.Workers.ReportS)
-	g.mu.Lock()
-	m.Probing = false
-	g.openProbes--
+	now := l.clock.Now()
+	report := clock.FromSeconds(l.cfg.Facts.Workers.ReportS)
+	l.mu.Lock()
+	machine.Probing = false
+	l.openProbes--
 	switch {
-	case ctx.Err() != nil || g.fleet.Machine(m.Name) != m:
-	case err == nil && rep.Machine == m.Name:
-		g.applyEvents(g.fleet.ProbeAnswered(now, known, rep), now)
-		g.adoptReported(m, now)
-		if m.Restarted() {
-			g.urgentMachines[m] = true
+	case ctx.Err() != nil || l.fleet.Machine(machine.Name) != machine:
+	case err == nil && rep.Machine == machine.Name:
+		l.applyEvents(l.fleet.ProbeAnswered(now, known, rep), now)
+		l.adoptReported(machine, now)
+		if machine.Restarted() {
+			l.urgentMachines[machine] = true
 		}
-	case now-m.LastHeartbeat < report && !m.Suspect, !m.Reported && !m.Suspect && now-m.AnsweredAt < report:
+	case now-machine.LastHeartbeat < report && !machine.Suspect, !machine.Reported && !machine.Suspect && now-machine.AnsweredAt < report:
 		// It reports, trusted or not yet: only this question was lost.
 	default:
-		if m.UnansweredProbes++; m.UnansweredProbes >= unreachableAfterProbes {
-			g.unreachable[m] = true
+		if machine.UnansweredProbes++; machine.UnansweredProbes >= unreachableAfterProbes {
+			l.unreachable[machine] = true
 		}
 	}
-	g.mu.Unlock()
-	g.wake()
+	l.mu.Unlock()
+	l.wake()
 }
 
 // isolationReports is how many report intervals without any heartbeat make a leader
@@ -253,8 +253,8 @@
 
 // maxSilence is how long no heartbeat may come before the leader gives up. A new
 // leader waits longer, since its workers have yet to find it. The caller holds mu.
-func (g *leader) maxSilence(report clock.Micros) clock.Micros {
-	if g.fleet.ReportingCount() >= reliableReporters && g.lastHeartbeat > max(g.term.Since, g.runningSince) {
+func (l *leader) maxSilence(report clock.Micros) clock.Micros {
+	if l.fleet.ReportingCount() >= reliableReporters && l.lastHeartbeat > max(l.term.Since, l.runningSince) {
 		return report + report/4 + 2*clock.Second
 	}
 	return isolationReports*report + clock.Second
@@ -263,12 +263,12 @@
 // isolatedFromWorkers tells whether all workers have fallen silent at once: that is this
 // controller's network, and nothing is rented in their stead by one that is about
 // to give the lead up. The caller holds mu.
-func (g *leader) isolatedFromWorkers(now clock.Micros) bool {
-	report := clock.FromSeconds(g.cfg.Facts.Workers.ReportS)
-	quiet := now - max(g.lastHeartbeat, g.term.Since, g.runningSince)
-	switch n := g.fleet.ReportingCount(); {
+func (l *leader) isolatedFromWorkers(now clock.Micros) bool {
+	report := clock.FromSeconds(l.cfg.Facts.Workers.ReportS)
+	quiet := now - max(l.lastHeartbeat, l.term.Since, l.runningSince)
+	switch n := l.fleet.ReportingCount(); {
 	case n == 0:
-		return len(g.awaitedMachines) >= 2 && quiet > report // nor did any find this new leader
+		return len(l.awaitedMachines) >= 2 && quiet > report // nor did any find this new leader
 	case n >= reliableReporters:
 		return quiet > report+report/4
 	default:
@@ -279,28 +279,28 @@
 // resignIfIsolated gives leadership up when no worker at all is heard any more, or
 // none hears: this node may be cut off from them while another is not. If
 // nobody reaches them, leadership goes round, which harms nothing.
-func (g *leader) resignIfIsolated(ctx context.Context) {
-	now := g.clock.Now()
-	report := clock.FromSeconds(g.cfg.Facts.Workers.ReportS)
-	g.mu.Lock()
-	silent := g.fleet.Len() >= 2 && now-max(g.lastHeartbeat, g.term.Since, g.runningSince) > g.maxSilence(report)
-	unheard := g.notAcknowledging >= 3 && 2*g.notAcknowledging > g.fleet.Len()
-	silent = silent && g.expectedReporters() >= 2
-	unfound := g.lastHeartbeat <= g.term.Since && now-g.term.Since < g.maxReportDelay()
-	g.mu.Unlock()
-	if silent && !unheard && unfound && g.checkIsolated(ctx) {
+func (l *leader) resignIfIsolated(ctx context.Context) {
+	now := l.clock.Now()
+	report := clock.FromSeconds(l.cfg.Facts.Workers.ReportS)
+	l.mu.Lock()
+	silent := l.fleet.Len() >= 2 && now-max(l.lastHeartbeat, l.term.Since, l.runningSince) > l.maxSilence(report)
+	unheard := l.notAcknowledging >= 3 && 2*l.notAcknowledging > l.fleet.Len()
+	silent = silent && l.expectedReporters() >= 2
+	unfound := l.lastHeartbeat <= l.term.Since && now-l.term.Since < l.maxReportDelay()
+	l.mu.Unlock()
+	if silent && !unheard && unfound && l.checkIsolated(ctx) {
 		return // workers may still try the controllers that are down
 	}
 	if silent || unheard {
-		g.log.Info("no worker is heard, or none hears: giving leadership up", "deaf", g.notAcknowledging)
-		g.elector.Resign()
+		l.log.Info("no worker is heard, or none hears: giving leadership up", "deaf", l.notAcknowledging)
+		l.elector.Resign()
 	}
 }
 
 // expectedReporters counts the machines that ought to report. The caller holds mu.
-func (g *leader) expectedReporters() (n int) {
-	g.fleet.EachMachine(func(m *fleet.Machine) {
-		if m.Reported || m.AllocationCount() > 0 || m.CloudStatus == wire.MachineRunning {
+func (l *leader) expectedReporters() (n int) {
+	l.fleet.EachMachine(func(machine *fleet.Machine) {
+		if machine.Reported || machine.AllocationCount() > 0 || machine.CloudStatus == wire.MachineRunning {
 			n++
 		}
 	})
--- a/size_test.go
+++ b/size_test.go
@@ -18,10 +18,10 @@
 	t.Helper()
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.clock.Now()
+	l, _ := s.elect(n)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.clock.Now()
 	for k := range tasks {
 		sp := spec(fmt.Sprintf("j-%d", k), func(sp *wire.Spec) {
 			sp.Tasks, sp.Cores, sp.RAM = machines, 1, 1
@@ -33,19 +33,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := g.addJob(store.JobKey(sp.UID), raw, 1, now); err != nil {
+		if err := l.addJob(store.JobKey(sp.UID), raw, 1, now); err != nil {
 			t.Fatal(err)
 		}
-		j := g.jobs[sp.UID]
+		job := l.jobs[sp.UID]
 		for i := range machines {
-			m := g.fleet.Ensure(fmt.Sprintf("n-%d", i), now)
-			b := g.newAllocation(j, i, 1)
-			b.Incarnation = 1
-			g.fleet.Adopt(m, b, now)
-			j.tasks[i].state, j.tasks[i].allocation, j.tasks[i].attempt = taskPlaced, b, 1
+			machine := l.fleet.Ensure(fmt.Sprintf("n-%d", i), now)
+			allocation := l.newAllocation(job, i, 1)
+			allocation.Incarnation = 1
+			l.fleet.Adopt(machine, allocation, now)
+			job.tasks[i].state, job.tasks[i].allocation, job.tasks[i].attempt = taskPlaced, allocation, 1
 		}
 	}
-	return s, g
+	return s, l
 }
 
 // report is what the i-th machine of an adopted fleet says.
@@ -63,18 +63,18 @@
 func TestSurgeAfterAllControllersEnded(t *testing.T) {
 	const tasks = 4
 	visits := func(machines int) float64 {
-		_, g := adopted(t, machines, tasks)
-		g.fleet.Examined = 0
-		for tally, token := range []uint64{0, g.term.Token} {
+		_, l := adopted(t, machines, tasks)
+		l.fleet.Examined = 0
+		for tally, token := range []uint64{0, l.term.Token} {
 			for i := range machines {
-				ans, ok := g.Heartbeat(report(i, tasks, uint64(tally)+1, token))
-				if !ok || len(ans.Commands) != 0 || ans.Token != g.term.Token {
+				ans, ok := l.Heartbeat(report(i, tasks, uint64(tally)+1, token))
+				if !ok || len(ans.Commands) != 0 || ans.Token != l.term.Token {
 					t.Fatalf("machine %d of %d: answered %t, %+v", i, machines, ok, ans)
 				}
 			}
 		}
-		per := float64(g.fleet.Examined) / float64(2*machines)
-		if up := g.fleet.ReportingCount(); up != machines {
+		per := float64(l.fleet.Examined) / float64(2*machines)
+		if up := l.fleet.ReportingCount(); up != machines {
 			t.Errorf("%d of %d machines are trusted", up, machines)
 		}
 		return per
@@ -91,32 +91,32 @@
 func TestMassLoss(t *testing.T) {
 	const tasks = 4
 	visits := func(machines, lost int) int {
-		s, g := adopted(t, machines, tasks)
+		s, l := adopted(t, machines, tasks)
 		s.advance(10 * time.Second)
 		for i := range machines - lost {
-			g.Heartbeat(report(i, tasks, 1, 0))
-			g.Heartbeat(report(i, tasks, 2, g.term.Token))
+			l.Heartbeat(report(i, tasks, 1, 0))
+			l.Heartbeat(report(i, tasks, 2, l.term.Token))
 		}
 		s.advance(14 * time.Second)
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		now := g.clock.Now()
-		g.fleet.Examined = 0
-		news := g.fleet.ExpireLeases(now)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		now := l.clock.Now()
+		l.fleet.Examined = 0
+		news := l.fleet.ExpireLeases(now)
 		if len(news) != lost*tasks {
 			t.Fatalf("%d of %d machines lost: %d tasks gone, want %d", lost, machines, len(news), lost*tasks)
 		}
-		looked := g.fleet.Examined
-		g.applyEvents(news, now)
-		for uid := range g.pendingResults {
-			g.dirty[uid] = true
+		looked := l.fleet.Examined
+		l.applyEvents(news, now)
+		for uid := range l.pendingResults {
+			l.dirty[uid] = true
 		}
 		last := wire.PriorityCritical
-		for w := g.buildTransaction(); w != nil; w = g.buildTransaction() {
-			if n := len(w.txn.Operations); n > g.cfg.Facts.State.TxnOps {
+		for tx := l.buildTransaction(); tx != nil; tx = l.buildTransaction() {
+			if n := len(tx.txn.Operations); n > l.cfg.Facts.State.TxnOps {
 				t.Fatalf("%d changes in a transaction", n)
 			}
-			for _, c := range w.chunks {
+			for _, c := range tx.chunks {
 				if c.job.priority > last {
 					t.Errorf("%s is recorded after work of lower priority", c.job.uid)
 				}
@@ -142,15 +142,15 @@
 // Every transaction may be applied by the store, answered, and arrive again:
 // nothing that users were told, and nobody's lead, changes by it.
 func TestRepeatedTransactionsChangeNothing(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	s.submit(n, spec("j-1", nil))
 	s.submit(n, spec("j-2", nil))
 	s.submit(n, spec("j-3", nil))
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	w.End("j-1/0", wire.CauseDone)
-	heartbeat(t, g, w)
-	s.settle(g)
+	heartbeat(t, l, w)
+	s.settle(l)
 	if code, _, _ := s.ask(n, "POST", wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
--- a/stall_test.go
+++ b/stall_test.go
@@ -14,43 +14,43 @@
 // computed before and is about to send is checked against the lease at the last
 // step, so that nothing of it goes out after.
 func TestNothingOfBeforeGoesOutAfterStandingStill(t *testing.T) {
-	s, n, g, w := alone(t)
+	s, n, l, w := alone(t)
 	s.submit(n, spec("j-1", nil))
-	s.resync(g)
-	g.mu.Lock()
-	now := g.clock.Now()
-	g.runPlan(now)
-	write := g.buildTransaction()
-	g.mu.Unlock()
-	if !g.commit(t.Context(), write) {
+	s.resync(l)
+	l.mu.Lock()
+	now := l.clock.Now()
+	l.runPlan(now)
+	write := l.buildTransaction()
+	l.mu.Unlock()
+	if !l.commit(t.Context(), write) {
 		t.Fatal("placement not recorded")
 	}
-	g.mu.Lock()
-	fl := g.fleet.PrepareCommand(g.fleet.Machine("n-1"), now, 1, fleet.AllCommands)
-	g.mu.Unlock()
-	if fl == nil || len(fl.Commands) != 1 {
-		t.Fatalf("no command is about to be sent: %+v", fl)
+	l.mu.Lock()
+	command := l.fleet.PrepareCommand(l.fleet.Machine("n-1"), now, 1, fleet.AllCommands)
+	l.mu.Unlock()
+	if command == nil || len(command.Commands) != 1 {
+		t.Fatalf("no command is about to be sent: %+v", command)
 	}
 	rep := w.Report()
 	s.kill(n) // nothing of this node's renewals gets through any more
 	s.clk.Advance(32 * time.Second)
 
-	g.sendCommand(t.Context(), fl)
+	l.sendCommand(t.Context(), command)
 	if got := w.Starts(); len(got) != 0 {
 		t.Errorf("a direct command of before was sent: %v", got)
 	}
-	g.returnMachines(t.Context(), []string{"n-1"})
+	l.returnMachines(t.Context(), []string{"n-1"})
 	if got := s.cloud.Returns(); len(got) != 0 {
 		t.Errorf("a machine was returned on what was known before: %v", got)
 	}
-	g.rentMachines(t.Context(), cloud.Rental{MachineType: "b", Zone: "x", Count: 3})
+	l.rentMachines(t.Context(), cloud.Rental{MachineType: "b", Zone: "x", Count: 3})
 	if got := s.cloud.Asked(); len(got) != 0 {
 		t.Errorf("machines were rented on what was known before: %v", got)
 	}
-	if _, ok := g.Heartbeat(&rep); ok {
+	if _, ok := l.Heartbeat(&rep); ok {
 		t.Error("a heartbeat was answered")
 	}
-	if g.fleet.Machine("n-1").NotAcknowledging() {
+	if l.fleet.Machine("n-1").NotAcknowledging() {
 		t.Error("a command that was not sent counts as a sign of deafness")
 	}
 	// The successor counts the recorded attempt as possible, though it was never sent.
@@ -69,31 +69,31 @@
 func TestStandingStillIsNoSilence(t *testing.T) {
 	s := newSite(t)
 	n := s.node(nil)
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	hosts := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 	var first *standin.Worker
 	for i, h := range hosts {
 		w := s.worker(h, []string{"x", "y"}[i%2], i > 2)
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 		if first == nil {
 			first = w
 		}
 	}
 	for _, h := range hosts {
-		g.mu.Lock()
-		g.fleet.Machine(h).CloudStatus = wire.MachineRunning
-		g.mu.Unlock()
+		l.mu.Lock()
+		l.fleet.Machine(h).CloudStatus = wire.MachineRunning
+		l.mu.Unlock()
 	}
-	g.checkPause()
+	l.checkPause()
 	s.advance(50 * time.Second)
-	g.checkPause()
-	g.autoscale(t.Context())
-	g.pass(t.Context())
+	l.checkPause()
+	l.autoscale(t.Context())
+	l.pass(t.Context())
 	if got := s.cloud.Returns(); len(got) != 0 {
 		t.Errorf("returned on waking: %v", got)
 	}
 	for _, h := range hosts {
-		if g.fleet.Machine(h).Returning {
+		if l.fleet.Machine(h).Returning {
 			t.Errorf("%s is to be returned", h)
 		}
 	}
@@ -103,11 +103,11 @@
 	// From then on silence counts as ever, while one is heard.
 	for range 50 {
 		s.advance(time.Second)
-		s.resync(g) // no watch runs here, and a leader that reads nothing gives up
-		g.checkPause()
-		heartbeat(t, g, first)
+		s.resync(l) // no watch runs here, and a leader that reads nothing gives up
+		l.checkPause()
+		heartbeat(t, l, first)
 	}
-	g.autoscale(t.Context())
+	l.autoscale(t.Context())
 	if len(s.cloud.Returns()) == 0 {
 		t.Error("silence after waking is not counted")
 	}
--- a/swarm_test.go
+++ b/swarm_test.go
@@ -20,11 +20,11 @@
 	puts := func(jobs int) float64 {
 		s := newSite(t)
 		a, b := s.node(nil), s.node(nil)
-		g, stop := s.elect(a)
+		l, stop := s.elect(a)
 		var ws []*standin.Worker
 		for i := range 4 {
 			w := s.worker(fmt.Sprintf("n-%d", i+1), "x", true)
-			heartbeat(t, g, w)
+			heartbeat(t, l, w)
 			ws = append(ws, w)
 		}
 		uid := func(k int) string { return fmt.Sprintf("j-%d", k) }
@@ -32,27 +32,27 @@
 			s.submit(a, spec(uid(k), func(sp *wire.Spec) { sp.Cores, sp.RAM = 0.25, 0.5 }))
 		}
 		accepted := s.state.Puts()
-		s.resync(g)
+		s.resync(l)
 		ended := map[string]bool{}
-		work := func(g *leader, rounds int) {
+		work := func(l *leader, rounds int) {
 			for range rounds {
-				s.settle(g)
+				s.settle(l)
 				for _, w := range ws {
 					for _, p := range w.Live() {
 						w.End(p, wire.CauseDone)
 						ended[p] = true
 					}
-					heartbeat(t, g, w)
+					heartbeat(t, l, w)
 				}
 				s.advance(time.Second)
 			}
 		}
-		work(g, 1)
-		s.settle(g)
+		work(l, 1)
+		s.settle(l)
 		stop()
-		g, _ = s.elect(b)
-		work(g, 12)
-		s.settle(g)
+		l, _ = s.elect(b)
+		work(l, 12)
+		s.settle(l)
 		for k := range jobs {
 			if _, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/"+uid(k), nil); v.Status != wire.JobDone {
 				t.Fatalf("%s of %d: %+v, want done", uid(k), jobs, v)
@@ -95,14 +95,14 @@
 func TestCancelInASharedRecord(t *testing.T) {
 	s := newSite(t)
 	a, b := s.node(nil), s.node(nil)
-	g, stop := s.elect(a)
+	l, stop := s.elect(a)
 	w := s.worker("n-1", "x", true)
-	heartbeat(t, g, w)
+	heartbeat(t, l, w)
 	for _, uid := range []string{"j-1", "j-2", "j-3"} {
 		s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Cores = 2 }))
 	}
-	s.resync(g)
-	s.settle(g)
+	s.resync(l)
+	s.settle(l)
 	if got := w.Live(); len(got) != 3 {
 		t.Fatalf("on the machine: %v", got)
 	}
@@ -111,16 +111,16 @@
 		t.Fatalf("abort: %d", code)
 	}
 	stop()
-	g, _ = s.elect(b)
-	g.mu.Lock()
-	if c := g.fleet.Machine("n-1").UsedCores; c != 6 {
+	l, _ = s.elect(b)
+	l.mu.Lock()
+	if c := l.fleet.Machine("n-1").UsedCores; c != 6 {
 		t.Errorf("%v cores in use, want 6: the cancelled task may still run", c)
 	}
-	g.mu.Unlock()
+	l.mu.Unlock()
 	w.Unreachable(false)
 	for range 3 {
-		heartbeat(t, g, w)
-		s.settle(g)
+		heartbeat(t, l, w)
+		s.settle(l)
 	}
 	if got := w.Live(); len(got) != 2 {
 		t.Errorf("on the machine: %v, want the two that were not cancelled", got)
@@ -173,15 +173,15 @@
 	run := func(tasks int) (changes, visits float64) {
 		s := newSite(t)
 		a, b := s.node(nil), s.node(nil)
-		g, stop := s.elect(a)
+		l, stop := s.elect(a)
 		var ws []*standin.Worker
 		for i := range 16 {
 			w := s.worker(fmt.Sprintf("n-%02d", i+1), "x", true)
-			heartbeat(t, g, w)
+			heartbeat(t, l, w)
 			ws = append(ws, w)
 		}
 		s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "low", tasks, 0.25, 0.9 }))
-		s.resync(g)
+		s.resync(l)
 		before := s.state.Puts()
 		looked, done := 0, 0
 		for round := 0; done < tasks; round++ {
@@ -190,15 +190,15 @@
 			}
 			if round == 4 {
 				stop()
-				g, _ = s.elect(b)
+				l, _ = s.elect(b)
 			}
 			if round == 6 {
 				s.submit(b, spec("j-2", func(sp *wire.Spec) { sp.Priority, sp.Cores, sp.RAM = "high", 2, 4 }))
-				s.resync(g)
+				s.resync(l)
 			}
-			g.pass(t.Context())
+			l.pass(t.Context())
 			for _, w := range ws {
-				heartbeat(t, g, w) // takes its orders
+				heartbeat(t, l, w) // takes its orders
 			}
 			for _, w := range ws {
 				for _, p := range w.Live() {
@@ -206,15 +206,15 @@
 						w.End(p, wire.CauseDone)
 					}
 				}
-				heartbeat(t, g, w)
+				heartbeat(t, l, w)
 			}
 			s.advance(time.Second)
-			g.mu.Lock()
-			done = g.jobs["j-1"].done
-			looked, g.fleet.Examined = looked+g.fleet.Examined, 0
-			g.mu.Unlock()
+			l.mu.Lock()
+			done = l.jobs["j-1"].done
+			looked, l.fleet.Examined = looked+l.fleet.Examined, 0
+			l.mu.Unlock()
 		}
-		s.settle(g)
+		s.settle(l)
 		starts := map[string]int{}
 		for _, w := range ws {
 			for _, k := range w.Starts() {
@@ -250,25 +250,25 @@
 func TestLowWorkIsPaced(t *testing.T) {
 	s := newSite(t)
 	n := s.node(func(f *config.Facts) { f.Limits.CoreShare = 0.1 })
-	g, _ := s.elect(n)
+	l, _ := s.elect(n)
 	var ws []*standin.Worker
 	for i := range 16 {
 		w := s.worker(fmt.Sprintf("n-%02d", i+1), "x", true)
-		heartbeat(t, g, w)
+		heartbeat(t, l, w)
 		ws = append(ws, w)
 	}
 	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "low", 5000, 0.05, 0.1 }))
 	s.submit(n, spec("j-2", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "standard", 300, 0.05, 0.1 }))
-	s.resync(g)
+	s.resync(l)
 	placed := func(uid string) int {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		g.jobs[uid].pruneWaiting()
-		return len(g.jobs[uid].tasks) - len(g.jobs[uid].waiting)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.jobs[uid].pruneWaiting()
+		return len(l.jobs[uid].tasks) - len(l.jobs[uid].waiting)
 	}
-	s.pass(g, ws, 1)
+	s.pass(l, ws, 1)
 	first := placed("j-1")
-	s.pass(g, ws, 4)
+	s.pass(l, ws, 4)
 	if got := placed("j-1") - first; got < 450 || got > 750 {
 		t.Errorf("%d tasks of the lowest priority began in 4 s, want 150 a second", got)
 	}
@@ -313,25 +313,25 @@
 // that the state service takes: one that does not is refused for ever, and
 // everything behind it waits. If one is refused all the same, the rest goes on.
 func TestTransactionsKeepTheLimits(t *testing.T) {
-	s, n, g, ws := crew(t, 16)
+	s, n, l, ws := crew(t, 16)
 	uids := []string{}
 	for k := range 60 {
 		uid := fmt.Sprintf("j-1%03d", k)
 		uids = append(uids, uid)
 		s.submit(n, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 2, 0.1, 0.1 }))
 	}
-	s.resync(g)
-	s.pass(g, ws, 2)
+	s.resync(l)
+	s.pass(l, ws, 2)
 	for k := range 150 {
 		s.submit(n, spec(fmt.Sprintf("j-2%03d", k), func(sp *wire.Spec) { sp.Cores, sp.RAM = 0.1, 0.1 }))
 	}
-	s.resync(g)
-	g.mu.Lock()
+	s.resync(l)
+	l.mu.Lock()
 	for _, uid := range uids {
-		g.dirty[uid] = true // recorded already with others' results
+		l.dirty[uid] = true // recorded already with others' results
 	}
-	g.mu.Unlock()
-	s.pass(g, ws, 3)
+	l.mu.Unlock()
+	s.pass(l, ws, 3)
 	for _, w := range ws {
 		for _, p := range w.Live() {
 			w.End(p, wire.CauseDone)
@@ -340,8 +340,8 @@
 	for k := range 30 {
 		s.ask(n, http.MethodPost, fmt.Sprintf("%s/j-2%03d/%s", wire.PathJobs, k, wire.SuffixCancel), nil)
 	}
-	s.resync(g)
-	s.pass(g, ws, 12)
+	s.resync(l)
+	s.pass(l, ws, 12)
 	if got := s.state.TooMany(); got != 0 {
 		t.Errorf("%d transactions were refused for their size", got)
 	}
@@ -350,15 +350,15 @@
 	}
 	// One that is refused does not keep the others up.
 	s.submit(n, spec("j-3", nil))
-	s.resync(g)
-	w := &transaction{nonce: "x"}
+	s.resync(l)
+	tx := &transaction{nonce: "x"}
 	for k := range 30 {
-		w.txn.Operations = append(w.txn.Operations, wire.Operation{Delete: fmt.Sprintf("p/x/%05d", k)})
+		tx.txn.Operations = append(tx.txn.Operations, wire.Operation{Delete: fmt.Sprintf("p/x/%05d", k)})
 	}
-	if !g.commit(t.Context(), w) {
+	if !l.commit(t.Context(), tx) {
 		t.Fatal("a refused transaction ends the term")
 	}
-	s.pass(g, ws, 2)
+	s.pass(l, ws, 2)
 	if startsOf(ws, "j-3") != 1 {
 		t.Error("nothing begins after a transaction was refused")
 	}
--- a/teams.go
+++ b/teams.go
@@ -18,8 +18,8 @@
 func (s *Service) leaderTeams(ctx context.Context) (quota.Report, error) {
 	leader := s.elector.Leader()
 	r := quota.Report{Leader: leader, Fresh: true}
-	if g := s.current.Load(); g != nil {
-		teams, ok := g.teamReports()
+	if l := s.current.Load(); l != nil {
+		teams, ok := l.teamReports()
 		if !ok {
 			return r, errNoLeader
 		}
@@ -61,11 +61,11 @@
 
 // teamsPage answers another controller that serves operators: with nothing, unless this one leads.
 func (s *Service) teamsPage(after string) []byte {
-	g := s.current.Load()
-	if g == nil {
+	l := s.current.Load()
+	if l == nil {
 		return nil
 	}
-	teams, ok := g.teamReports()
+	teams, ok := l.teamReports()
 	if !ok {
 		return nil
 	}
@@ -90,20 +90,20 @@
 
 // teamReports tells what each team uses and what of its work waits; false where this
 // controller does not know, because its lease as leader or its records are not there.
-func (g *leader) teamReports() ([]quota.TeamReport, bool) {
-	if _, may := g.elector.HoldsLease(); !may {
+func (l *leader) teamReports() ([]quota.TeamReport, bool) {
+	if _, may := l.elector.HoldsLease(); !may {
 		return nil, false
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.loaded {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.loaded {
 		return nil, false
 	}
-	waiting := g.waitingByTeam()
-	names := g.quota.Teams()
+	waiting := l.waitingByTeam()
+	names := l.quota.Teams()
 	out := make([]quota.TeamReport, 0, len(names))
 	for _, name := range names {
-		r := g.quota.Usage(name).Report()
+		r := l.quota.Usage(name).Report()
 		if w := waiting[name]; w != nil {
 			r.Waiting = *w
 		}
@@ -113,24 +113,24 @@
 }
 
 // waitingByTeam sums up the tasks that wait, and why. The caller holds mu.
-func (g *leader) waitingByTeam() map[string]*quota.WaitingReport {
-	now := g.clock.Now()
+func (l *leader) waitingByTeam() map[string]*quota.WaitingReport {
+	now := l.clock.Now()
 	out := map[string]*quota.WaitingReport{}
-	for j := range g.queue {
-		ready, later := j.countWaiting(now)
-		if j.cancelled || ready+later == 0 {
+	for job := range l.queue {
+		ready, later := job.countWaiting(now)
+		if job.cancelled || ready+later == 0 {
 			continue
 		}
-		w := out[j.spec.Team]
+		w := out[job.spec.Team]
 		if w == nil {
 			w = &quota.WaitingReport{}
-			out[j.spec.Team] = w
+			out[job.spec.Team] = w
 		}
 		w.Jobs++
-		if j.planJob.Entitled {
+		if job.planJob.Entitled {
 			w.WithinGuarantee += ready + later
 		}
-		w.Add(g.whyWaits(j, now), ready)
+		w.Add(l.whyWaits(job, now), ready)
 		w.Add(quota.ReasonRetry, later)
 	}
 	return out
@@ -151,15 +151,15 @@
 }
 
 // whyWaits tells why those of a job's tasks wait that are not backing off. The caller holds mu.
-func (g *leader) whyWaits(j *Job, now clock.Micros) quota.Reason {
+func (l *leader) whyWaits(job *Job, now clock.Micros) quota.Reason {
 	switch {
-	case j.cancellationPending:
+	case job.cancellationPending:
 		return quota.ReasonCancelling
-	case !g.fitsTeamLimit(j):
+	case !l.fitsTeamLimit(job):
 		return quota.ReasonLimit
-	case j.failures.onTrial():
+	case job.failures.onTrial():
 		return quota.ReasonRetry
-	case now-j.seenAt < newJobAge:
+	case now-job.seenAt < newJobAge:
 		return quota.ReasonNew
 	}
 	return quota.ReasonRoom
--- a/teams_test.go
+++ b/teams_test.go
@@ -31,8 +31,8 @@
 func TestTeamsReport(t *testing.T) {
 	s := newSite(t)
 	n := s.node(func(f *config.Facts) { f.Teams[0].CPUsMax, f.Teams[0].CPUs = 4, 2 })
-	g, w, _ := ledWork(t, n, s, 4)
-	n.current.Store(g)
+	l, w, _ := ledWork(t, n, s, 4)
+	n.current.Store(l)
 	look := func() quota.TeamReport {
 		t.Helper()
 		r, err := n.Teams(t.Context())
@@ -51,14 +51,14 @@
 	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
-	s.resync(g)
+	s.resync(l)
 	want.Tasks, want.Waiting = quota.TasksReport{Stopping: 2}, quota.WaitingReport{}
 	want.Cores.Running, want.Cores.Stopping = 0, 4
 	if diff := cmp.Diff(want, look()); diff != "" {
 		t.Errorf("cancelled, and not proved gone: %s", diff)
 	}
-	heartbeat(t, g, w) // is told to stop
-	heartbeat(t, g, w) // shows that it has
+	heartbeat(t, l, w) // is told to stop
+	heartbeat(t, l, w) // shows that it has
 	want.Tasks, want.Cores = quota.TasksReport{}, quota.ResourceReport{Limit: 4, Guarantee: 2}
 	if diff := cmp.Diff(want, look()); diff != "" {
 		t.Errorf("proved gone: %s", diff)
@@ -140,8 +140,8 @@
 	if teams, err := readTeams(t.Context(), link); !errors.Is(err, errNoLeader) {
 		t.Fatalf("of one that does not lead: %d teams, %v", len(teams), err)
 	}
-	g, _ := s.elect(b)
-	b.current.Store(g)
+	l, _ := s.elect(b)
+	b.current.Store(l)
 	teams, err := readTeams(t.Context(), link)
 	if err != nil || len(teams) != 1001 {
 		t.Fatalf("%d teams, %v", len(teams), err)
