--- a/fleetsize.go
+++ b/autoscaler.go
@@ -19,6 +19,32 @@
 	"cedardoor/wire"
 )
 
+// autoscaler follows the demand for machines, and the rentals and returns that it leads to.
+type autoscaler struct {
+	catalog         wire.Catalog
+	catalogRevision uint64                  // of the catalogue as it is stored
+	rentedAt        map[string]clock.Micros // machines rented by this term that have not booted yet, by when they were asked for
+	pendingRentals  map[string]*rental
+	rentalSequence  int
+	capacityRefused map[string]clock.Micros // until when a type, zone and kind is not asked for again
+	bootTimes       cloud.BootTimes         // how long machines took lately
+	returnedAt      map[string]clock.Micros // machines that were returned: whatever still speaks of them is old
+	returnedOrder   []string                // the same, oldest first
+	arrivals        cloud.Arrivals          // preemptible work that arrived within the window
+	arrivalRate     cloud.Load
+	predecessorRate cloud.Load
+	demandSavedAt   clock.Micros
+	classRuns       map[string]runTimeStat // how long tasks ran lately, by class
+	peaks           cloud.Peaks
+	idleSince       clock.Micros // since when there has been no work at all
+	limitLoggedAt   clock.Micros // when the limit of machines was last logged
+}
+
+func newAutoscaler() autoscaler {
+	return autoscaler{rentedAt: map[string]clock.Micros{}, pendingRentals: map[string]*rental{}, capacityRefused: map[string]clock.Micros{},
+		returnedAt: map[string]clock.Micros{}, classRuns: map[string]runTimeStat{}}
+}
+
 // rental is a rental that was asked for.
 type rental struct {
 	request  wire.RentRequest
@@ -74,13 +100,13 @@
 		return err
 	}
 	l.mu.Lock()
-	same := sameSizes(cat, l.catalog)
+	same := sameSizes(cat, l.autoscaler.catalog)
 	if !same {
 		l.checkGuarantees(cat)
 	}
-	l.catalog = cat
+	l.autoscaler.catalog = cat
 	l.fleet.SetCatalog(cat)
-	stamp := l.catalogRevision
+	stamp := l.autoscaler.catalogRevision
 	l.mu.Unlock()
 	l.wake()
 	if same && stamp != 0 {
@@ -97,7 +123,7 @@
 		return nil
 	}
 	l.mu.Lock()
-	l.catalogRevision = epoch
+	l.autoscaler.catalogRevision = epoch
 	l.mu.Unlock()
 	return nil
 }
@@ -146,12 +172,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	listed := map[string]bool{}
-	for len(l.returnedOrder) > 0 && now-l.returnedMachines[l.returnedOrder[0]] > returnedMemory {
-		delete(l.returnedMachines, l.returnedOrder[0])
-		l.returnedOrder = l.returnedOrder[1:]
+	for len(l.autoscaler.returnedOrder) > 0 && now-l.autoscaler.returnedAt[l.autoscaler.returnedOrder[0]] > returnedMemory {
+		delete(l.autoscaler.returnedAt, l.autoscaler.returnedOrder[0])
+		l.autoscaler.returnedOrder = l.autoscaler.returnedOrder[1:]
 	}
 	for _, h := range hosts {
-		if _, gone := l.returnedMachines[h.UID]; gone {
+		if _, gone := l.autoscaler.returnedAt[h.UID]; gone {
 			continue // an old list: it was returned
 		}
 		listed[h.UID] = true
@@ -165,7 +191,7 @@
 		}
 		machine.CloudStatus, machine.ListedAt = h.Status, now
 	}
-	l.fleet.SetCatalog(l.catalog)
+	l.fleet.SetCatalog(l.autoscaler.catalog)
 	for _, machine := range l.fleet.Machines() {
 		if listed[machine.Name] {
 			continue
@@ -175,14 +201,14 @@
 			l.fleet.Drop(machine.Name)
 		}
 	}
-	for name, p := range l.pendingRentals {
+	for name, p := range l.autoscaler.pendingRentals {
 		for h, at := range p.expected {
 			if machine := l.fleet.Machine(h); listed[h] || machine != nil && machine.Reported || now-at > 4*lag {
 				delete(p.expected, h)
 			}
 		}
 		if len(p.expected) == 0 {
-			delete(l.pendingRentals, name)
+			delete(l.autoscaler.pendingRentals, name)
 		}
 	}
 	return nil
@@ -190,7 +216,7 @@
 
 // classRunTime is how long tasks of a class have run, which owners' estimates miss by half or more.
 func (l *leader) classRunTime(job *Job) clock.Micros {
-	if stat := l.classRuns[job.spec.Class]; stat.count >= 8 {
+	if stat := l.autoscaler.classRuns[job.spec.Class]; stat.count >= 8 {
 		return stat.mean()
 	}
 	return clock.FromSeconds(max(1, job.spec.ExpectedS))
@@ -208,7 +234,7 @@
 	}
 	patient = drain * f.Patience
 	ready := 0.0
-	for i, b := range l.catalog.MachineTypes {
+	for i, b := range l.autoscaler.catalog.MachineTypes {
 		if i == 0 || b.BootS < ready {
 			ready = b.BootS
 		}
@@ -262,7 +288,7 @@
 // holds mu.
 func (l *leader) grantableShares() teamShares {
 	waiting := map[string]quota.Amount{}
-	for job := range l.queue {
+	for job := range l.jobs.waiting {
 		if job.cancelled || job.failures.failing || !l.quota.Limits(job.spec.Team).Limited() || !l.fitsTeamLimit(job) {
 			continue
 		}
@@ -300,7 +326,7 @@
 	var work, all, pressing, lasting cloud.Load // lasting: replicas that spot machines may hold
 	wall := l.clock.Wall()
 	grantable := l.grantableShares()
-	for _, job := range l.jobs {
+	for _, job := range l.jobs.byUID {
 		if job.cancelled {
 			continue
 		}
@@ -343,8 +369,8 @@
 			job.arrivalCounted = true
 			var load cloud.Load
 			add(&load, run*(float64(job.done)+running+waiting))
-			first := l.predecessorRate == (cloud.Load{}) && now-l.term.Since < initialJobsWindow
-			l.arrivals.Add(cloud.Arrival{At: now, Work: load, Initial: first, Job: job})
+			first := l.autoscaler.predecessorRate == (cloud.Load{}) && now-l.term.Since < initialJobsWindow
+			l.autoscaler.arrivals.Add(cloud.Arrival{At: now, Work: load, Initial: first, Job: job})
 		}
 		drain, patient := l.drainTimes(job, run)
 		seconds := (waiting + running/2) * run
@@ -352,9 +378,9 @@
 		add(&pressing, min(running+waiting, seconds/patient))
 		add(&all, running+waiting)
 	}
-	arriving := l.arrivals.Rate(cloud.Window{Now: now, Since: l.term.Since, Span: clock.FromSeconds(f.WindowS), Predecessor: l.predecessorRate,
+	arriving := l.autoscaler.arrivals.Rate(cloud.Window{Now: now, Since: l.term.Since, Span: clock.FromSeconds(f.WindowS), Predecessor: l.autoscaler.predecessorRate,
 		MaxHeadroom: f.Headroom, Idle: all.Cores == 0})
-	l.arrivalRate = arriving.Load
+	l.autoscaler.arrivalRate = arriving.Load
 	need.Preemptible, need.Urgent = arriving.Load, pressing
 	need.Preemptible.Cores *= 1 + arriving.Headroom
 	need.Preemptible.RAM *= 1 + arriving.Headroom
@@ -367,19 +393,19 @@
 	need.Urgent.Cores += lasting.Cores
 	need.Urgent.RAM += lasting.RAM
 	need.Urgent.Accelerators += lasting.Accelerators
-	l.peaks.Retain(&need, pressing.Cores, cloud.Retention{Now: now, Since: l.term.Since, Preemptible: clock.FromSeconds(f.HoldS),
+	l.autoscaler.peaks.Retain(&need, pressing.Cores, cloud.Retention{Now: now, Since: l.term.Since, Preemptible: clock.FromSeconds(f.HoldS),
 		OnDemand: clock.FromSeconds(f.HoldOrdinaryS), Decay: arriving.Decay})
 	// With no work at all for a while, nothing is held for what might come.
 	if need.OnDemand.Cores > 0 || all.Cores > 0 {
-		l.idleSince = 0
-	} else if l.idleSince == 0 {
-		l.idleSince = now
+		l.autoscaler.idleSince = 0
+	} else if l.autoscaler.idleSince == 0 {
+		l.autoscaler.idleSince = now
 	}
-	if l.idleSince > 0 && now-l.idleSince > need.IdleTimeout {
+	if l.autoscaler.idleSince > 0 && now-l.autoscaler.idleSince > need.IdleTimeout {
 		need.Preemptible, need.Urgent, need.Growth = cloud.Load{}, cloud.Load{}, 0
 		need.KeepPreemptible, need.KeepOnDemand, need.KeepUrgent = 0, 0, 0
 	}
-	need.NoScaleIn = now-max(l.term.Since, l.runningSince) < 15*clock.Second
+	need.NoScaleIn = now-max(l.term.Since, l.detector.runningSince) < 15*clock.Second
 	return need
 }
 
@@ -404,7 +430,7 @@
 		alone        cloud.Load // its task, where nothing held could take it
 	}
 	found := map[key]*cloud.Constraint{}
-	for _, job := range l.jobs {
+	for _, job := range l.jobs.byUID {
 		spec := &job.spec
 		left := len(job.tasks) - job.done
 		if job.cancelled || job.cancellationPending || job.failures.failing || left == 0 {
@@ -475,8 +501,8 @@
 func (l *leader) stuckWork(now, after clock.Micros) (out []cloud.Constraint) {
 	var jobs []*Job // the first of them, in order
 	older := func(a, b *Job) int { return cmp.Or(cmp.Compare(a.order, b.order), cmp.Compare(a.uid, b.uid)) }
-	for job := range l.queue {
-		since := max(job.seenAt, l.runningSince)
+	for job := range l.jobs.waiting {
+		since := max(job.seenAt, l.detector.runningSince)
 		if !job.failures.onTrial() { // what is tried again and again and fails gets nowhere by it
 			since = max(since, job.lastPlacedAt)
 		} else if after < stuckAfter {
@@ -493,7 +519,7 @@
 		}
 	}
 	var zones []string
-	for _, b := range l.catalog.MachineTypes {
+	for _, b := range l.autoscaler.catalog.MachineTypes {
 		zones = append(zones, b.Zones...)
 	}
 	for _, job := range jobs {
@@ -511,7 +537,7 @@
 			work.Avoid[name] = true
 		}
 		if job.failures.onTrial() && l.avoidsStruck() {
-			for machine := range l.machineFailures {
+			for machine := range l.attribution.byMachine {
 				work.Avoid[machine.Name] = true
 			}
 		}
@@ -543,15 +569,15 @@
 func (l *leader) saveDemand(ctx context.Context) {
 	l.mu.Lock()
 	now := l.clock.Now()
-	due := now-l.demandSavedAt > 10*clock.Second && l.arrivalRate.Cores > 0
-	rec := store.DemandRecord{Cores: l.arrivalRate.Cores, RAM: l.arrivalRate.RAM, Accelerators: l.arrivalRate.Accelerators, Classes: map[string][2]int64{}}
-	for class, stat := range l.classRuns {
+	due := now-l.autoscaler.demandSavedAt > 10*clock.Second && l.autoscaler.arrivalRate.Cores > 0
+	rec := store.DemandRecord{Cores: l.autoscaler.arrivalRate.Cores, RAM: l.autoscaler.arrivalRate.RAM, Accelerators: l.autoscaler.arrivalRate.Accelerators, Classes: map[string][2]int64{}}
+	for class, stat := range l.autoscaler.classRuns {
 		if len(rec.Classes) < 50 {
 			rec.Classes[class] = [2]int64{int64(stat.count), int64(stat.total)}
 		}
 	}
 	if due {
-		l.demandSavedAt = now
+		l.autoscaler.demandSavedAt = now
 	}
 	l.mu.Unlock()
 	if !due {
@@ -568,7 +594,7 @@
 // autoscale decides and carries out one sizing pass.
 func (l *leader) autoscale(ctx context.Context) {
 	l.mu.Lock()
-	if _, may := l.elector.HoldsLease(); !may || len(l.catalog.MachineTypes) == 0 {
+	if _, may := l.elector.HoldsLease(); !may || len(l.autoscaler.catalog.MachineTypes) == 0 {
 		l.mu.Unlock()
 		return
 	}
@@ -613,9 +639,9 @@
 		// machine takes longer to boot than a lease to run out.
 		h.Lost = machine.QuarantineReason != "" || machine.Returning || machine.CloudStatus == wire.MachineFailed || machine.Reported && (machine.Unresponsive || machine.Suspect) ||
 			!machine.Reported && machine.ListedAt > 0 && machine.CloudStatus != wire.MachineBooting && now-machine.FirstSeen > silent ||
-			l.awaitedMachines[machine] && !machine.Reported && now-l.term.Since > 2*report+2*clock.Second && !reconnecting || overdue.Replace[machine.Name]
+			l.detector.awaited[machine] && !machine.Reported && now-l.term.Since > 2*report+2*clock.Second && !reconnecting || overdue.Replace[machine.Name]
 		held = append(held, h)
-		if l.awaitedMachines[machine] && !machine.Reported && now-l.term.Since > 2*report || machine.Reported && (machine.Unresponsive || machine.Suspect) {
+		if l.detector.awaited[machine] && !machine.Reported && now-l.term.Since > 2*report || machine.Reported && (machine.Unresponsive || machine.Suspect) {
 			quiet[machine.Zone]++
 			known[machine.Zone]++
 		} else if machine.Reported {
@@ -623,19 +649,19 @@
 		}
 		dead := machine.CloudStatus == wire.MachineFailed ||
 			overdue.Return[machine.Name] ||
-			machine.Reported && now-max(machine.LastHeartbeat, l.runningSince) > silent ||
-			!machine.Reported && machine.CloudStatus == wire.MachineRunning && now-max(machine.FirstSeen, l.term.Since, l.runningSince) > silent ||
+			machine.Reported && now-max(machine.LastHeartbeat, l.detector.runningSince) > silent ||
+			!machine.Reported && machine.CloudStatus == wire.MachineRunning && now-max(machine.FirstSeen, l.term.Since, l.detector.runningSince) > silent ||
 			(machine.QuarantineReason == "sick" || machine.QuarantineReason == "slow") && h.Tasks == 0 ||
 			machine.Returning
 		if dead && !machine.Returning {
 			machine.Returning = true
-			l.changedMachines[machine] = true
+			l.planner.changedMachines[machine] = true
 		}
 		if dead {
 			giveUp = append(giveUp, machine.Name)
 		}
 	}
-	for _, p := range l.pendingRentals {
+	for _, p := range l.autoscaler.pendingRentals {
 		for h := range p.expected {
 			if machine := l.fleet.Machine(h); machine == nil || machine.Type == "" {
 				b, _ := l.fleet.MachineType(p.request.MachineType)
@@ -644,9 +670,9 @@
 			}
 		}
 	}
-	for key, until := range l.capacityRefused {
+	for key, until := range l.autoscaler.capacityRefused {
 		if now > until {
-			delete(l.capacityRefused, key)
+			delete(l.autoscaler.capacityRefused, key)
 		}
 	}
 	cut := unreachableZones(quiet, known)
@@ -654,7 +680,7 @@
 		if cut[zone] {
 			return true
 		}
-		_, no := l.capacityRefused[refusedKey(build, zone, loaned)]
+		_, no := l.autoscaler.capacityRefused[refusedKey(build, zone, loaned)]
 		return no
 	}
 	live := 0
@@ -670,35 +696,35 @@
 			idle[kind] += b.Cores - h.UsedCores
 		}
 	}
-	l.metrics.Fleet(len(held), live, len(l.capacityRefused))
+	l.metrics.Fleet(len(held), live, len(l.autoscaler.capacityRefused))
 	need := l.demand(now)
 	need.Constrained, need.Stuck = l.constrainedWork(held), l.stuckWork(now, stuckAfter)
 	need.Waiting = l.stuckWork(now, waitingAfter)
-	v := cloud.Resize(l.catalog.MachineTypes, held, need, refused)
+	v := cloud.Resize(l.autoscaler.catalog.MachineTypes, held, need, refused)
 	for _, name := range v.Cordon {
 		l.fleet.Machine(name).Cordoned = true
-		l.changedMachines[l.fleet.Machine(name)] = true
+		l.planner.changedMachines[l.fleet.Machine(name)] = true
 	}
 	for _, name := range v.Uncordon {
 		l.fleet.Machine(name).Cordoned = false
-		l.changedMachines[l.fleet.Machine(name)] = true
+		l.planner.changedMachines[l.fleet.Machine(name)] = true
 	}
 	for _, name := range v.Return {
 		machine := l.fleet.Machine(name)
 		if machine.LiveCount() == 0 && machine.RunningOrphans() == 0 && machine.Cordoned {
 			machine.Returning = true
-			l.changedMachines[machine] = true
+			l.planner.changedMachines[machine] = true
 			giveUp = append(giveUp, name)
 		}
 	}
-	l.log.Debug("sizing", "held", len(held), "ordinary", math.Round(need.OnDemand.Cores), "loaned", math.Round(need.Preemptible.Cores), "pressing", math.Round(need.Urgent.Cores), "rate", math.Round(l.arrivalRate.Cores),
+	l.log.Debug("sizing", "held", len(held), "ordinary", math.Round(need.OnDemand.Cores), "loaned", math.Round(need.Preemptible.Cores), "pressing", math.Round(need.Urgent.Cores), "rate", math.Round(l.autoscaler.arrivalRate.Cores),
 		"up", fmt.Sprint(cores), "unused", fmt.Sprint(idle), "rent", fmt.Sprint(v.Rent), "cordon", len(v.Cordon), "uncordon", len(v.Uncordon), "return", fmt.Sprint(giveUp))
 	l.mu.Unlock()
 	if len(giveUp) > 0 {
 		l.returnMachines(ctx, giveUp[:min(len(giveUp), wire.MaxReturnPerRequest)])
 	}
-	if v.LimitReached && now-l.limitLoggedAt > 10*clock.Second {
-		l.limitLoggedAt = now
+	if v.LimitReached && now-l.autoscaler.limitLoggedAt > 10*clock.Second {
+		l.autoscaler.limitLoggedAt = now
 		l.log.Info("no more machines may be held: fleet.max_machines", "most", l.operator.Fleet.MaxMachines)
 	}
 	// The most pressing first, in whole batches and side by side; what goes beyond
@@ -760,11 +786,11 @@
 	defer l.mu.Unlock()
 	for _, name := range names {
 		l.applyEvents(l.fleet.MachineReturned(name, now), now)
-		if _, known := l.returnedMachines[name]; !known {
-			l.returnedOrder = append(l.returnedOrder, name)
+		if _, known := l.autoscaler.returnedAt[name]; !known {
+			l.autoscaler.returnedOrder = append(l.autoscaler.returnedOrder, name)
 		}
-		l.returnedMachines[name] = now
-		delete(l.rentedAt, name)
+		l.autoscaler.returnedAt[name] = now
+		delete(l.autoscaler.rentedAt, name)
 	}
 	l.log.Info("machines returned", "hosts", fmt.Sprint(names))
 	l.wake()
@@ -774,8 +800,8 @@
 // is asked for again under the same name.
 func (l *leader) rentMachines(ctx context.Context, w cloud.Rental) {
 	l.mu.Lock()
-	l.rentalSequence++
-	req := wire.RentRequest{RequestID: fmt.Sprintf("r-%d-%d", l.term.Token, l.rentalSequence), MachineType: w.MachineType, Zone: w.Zone, Preemptible: w.Preemptible, Count: min(w.Count, wire.MaxRentPerRequest)}
+	l.autoscaler.rentalSequence++
+	req := wire.RentRequest{RequestID: fmt.Sprintf("r-%d-%d", l.term.Token, l.autoscaler.rentalSequence), MachineType: w.MachineType, Zone: w.Zone, Preemptible: w.Preemptible, Count: min(w.Count, wire.MaxRentPerRequest)}
 	l.mu.Unlock()
 	asked := l.clock.Now()
 	var hosts []string
@@ -796,7 +822,7 @@
 	defer l.mu.Unlock()
 	if len(hosts) < req.Count {
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-			l.capacityRefused[refusedKey(w.MachineType, w.Zone, w.Preemptible)] = now + 20*clock.Second
+			l.autoscaler.capacityRefused[refusedKey(w.MachineType, w.Zone, w.Preemptible)] = now + 20*clock.Second
 		}
 	}
 	if err != nil {
@@ -806,23 +832,23 @@
 	h := &rental{request: req, expected: map[string]clock.Micros{}}
 	for _, name := range hosts {
 		h.expected[name] = now
-		l.rentedAt[name] = asked
+		l.autoscaler.rentedAt[name] = asked
 		if machine := l.fleet.Machine(name); machine != nil && machine.Reported {
 			l.machineBooted(machine, now) // before the cloud had answered
 		}
 	}
-	l.pendingRentals[req.RequestID] = h
+	l.autoscaler.pendingRentals[req.RequestID] = h
 	l.log.Info("machines rented", "build", w.MachineType, "zone", w.Zone, "loaned", w.Preemptible, "hosts", fmt.Sprint(hosts))
 }
 
 // machineBooted notes that a machine that this term rented is up. The caller holds mu.
 func (l *leader) machineBooted(machine *fleet.Machine, now clock.Micros) {
-	asked, rented := l.rentedAt[machine.Name]
+	asked, rented := l.autoscaler.rentedAt[machine.Name]
 	if !rented {
 		return
 	}
-	delete(l.rentedAt, machine.Name)
-	l.bootTimes.Booted(now, now-asked, l.bootTime(machine.Type))
+	delete(l.autoscaler.rentedAt, machine.Name)
+	l.autoscaler.bootTimes.Booted(now, now-asked, l.bootTime(machine.Type))
 }
 
 // bootTime is how long a type takes to boot, by the catalogue.
@@ -837,21 +863,21 @@
 func (l *leader) overdueMachines(now clock.Micros) cloud.Overdue {
 	// What was rented by a predecessor, or while this process stood still, may be up
 	// and on its way here.
-	settled := now-max(l.runningSince, l.term.Since) > 3*clock.FromSeconds(l.cfg.Facts.Cloud.ListLagS)
+	settled := now-max(l.detector.runningSince, l.term.Since) > 3*clock.FromSeconds(l.cfg.Facts.Cloud.ListLagS)
 	var booting []cloud.Booting
 	l.fleet.EachMachine(func(machine *fleet.Machine) {
 		if machine.Reported || machine.CloudStatus != wire.MachineBooting || machine.Returning || machine.AnsweredAt > 0 {
 			return
 		}
-		from, rented := l.rentedAt[machine.Name]
+		from, rented := l.autoscaler.rentedAt[machine.Name]
 		if !rented {
 			if from = machine.FirstSeen; !settled {
 				return
 			}
 		}
-		booting = append(booting, cloud.Booting{Name: machine.Name, Age: now - max(from, l.runningSince), Expected: l.bootTime(machine.Type)})
+		booting = append(booting, cloud.Booting{Name: machine.Name, Age: now - max(from, l.detector.runningSince), Expected: l.bootTime(machine.Type)})
 	})
-	overdue := l.bootTimes.Evaluate(now, booting, l.operator.Fleet.BootFactor)
+	overdue := l.autoscaler.bootTimes.Evaluate(now, booting, l.operator.Fleet.BootFactor)
 	if overdue.Late > 0 {
 		l.log.Debug("machines are late", "late", overdue.Late, "longest", overdue.Longest, "general", overdue.CloudSlow,
 			"counted_out", len(overdue.Replace), "given_up", len(overdue.Return))
--- a/boots_test.go
+++ b/boots_test.go
@@ -27,7 +27,7 @@
 		machine := l.fleet.Ensure(fmt.Sprintf("n-%02d", i), now)
 		l.fleet.Describe(machine, "e", "b", "x", true)
 		machine.CloudStatus, machine.ListedAt = wire.MachineBooting, now
-		l.rentedAt[machine.Name] = now
+		l.autoscaler.rentedAt[machine.Name] = now
 	}
 }
 
@@ -56,7 +56,7 @@
 	if out, up := counts(l); out != 1 || up != 1 {
 		t.Errorf("late: %d counted out, %d given up, want it", out, up)
 	}
-	for _, share := range l.bootTimes.Shares() {
+	for _, share := range l.autoscaler.bootTimes.Shares() {
 		if share < 0.99 || share > 1.01 {
 			t.Errorf("a boot of 30 s was taken for %.2f of the stated time", share)
 		}
@@ -110,7 +110,7 @@
 	if more := len(s.cloud.Hosts()) - len(hosts); more != 0 || len(s.cloud.Returns()) != 0 {
 		t.Errorf("%d more rented, returned %v", more, s.cloud.Returns())
 	}
-	for _, share := range l.bootTimes.Shares() {
+	for _, share := range l.autoscaler.bootTimes.Shares() {
 		if share > float64(2*clock.Second)/float64(30*clock.Second) {
 			t.Errorf("boot taken for %.2f of the stated time", share)
 		}
--- a/changes.go
+++ b/change_feed.go
@@ -16,18 +16,34 @@
 // name what was cancelled since, and after any spell without the service no run
 // goes out before the changes of that spell have been read.
 
+// changeFeed is how fresh the leader's knowledge of the changes of jobs is.
+type changeFeed struct {
+	knownRevision      uint64             // all changes up to it are known, as of a time when nobody else could lead
+	syncedInterruption uint64             // the interruption after which changes were last read
+	processPauses      uint64             // times at which this process had paused
+	readAt             clock.Micros       // when the last read of changes that was answered began
+	leaseHeldSince     clock.Micros       // since when the leader's lease has been held without a break
+	stopWatch          context.CancelFunc // ends the watch that waits, nil when none does
+	// cancellationPending are the jobs that are said to be cancelled, and when that was heard.
+	cancellationPending map[*Job]clock.Micros
+}
+
+func newChangeFeed() changeFeed {
+	return changeFeed{cancellationPending: map[*Job]clock.Micros{}}
+}
+
 // watchTimeout is how long a watch of the jobs waits at most.
 const watchTimeout = 10 * clock.Second
 
 // interruptions numbers the spells in which changes may have been missed: the service
 // failed this node, its lease may have lapsed, or the process stood still.
 func (l *leader) interruptions() uint64 {
-	return l.store.Interruptions() + l.elector.LeaseInterruptions() + l.processPauses
+	return l.store.Interruptions() + l.elector.LeaseInterruptions() + l.feed.processPauses
 }
 
 // synced tells whether the changes of the last spell have been read. The
 // caller holds mu.
-func (l *leader) synced() bool { return l.syncedInterruption == l.interruptions() }
+func (l *leader) synced() bool { return l.feed.syncedInterruption == l.interruptions() }
 
 // commandScope is what may be told to workers right now. The caller holds mu.
 func (l *leader) commandScope() fleet.Scope {
@@ -44,7 +60,7 @@
 func (l *leader) syncedRevision() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.knownRevision
+	return l.feed.knownRevision
 }
 
 // changesRead notes that all changes of jobs up to an epoch are known, by a read that
@@ -52,19 +68,19 @@
 // lease stands still: then no successor's change can be among them, and none of a
 // process of another node that came after a successor there. The caller holds mu.
 func (l *leader) changesRead(epoch uint64, began clock.Micros, spell uint64, held bool) {
-	l.changesReadAt = max(l.changesReadAt, began)
+	l.feed.readAt = max(l.feed.readAt, began)
 	if _, still := l.elector.HoldsLease(); still {
-		l.knownRevision = max(l.knownRevision, epoch)
+		l.feed.knownRevision = max(l.feed.knownRevision, epoch)
 	}
 	if held {
-		l.syncedInterruption = max(l.syncedInterruption, spell)
+		l.feed.syncedInterruption = max(l.feed.syncedInterruption, spell)
 	}
-	for job, at := range l.cancellationPending {
+	for job, at := range l.feed.cancellationPending {
 		if at < began || job.cancelled {
 			// Cancelled, or it was not true.
 			job.cancellationPending = false
-			l.jobsChanged = true
-			delete(l.cancellationPending, job)
+			l.jobs.changed = true
+			delete(l.feed.cancellationPending, job)
 		}
 	}
 }
@@ -92,9 +108,9 @@
 	_, held := l.elector.HoldsLease()
 	l.mu.Lock()
 	began, spell := l.clock.Now(), l.interruptions()
-	behind := held && l.syncedInterruption != spell
+	behind := held && l.feed.syncedInterruption != spell
 	if !behind {
-		l.stopWatch = cancel
+		l.feed.stopWatch = cancel
 	}
 	l.mu.Unlock()
 	var ch wire.WatchResponse
@@ -106,7 +122,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.stopWatch = nil
+	l.feed.stopWatch = nil
 	if err != nil {
 		if wctx.Err() != nil && ctx.Err() == nil {
 			return nil // it was ended to read at once
@@ -120,7 +136,7 @@
 			if err := l.addJob(event.Set, event.Value, event.ModRevision, now); err != nil {
 				l.log.Error("job record ignored", "error", err)
 			}
-		} else if job := l.jobs[event.Delete[min(len(store.PrefixJob), len(event.Delete)):]]; job != nil {
+		} else if job := l.jobs.byUID[event.Delete[min(len(store.PrefixJob), len(event.Delete)):]]; job != nil {
 			// Only this leader calls a job done, and it drops the job itself when
 			// it does; so this is a cancel accepted somewhere.
 			l.cancel(job, now)
@@ -153,7 +169,7 @@
 			l.log.Error("job record ignored", "error", err)
 		}
 	}
-	for uid, job := range l.jobs {
+	for uid, job := range l.jobs.byUID {
 		if !there[store.JobKey(uid)] && job.modRevision <= epoch {
 			l.cancel(job, now)
 		}
@@ -172,12 +188,12 @@
 	l.mu.Lock()
 	ctx, now, told := l.ctx, l.clock.Now(), false
 	for _, uid := range uids {
-		job := l.jobs[uid]
+		job := l.jobs.byUID[uid]
 		if job == nil || job.cancelled || !l.loaded {
 			continue
 		}
 		job.cancellationPending = true
-		l.cancellationPending[job] = now
+		l.feed.cancellationPending[job] = now
 		for i := range job.tasks {
 			task := &job.tasks[i]
 			if task.moveTarget != nil {
@@ -190,7 +206,7 @@
 				if l.fleet.Stop(allocation, 0, now) {
 					l.attemptEnded(job, task, allocation, true, now)
 				} else {
-					l.urgentMachines[allocation.Machine] = true
+					l.dispatcher.urgentMachines[allocation.Machine] = true
 				}
 			}
 		}
@@ -214,7 +230,7 @@
 // so long that cancelled tasks may outstay their time. The caller holds mu.
 func (l *leader) unsyncedTooLong(now clock.Micros) bool {
 	_, held := l.elector.HoldsLease()
-	return held && now-max(l.changesReadAt, l.leaseHeldSince, l.runningSince) > l.maxUnsynced()
+	return held && now-max(l.feed.readAt, l.feed.leaseHeldSince, l.detector.runningSince) > l.maxUnsynced()
 }
 
 // checkSync ends a watch that waits when changes may have been missed, so that
@@ -222,9 +238,9 @@
 // holds mu.
 func (l *leader) checkSync(now clock.Micros) {
 	if _, held := l.elector.HoldsLease(); !held {
-		l.leaseHeldSince = now
-	} else if l.stopWatch != nil && !l.synced() {
-		l.stopWatch()
+		l.feed.leaseHeldSince = now
+	} else if l.feed.stopWatch != nil && !l.synced() {
+		l.feed.stopWatch()
 	}
 	if l.loaded && l.unsyncedTooLong(now) {
 		l.log.Info("the changes of jobs can't be read: giving leadership up")
--- a/engine_test.go
+++ b/engine_test.go
@@ -108,8 +108,8 @@
 	if _, err := l.loadRecords(s.t.Context()); err != nil {
 		s.t.Fatal(err)
 	}
-	l.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
-	l.fleet.SetCatalog(l.catalog)
+	l.autoscaler.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
+	l.fleet.SetCatalog(l.autoscaler.catalog)
 	return l, stop
 }
 
@@ -237,7 +237,7 @@
 		l.pass(s.t.Context())
 		for i := 0; ; i++ {
 			l.mu.Lock()
-			n := len(l.inFlight) + l.openProbes
+			n := len(l.dispatcher.inFlight) + l.detector.openProbes
 			l.mu.Unlock()
 			if n == 0 {
 				break
@@ -330,9 +330,9 @@
 	s.settle(l) // the run is kept back; the token is raised against it
 	heartbeat(t, l, other)
 	l.mu.Lock()
-	allocation := l.jobs["j-1"].tasks[0].allocation
-	l.stopAttempt(l.jobs["j-1"], allocation, l.clock.Now())
-	still := l.jobs["j-1"].tasks[0].allocation == allocation
+	allocation := l.jobs.byUID["j-1"].tasks[0].allocation
+	l.stopAttempt(l.jobs.byUID["j-1"], allocation, l.clock.Now())
+	still := l.jobs.byUID["j-1"].tasks[0].allocation == allocation
 	l.mu.Unlock()
 	if !still {
 		t.Fatal("freed while a run may still arrive")
@@ -697,7 +697,7 @@
 	<-l.wakeups
 	cancel()
 	<-done
-	if l.jobs["j-1"] == nil {
+	if l.jobs.byUID["j-1"] == nil {
 		t.Fatal("job missed")
 	}
 }
@@ -855,7 +855,7 @@
 		heartbeat(t, gb, other)
 	}
 	for range unreachableAfterProbes {
-		l.probesStartedAt = 0
+		l.detector.probesStartedAt = 0
 		l.probeSilentMachines(t.Context())
 		for probing := true; probing; runtime.Gosched() {
 			l.mu.Lock()
@@ -864,7 +864,7 @@
 			l.mu.Unlock()
 		}
 	}
-	l.probesStartedAt = 0
+	l.detector.probesStartedAt = 0
 	l.probeSilentMachines(t.Context())
 	for gone := false; !gone; runtime.Gosched() {
 		l.mu.Lock()
@@ -890,7 +890,7 @@
 	s.settle(ga)
 	w.End("j-1/0", wire.CauseDone)
 	heartbeat(t, ga, w)
-	if n := ga.jobs["j-1"].runTimes.count; n != 1 {
+	if n := ga.jobs.byUID["j-1"].runTimes.count; n != 1 {
 		t.Fatalf("%d runs measured, want the one whose start was seen", n)
 	}
 	s.settle(ga)
@@ -899,7 +899,7 @@
 	heartbeat(t, gb, w)
 	w.End("j-1/1", wire.CauseDone)
 	heartbeat(t, gb, w)
-	if job := gb.jobs["j-1"]; job.done != 2 || job.runTimes.count != 0 {
+	if job := gb.jobs.byUID["j-1"]; job.done != 2 || job.runTimes.count != 0 {
 		t.Errorf("done %d, runs measured %d; want 2 and none", job.done, job.runTimes.count)
 	}
 }
@@ -981,7 +981,7 @@
 	if got := w.Starts(); len(got) != 0 {
 		t.Errorf("started %v of a job that is done", got)
 	}
-	if l.jobs["j-1"] != nil {
+	if l.jobs.byUID["j-1"] != nil {
 		t.Error("the job stays on the leader's books")
 	}
 	s.status(n, "j-1", wire.JobDone)
@@ -997,9 +997,9 @@
 	l.mu.Lock()
 	now := l.clock.Now()
 	l.runPlan(now)
-	job := l.jobs["j-1"]
+	job := l.jobs.byUID["j-1"]
 	l.stopAttempt(job, job.tasks[0].allocation, now) // never sent, so it is gone at once
-	l.jobsChanged = true
+	l.jobs.changed = true
 	l.runPlan(now)
 	if got := l.fleet.Machine("n-1").AllocationCount(); got != 1 {
 		t.Errorf("%d bookings of one task", got)
--- a/failures.go
+++ b/failure_attribution.go
@@ -6,6 +6,15 @@
 	"cedardoor/wire"
 )
 
+// failureAttribution judges whether jobs or machines are at fault for the tasks that fail.
+type failureAttribution struct {
+	byMachine map[*fleet.Machine]*failureCounts // failures since any task was done there
+}
+
+func newFailureAttribution() failureAttribution {
+	return failureAttribution{byMachine: map[*fleet.Machine]*failureCounts{}}
+}
+
 // failureHistory is what a job's own failures tell of it. A task may fail because its
 // machine is sick, or because the job was submitted with a mistake and fails
 // everywhere: one failure looks like the other. Neither the machine nor the job
@@ -67,11 +76,11 @@
 		task.notBefore = now + backoff(task.failures)
 		return
 	}
-	l.changedMachines[machine] = true
-	if l.machineFailures[machine] == nil {
-		l.machineFailures[machine] = &failureCounts{firstAt: now, byJob: map[*Job]int{}}
+	l.planner.changedMachines[machine] = true
+	if l.attribution.byMachine[machine] == nil {
+		l.attribution.byMachine[machine] = &failureCounts{firstAt: now, byJob: map[*Job]int{}}
 	}
-	l.machineFailures[machine].byJob[job]++
+	l.attribution.byMachine[machine].byJob[job]++
 	if history.succeeded {
 		l.quarantineIfFailing(machine, now)
 		return
@@ -81,7 +90,7 @@
 	}
 	if unclear := l.unexplainedFailures(machine); unclear >= 2 && machine.QuarantineReason == "" {
 		machine.SuspendedUntil = now + suspensionTime
-		l.changedMachines[machine] = true
+		l.planner.changedMachines[machine] = true
 	}
 	l.evaluateJob(job, now)
 }
@@ -113,7 +122,7 @@
 // unexplainedFailures counts the jobs that failed on a machine since anything was done on it
 // and that are not known to work elsewhere. The caller holds mu.
 func (l *leader) unexplainedFailures(machine *fleet.Machine) (n int) {
-	if s := l.machineFailures[machine]; s != nil {
+	if s := l.attribution.byMachine[machine]; s != nil {
 		for job := range s.byJob {
 			if !job.failures.succeeded {
 				n++
@@ -128,7 +137,7 @@
 // runs on shows that the tasks were at fault; while there is one that has yet to
 // show it, the machine gets nothing new. The caller holds mu.
 func (l *leader) quarantineIfFailing(machine *fleet.Machine, now clock.Micros) {
-	s, n := l.machineFailures[machine], 0
+	s, n := l.attribution.byMachine[machine], 0
 	if s == nil {
 		return
 	}
@@ -147,10 +156,10 @@
 			lasting, young = lasting || lasts, young || !lasts
 		}
 	})
-	l.changedMachines[machine] = true
+	l.planner.changedMachines[machine] = true
 	switch {
 	case lasting:
-		delete(l.machineFailures, machine)
+		delete(l.attribution.byMachine, machine)
 	case young:
 		machine.SuspendedUntil = max(machine.SuspendedUntil, now+lastingRun+clock.Second)
 	default:
@@ -177,7 +186,7 @@
 	history.nextTrialAt = now + l.trialInterval(history)
 	l.withdrawFailures(job)
 	// Nothing is rented for tasks that fail.
-	l.arrivals.Withdraw(job)
+	l.autoscaler.arrivals.Withdraw(job)
 	l.log.Info("job is bad: its tasks fail wherever they run", "job", job.uid, "machines", len(history.machineFailures))
 }
 
@@ -211,8 +220,8 @@
 		}
 	}
 	if len(job.waiting) > 0 {
-		l.queue[job] = true
-		l.jobsChanged = true
+		l.jobs.waiting[job] = true
+		l.jobs.changed = true
 	}
 }
 
@@ -220,17 +229,17 @@
 func (l *leader) withdrawFailures(job *Job) {
 	for host := range job.failures.machineFailures {
 		machine := l.fleet.Machine(host)
-		if machine == nil || l.machineFailures[machine] == nil {
+		if machine == nil || l.attribution.byMachine[machine] == nil {
 			continue
 		}
-		delete(l.machineFailures[machine].byJob, job)
-		if len(l.machineFailures[machine].byJob) == 0 {
-			delete(l.machineFailures, machine)
-			l.changedMachines[machine] = true
+		delete(l.attribution.byMachine[machine].byJob, job)
+		if len(l.attribution.byMachine[machine].byJob) == 0 {
+			delete(l.attribution.byMachine, machine)
+			l.planner.changedMachines[machine] = true
 		}
 		if machine.SuspendedUntil > 0 && l.unexplainedFailures(machine) < 2 {
 			machine.SuspendedUntil = 0
-			l.changedMachines[machine] = true
+			l.planner.changedMachines[machine] = true
 		}
 	}
 }
--- a/silence.go
+++ b/failure_detector.go
@@ -9,6 +9,27 @@
 	"cedardoor/wire"
 )
 
+// failureDetector finds machines that are silent or that commands do not reach, and tells when
+// the fault is rather this controller's.
+type failureDetector struct {
+	runningSince        clock.Micros // since when this process has not paused
+	pauseCheckedAt      clock.Micros // when that was last looked at
+	lastHeartbeat       clock.Micros // of any worker
+	silenceCheckedAt    clock.Micros
+	probesStartedAt     clock.Micros
+	openProbes          int
+	notAcknowledging    int                     // machines quarantined for that
+	staleReportProbedAt map[string]clock.Micros // machines probed because of an old report, and when
+	unconfirmed         []unconfirmedMachine    // machines that have reported but are not trusted yet, oldest first
+	unreachable         map[*fleet.Machine]bool // silent machines that answered no probe
+	awaited             map[*fleet.Machine]bool // recorded by a predecessor, and silent since
+}
+
+func newFailureDetector(since clock.Micros) failureDetector {
+	return failureDetector{runningSince: since, staleReportProbedAt: map[string]clock.Micros{},
+		unreachable: map[*fleet.Machine]bool{}, awaited: map[*fleet.Machine]bool{}}
+}
+
 // probeTimeout is how long a worker may take to answer a question.
 const probeTimeout = 700 * clock.Millisecond
 
@@ -39,12 +60,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	if l.pauseCheckedAt > 0 && now-l.pauseCheckedAt > pauseThreshold {
-		l.log.Info("this process stood still: silence is counted anew", "seconds", (now - l.pauseCheckedAt).Seconds())
-		l.runningSince = now
-		l.processPauses++
+	if l.detector.pauseCheckedAt > 0 && now-l.detector.pauseCheckedAt > pauseThreshold {
+		l.log.Info("this process stood still: silence is counted anew", "seconds", (now - l.detector.pauseCheckedAt).Seconds())
+		l.detector.runningSince = now
+		l.feed.processPauses++
 	}
-	l.pauseCheckedAt = now
+	l.detector.pauseCheckedAt = now
 	l.checkSync(now)
 }
 
@@ -58,10 +79,10 @@
 	report := clock.FromSeconds(l.cfg.Facts.Workers.ReportS)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now-l.probesStartedAt < passInterval || now-l.runningSince < 2*report {
+	if now-l.detector.probesStartedAt < passInterval || now-l.detector.runningSince < 2*report {
 		return
 	}
-	l.probesStartedAt = now
+	l.detector.probesStartedAt = now
 	if _, may := l.elector.HoldsLease(); !may || !l.operator.Fleet.Enabled {
 		return
 	}
@@ -75,15 +96,15 @@
 	// would wait out a whole lease anew. Machines that boot hold nothing and are
 	// not silent; counting them once kept a hung one from being returned.
 	if now-l.term.Since > 2*report+2*clock.Second {
-		for machine := range l.awaitedMachines {
+		for machine := range l.detector.awaited {
 			if machine.Reported || machine.AllocationCount() == 0 || l.fleet.Machine(machine.Name) != machine {
-				delete(l.awaitedMachines, machine)
+				delete(l.detector.awaited, machine)
 			} else if machine.Endpoint != "" && !machine.Returning && !machine.LeaseExpired(now) {
 				silent = append(silent, machine)
 			}
 		}
 	}
-	if l.plausible(len(silent)) && now-l.lastHeartbeat < report {
+	if l.plausible(len(silent)) && now-l.detector.lastHeartbeat < report {
 		for _, machine := range silent {
 			if l.hasReplica(machine) {
 				l.startProbe(machine)
@@ -91,12 +112,12 @@
 		}
 		l.returnUnreachable(ctx, silent)
 	}
-	if l.notAcknowledging > 0 && l.plausible(l.notAcknowledging) {
+	if l.detector.notAcknowledging > 0 && l.plausible(l.detector.notAcknowledging) {
 		var names []string
 		for name, pm := range l.notAcknowledgingMachines() {
 			if !pm.Returning && len(names) < wire.MaxReturnPerRequest {
 				pm.Returning = true
-				l.changedMachines[pm] = true
+				l.planner.changedMachines[pm] = true
 				names = append(names, name)
 			}
 		}
@@ -112,7 +133,7 @@
 // replicas run on until their leases end, and new machines take longer to boot
 // than that. The caller holds mu.
 func (l *leader) returnUnreachable(ctx context.Context, silent []*fleet.Machine) {
-	if len(l.unreachable) == 0 {
+	if len(l.detector.unreachable) == 0 {
 		return
 	}
 	quiet, all := map[string]int{}, map[string]int{}
@@ -120,21 +141,21 @@
 		quiet[machine.Zone]++
 	}
 	l.fleet.EachMachine(func(machine *fleet.Machine) {
-		if machine.Reported || l.awaitedMachines[machine] {
+		if machine.Reported || l.detector.awaited[machine] {
 			all[machine.Zone]++
 		}
 	})
 	cut := unreachableZones(quiet, all)
 	var names []string
-	for machine := range l.unreachable {
+	for machine := range l.detector.unreachable {
 		switch {
 		case l.fleet.Machine(machine.Name) != machine || machine.Returning || machine.UnansweredProbes < unreachableAfterProbes || !l.hasReplica(machine):
-			delete(l.unreachable, machine)
+			delete(l.detector.unreachable, machine)
 		case cut[machine.Zone] && machine.Reported:
 		case len(names) < wire.MaxReturnPerRequest:
 			machine.Returning = true
-			l.changedMachines[machine] = true
-			delete(l.unreachable, machine)
+			l.planner.changedMachines[machine] = true
+			delete(l.detector.unreachable, machine)
 			names = append(names, machine.Name)
 		}
 	}
@@ -180,9 +201,9 @@
 // confirmMachines asks the workers that have not shown the token they were told. The
 // caller holds mu.
 func (l *leader) confirmMachines(now clock.Micros) {
-	for len(l.unconfirmed) > 0 && now-l.unconfirmed[0].at >= confirmAfter && l.openProbes < l.budget.Questions {
-		machine := l.unconfirmed[0].machine
-		l.unconfirmed = l.unconfirmed[1:]
+	for len(l.detector.unconfirmed) > 0 && now-l.detector.unconfirmed[0].at >= confirmAfter && l.detector.openProbes < l.budget.Questions {
+		machine := l.detector.unconfirmed[0].machine
+		l.detector.unconfirmed = l.detector.unconfirmed[1:]
 		if !machine.Reported && l.fleet.Machine(machine.Name) == machine {
 			l.startProbe(machine)
 		}
@@ -193,23 +214,23 @@
 // then: only its answer tells a late copy from a new process that counts from
 // the start again. The caller holds mu.
 func (l *leader) probeStaleReporter(machine *fleet.Machine, now clock.Micros) {
-	if at, asked := l.staleReportProbedAt[machine.Name]; asked && now-at < clock.FromSeconds(l.cfg.Facts.Workers.ReportS) {
+	if at, asked := l.detector.staleReportProbedAt[machine.Name]; asked && now-at < clock.FromSeconds(l.cfg.Facts.Workers.ReportS) {
 		return
 	}
-	if len(l.staleReportProbedAt) > 4096 {
-		clear(l.staleReportProbedAt)
+	if len(l.detector.staleReportProbedAt) > 4096 {
+		clear(l.detector.staleReportProbedAt)
 	}
-	l.staleReportProbedAt[machine.Name] = now
+	l.detector.staleReportProbedAt[machine.Name] = now
 	l.startProbe(machine)
 }
 
 // startProbe asks a worker for its report. The caller holds mu.
 func (l *leader) startProbe(machine *fleet.Machine) {
-	if machine.Probing || machine.Endpoint == "" || machine.Returning || l.openProbes >= l.budget.Questions || l.ctx == nil {
+	if machine.Probing || machine.Endpoint == "" || machine.Returning || l.detector.openProbes >= l.budget.Questions || l.ctx == nil {
 		return
 	}
 	machine.Probing = true
-	l.openProbes++
+	l.detector.openProbes++
 	l.log.Debug("worker is asked for its report", "host", machine.Name, "silent", (l.clock.Now() - machine.LastHeartbeat).Seconds(), "mute", machine.UnansweredProbes)
 	go l.probe(l.ctx, machine, machine.Endpoint, machine.ReportVersion())
 }
@@ -222,20 +243,20 @@
 	report := clock.FromSeconds(l.cfg.Facts.Workers.ReportS)
 	l.mu.Lock()
 	machine.Probing = false
-	l.openProbes--
+	l.detector.openProbes--
 	switch {
 	case ctx.Err() != nil || l.fleet.Machine(machine.Name) != machine:
 	case err == nil && rep.Machine == machine.Name:
 		l.applyEvents(l.fleet.ProbeAnswered(now, known, rep), now)
 		l.adoptReported(machine, now)
 		if machine.Restarted() {
-			l.urgentMachines[machine] = true
+			l.dispatcher.urgentMachines[machine] = true
 		}
 	case now-machine.LastHeartbeat < report && !machine.Suspect, !machine.Reported && !machine.Suspect && now-machine.AnsweredAt < report:
 		// It reports, trusted or not yet: only this question was lost.
 	default:
 		if machine.UnansweredProbes++; machine.UnansweredProbes >= unreachableAfterProbes {
-			l.unreachable[machine] = true
+			l.detector.unreachable[machine] = true
 		}
 	}
 	l.mu.Unlock()
@@ -254,7 +275,7 @@
 // maxSilence is how long no heartbeat may come before the leader gives up. A new
 // leader waits longer, since its workers have yet to find it. The caller holds mu.
 func (l *leader) maxSilence(report clock.Micros) clock.Micros {
-	if l.fleet.ReportingCount() >= reliableReporters && l.lastHeartbeat > max(l.term.Since, l.runningSince) {
+	if l.fleet.ReportingCount() >= reliableReporters && l.detector.lastHeartbeat > max(l.term.Since, l.detector.runningSince) {
 		return report + report/4 + 2*clock.Second
 	}
 	return isolationReports*report + clock.Second
@@ -265,10 +286,10 @@
 // to give the lead up. The caller holds mu.
 func (l *leader) isolatedFromWorkers(now clock.Micros) bool {
 	report := clock.FromSeconds(l.cfg.Facts.Workers.ReportS)
-	quiet := now - max(l.lastHeartbeat, l.term.Since, l.runningSince)
+	quiet := now - max(l.detector.lastHeartbeat, l.term.Since, l.detector.runningSince)
 	switch n := l.fleet.ReportingCount(); {
 	case n == 0:
-		return len(l.awaitedMachines) >= 2 && quiet > report // nor did any find this new leader
+		return len(l.detector.awaited) >= 2 && quiet > report // nor did any find this new leader
 	case n >= reliableReporters:
 		return quiet > report+report/4
 	default:
@@ -283,16 +304,16 @@
 	now := l.clock.Now()
 	report := clock.FromSeconds(l.cfg.Facts.Workers.ReportS)
 	l.mu.Lock()
-	silent := l.fleet.Len() >= 2 && now-max(l.lastHeartbeat, l.term.Since, l.runningSince) > l.maxSilence(report)
-	unheard := l.notAcknowledging >= 3 && 2*l.notAcknowledging > l.fleet.Len()
+	silent := l.fleet.Len() >= 2 && now-max(l.detector.lastHeartbeat, l.term.Since, l.detector.runningSince) > l.maxSilence(report)
+	unheard := l.detector.notAcknowledging >= 3 && 2*l.detector.notAcknowledging > l.fleet.Len()
 	silent = silent && l.expectedReporters() >= 2
-	unfound := l.lastHeartbeat <= l.term.Since && now-l.term.Since < l.maxReportDelay()
+	unfound := l.detector.lastHeartbeat <= l.term.Since && now-l.term.Since < l.maxReportDelay()
 	l.mu.Unlock()
-	if silent && !unheard && unfound && l.checkIsolated(ctx) {
+	if silent && !unheard && unfound && l.reconciliation.checkIsolated(ctx) {
 		return // workers may still try the controllers that are down
 	}
 	if silent || unheard {
-		l.log.Info("no worker is heard, or none hears: giving leadership up", "deaf", l.notAcknowledging)
+		l.log.Info("no worker is heard, or none hears: giving leadership up", "deaf", l.detector.notAcknowledging)
 		l.elector.Resign()
 	}
 }
@@ -306,3 +327,16 @@
 	})
 	return n
 }
+
+// markUnresponsive finds the machines that have fallen silent, now and then: nothing is
+// placed on them. The caller holds mu.
+func (l *leader) markUnresponsive(now clock.Micros) {
+	report := clock.FromSeconds(l.cfg.Facts.Workers.ReportS)
+	if now-l.detector.silenceCheckedAt < passInterval || now-l.detector.runningSince < 2*report {
+		return
+	}
+	l.detector.silenceCheckedAt = now
+	for _, machine := range l.fleet.SilentMachines(now, 2*report) {
+		l.fleet.MarkUnresponsive(machine)
+	}
+}
--- a/failures_test.go
+++ b/failures_test.go
@@ -126,14 +126,14 @@
 	s.pass(l, ws, 90)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.jobs["j-1"].failures.failing {
-		t.Fatalf("not found bad: %+v", l.jobs["j-1"].failures)
+	if !l.jobs.byUID["j-1"].failures.failing {
+		t.Fatalf("not found bad: %+v", l.jobs.byUID["j-1"].failures)
 	}
 	if need := l.demand(l.clock.Now()); need.Preemptible.Cores > 0 || need.Urgent.Cores > 0 {
 		t.Errorf("needed for a bad job: %+v", need)
 	}
-	if len(l.reservedRoom) > 0 {
-		t.Errorf("room is kept for a bad job: %v", l.reservedRoom)
+	if len(l.planner.reservedRoom) > 0 {
+		t.Errorf("room is kept for a bad job: %v", l.planner.reservedRoom)
 	}
 }
 
@@ -178,7 +178,7 @@
 	if got := banned(l, ws); len(got) > 0 {
 		t.Errorf("banned: %v", got)
 	}
-	if job := l.jobs["j-1"]; job.done != 34 || job.failures.failing {
+	if job := l.jobs.byUID["j-1"]; job.done != 34 || job.failures.failing {
 		t.Errorf("%d tasks done, bad %t; want 34 and not bad", job.done, job.failures.failing)
 	}
 	if tries := startsOf(ws, "j-1"); tries > 34+6*9 {
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -349,8 +349,8 @@
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if len(l.finalMoves)+len(l.jobs)+len(l.dirty)+len(l.staleShared) != 0 {
-			t.Errorf("%d tasks a job: %d moves, %d jobs, %d changes and %d records are left", pieces, len(l.finalMoves), len(l.jobs), len(l.dirty), len(l.staleShared))
+		if len(l.writer.finalMoves)+len(l.jobs.byUID)+len(l.writer.dirty)+len(l.writer.staleShared) != 0 {
+			t.Errorf("%d tasks a job: %d moves, %d jobs, %d changes and %d records are left", pieces, len(l.writer.finalMoves), len(l.jobs.byUID), len(l.writer.dirty), len(l.writer.staleShared))
 		}
 		if left := s.state.Keys(store.PrefixJob); len(left) != 0 {
 			t.Errorf("jobs that have not moved: %v", left)
@@ -378,7 +378,7 @@
 	s.submit(n, spec("j-1", nil))
 	s.resync(l)
 	l.mu.Lock()
-	l.tokenRaisedAt = l.clock.Now() // no raise yet
+	l.dispatcher.tokenRaisedAt = l.clock.Now() // no raise yet
 	l.mu.Unlock()
 	s.settle(l) // the run is held back and in doubt
 	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
@@ -550,8 +550,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				l.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
-				l.fleet.SetCatalog(l.catalog)
+				l.autoscaler.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
+				l.fleet.SetCatalog(l.autoscaler.catalog)
 				if cancelled == (moment == "watch") {
 					t.Fatalf("cancelled by the end of the load: %t", cancelled)
 				}
@@ -569,7 +569,7 @@
 				go func() { defer close(watching); l.watchJobs(ctx, epoch) }()
 				for known := false; !known; runtime.Gosched() {
 					l.mu.Lock()
-					job := l.jobs["j-2"]
+					job := l.jobs.byUID["j-2"]
 					known = job == nil || job.cancelled
 					l.mu.Unlock()
 				}
@@ -790,7 +790,7 @@
 		s.state.Value(k, &rec)
 		rows += len(rec.Rows)
 	}
-	return map[string]int{"jobs": len(l.jobs), "dirty": len(l.dirty), "lazy": len(l.pendingResults), "queue": len(l.queue), "untidy": len(l.staleShared), "finalMoves": len(l.finalMoves),
+	return map[string]int{"jobs": len(l.jobs.byUID), "dirty": len(l.writer.dirty), "lazy": len(l.writer.pendingResults), "queue": len(l.jobs.waiting), "untidy": len(l.writer.staleShared), "finalMoves": len(l.writer.finalMoves),
 		"bookings": bookings, "unfinished jobs": len(s.state.Keys(store.PrefixJob)), "shared records": len(s.state.Keys(store.PrefixShared)),
 		"rows": rows, "records": len(s.state.Keys(store.PrefixAttempts))}
 }
@@ -959,7 +959,7 @@
 		w.End("j-4/0", wire.CauseDone)
 		heartbeat(t, l, w)
 		l.mu.Lock()
-		l.dirty["j-4"] = true // need not wait for others' results
+		l.writer.dirty["j-4"] = true // need not wait for others' results
 		l.mu.Unlock()
 		drain()
 		cancel()
--- a/model_test.go
+++ b/model_test.go
@@ -1366,10 +1366,10 @@
 	defer l.mu.Unlock()
 	sp, _ := w.Job(uid)
 	text := fmt.Sprintf("%+v; leader %s; ", sp, p.name)
-	if job := l.jobs[uid]; job == nil {
+	if job := l.jobs.byUID[uid]; job == nil {
 		text += "job unknown; "
 	} else {
-		text += fmt.Sprintf("waiting %v of %d queued jobs; ", job.waiting, len(l.queue))
+		text += fmt.Sprintf("waiting %v of %d queued jobs; ", job.waiting, len(l.jobs.waiting))
 	}
 	rec, token := store.TokenRecord{}, uint64(0)
 	w.state.Value(store.KeyToken, &rec)
--- a/picture.go
+++ b/planner_input.go
@@ -6,11 +6,31 @@
 	"slices"
 
 	"cedardoor/clock"
+	"cedardoor/config"
 	"cedardoor/fleet"
 	"cedardoor/plan"
 	"cedardoor/quota"
 )
 
+// plannerInput is the snapshot of the cluster that plans are made from, and what paces them.
+type plannerInput struct {
+	snapshot         *plan.Snapshot          // kept up to date from changedMachines
+	changedMachines  map[*fleet.Machine]bool // machines that the snapshot is behind on
+	reservedRoom     map[string]string       // machines whose room is kept for a job
+	bestEffortTokens float64                 // tasks of the lowest priority that may be started
+	bestEffortAt     clock.Micros            // when that was counted
+	entitledAt       clock.Micros            // when jobs were last set against their teams' guarantees
+	plannedAt        clock.Micros            // the last plan
+	repairAt         clock.Micros            // the next repair round
+	noRoomLoggedAt   clock.Micros            // when a lack of room was last logged
+}
+
+func newPlannerInput(operator *config.Operator, ledger *quota.Ledger) plannerInput {
+	return plannerInput{changedMachines: map[*fleet.Machine]bool{}, reservedRoom: map[string]string{},
+		snapshot: &plan.Snapshot{Quota: ledger, MaxMoves: operator.Repair.Restarts, SampleSize: operator.Plan.Sample, Preempt: true,
+			StarvedTurns: plan.MaxStarvedTurns}}
+}
+
 // usable tells whether a machine may be given tasks.
 func (l *leader) usable(machine *fleet.Machine, now clock.Micros) bool {
 	return machine.Reported && !machine.Suspect && !machine.Unresponsive && machine.RunningOrphans() == 0 && machine.Cores > 0 && !machine.LeaseExpired(now) && !machine.Returning && machine.PreemptionAt == 0 && machine.SuspendedUntil <= now
@@ -21,7 +41,7 @@
 func (l *leader) evaluateMachine(machine *fleet.Machine) {
 	if machine.QuarantineReason == quarantineNotAcknowledging && !machine.NotAcknowledging() {
 		machine.QuarantineReason = ""
-		l.notAcknowledging--
+		l.detector.notAcknowledging--
 		l.log.Info("machine hears again", "host", machine.Name)
 	}
 	switch {
@@ -35,7 +55,7 @@
 	}
 	if machine.NotAcknowledging() && machine.QuarantineReason == "" {
 		machine.QuarantineReason = quarantineNotAcknowledging
-		l.notAcknowledging++
+		l.detector.notAcknowledging++
 		l.log.Info("machine is deaf: it reports, but nothing told to it takes effect", "host", machine.Name)
 	}
 }
@@ -48,18 +68,18 @@
 
 // refreshMachine brings the picture up to date with a machine. The caller holds mu.
 func (l *leader) refreshMachine(machine *fleet.Machine, now clock.Micros) (again bool) {
-	planMachine := l.snapshot.Machine(machine.Name)
+	planMachine := l.planner.snapshot.Machine(machine.Name)
 	if l.fleet.Machine(machine.Name) != machine {
 		if machine.QuarantineReason == quarantineNotAcknowledging {
-			l.notAcknowledging--
+			l.detector.notAcknowledging--
 			machine.QuarantineReason = ""
 		}
 		if l.fleet.Machine(machine.Name) == nil && planMachine != nil {
-			l.snapshot.Remove(machine.Name)
+			l.planner.snapshot.Remove(machine.Name)
 		}
-		delete(l.urgentMachines, machine)
-		delete(l.awaitedMachines, machine)
-		delete(l.machineFailures, machine)
+		delete(l.dispatcher.urgentMachines, machine)
+		delete(l.detector.awaited, machine)
+		delete(l.attribution.byMachine, machine)
 		return false
 	}
 	if machine.SuspendedUntil > 0 && machine.SuspendedUntil <= now {
@@ -72,7 +92,7 @@
 	}
 	c, a, r := machine.Free()
 	planMachine.Type, planMachine.Zone, planMachine.Preemptible, planMachine.Cores, planMachine.Accelerators, planMachine.RAM = machine.Type, machine.Zone, machine.Preemptible, c, a, r
-	planMachine.Usable, planMachine.QuarantineReason, planMachine.Cordoned, planMachine.ReservedFor = l.usable(machine, now), machine.QuarantineReason, machine.Cordoned, l.reservedRoom[machine.Name]
+	planMachine.Usable, planMachine.QuarantineReason, planMachine.Cordoned, planMachine.ReservedFor = l.usable(machine, now), machine.QuarantineReason, machine.Cordoned, l.planner.reservedRoom[machine.Name]
 	if b, known := l.fleet.MachineType(machine.Type); known {
 		planMachine.FetchGBs = b.FetchGBs
 	}
@@ -87,7 +107,7 @@
 			planMachine.Images[b] = plan.ImageHeld
 		}
 	}
-	planMachine.HasFailures = l.machineFailures[machine] != nil
+	planMachine.HasFailures = l.attribution.byMachine[machine] != nil
 	again = machine.SuspendedUntil > now // looked at again when that is over
 	planMachine.StoppingCores, planMachine.StoppingAccelerators, planMachine.StoppingRAM = 0, 0, 0
 	planMachine.Victims = planMachine.Victims[:0]
@@ -117,7 +137,7 @@
 		// Least progress first: not begun, then begun last. Replicas come after all else.
 		return cmp.Or(compareBool(a.Replica, b.Replica), cmp.Compare(a.Priority, b.Priority), cmp.Compare(zeroLast(b.RunningSince), zeroLast(a.RunningSince)))
 	})
-	l.snapshot.Put(planMachine)
+	l.planner.snapshot.Put(planMachine)
 	return again
 }
 
@@ -145,15 +165,17 @@
 
 // avoidsStruck tells whether jobs on trial keep away from machines on which
 // anything has failed: not where that is most of them. The caller holds mu.
-func (l *leader) avoidsStruck() bool { return 2*len(l.machineFailures) < l.fleet.ReportingCount() }
+func (l *leader) avoidsStruck() bool {
+	return 2*len(l.attribution.byMachine) < l.fleet.ReportingCount()
+}
 
 // planInput readies the picture for a plan: it lists the tasks that wait. The
 // caller holds mu.
 func (l *leader) planInput(now clock.Micros, round bool) *plan.Snapshot {
-	p := l.snapshot
-	l.writeSequence++
-	p.Seed, p.Now = l.writeSequence, now
-	p.MaxMoves = max(l.operator.Repair.Restarts, int(float64(l.replicas)*l.operator.Repair.Share))
+	p := l.planner.snapshot
+	l.writer.sequence++
+	p.Seed, p.Now = l.writer.sequence, now
+	p.MaxMoves = max(l.operator.Repair.Restarts, int(float64(l.jobs.replicas)*l.operator.Repair.Share))
 	p.Waiting, p.Candidates = p.Waiting[:0], p.Candidates[:0]
 	p.AvoidFailures = l.avoidsStruck()
 	l.markEntitled(now)
@@ -161,10 +183,10 @@
 	const perPass = 400 // tasks of one job offered to one pass
 	low := l.bestEffortAllowance(now)
 	unbooked := l.fleet.HasOrphans()
-	for job := range l.queue {
+	for job := range l.jobs.waiting {
 		job.pruneWaiting()
 		if job.cancelled || len(job.waiting) == 0 {
-			delete(l.queue, job)
+			delete(l.jobs.waiting, job)
 			continue
 		}
 		if job.cancellationPending {
@@ -223,9 +245,9 @@
 
 // bestEffortAllowance is how many of them may be started now. The caller holds mu.
 func (l *leader) bestEffortAllowance(now clock.Micros) int {
-	l.bestEffortTokens = min(l.bestEffortRate(), l.bestEffortTokens+l.bestEffortRate()*(now-l.bestEffortAt).Seconds())
-	l.bestEffortAt = now
-	return int(l.bestEffortTokens)
+	l.planner.bestEffortTokens = min(l.bestEffortRate(), l.planner.bestEffortTokens+l.bestEffortRate()*(now-l.planner.bestEffortAt).Seconds())
+	l.planner.bestEffortAt = now
+	return int(l.planner.bestEffortTokens)
 }
 
 // slackAt is the time left in which the job's tasks must start to meet its
@@ -252,10 +274,10 @@
 // markEntitled marks the jobs that fit into their team's guarantee together with
 // the team's earlier ones, where there are guarantees at all, once a second.
 func (l *leader) markEntitled(now clock.Micros) {
-	if !l.quota.Guarantees() || now-l.entitledAt < clock.Second && !l.jobsChanged {
+	if !l.quota.Guarantees() || now-l.planner.entitledAt < clock.Second && !l.jobs.changed {
 		return
 	}
-	l.entitledAt = now
+	l.planner.entitledAt = now
 	var jobs []*Job
 	var demands []quota.Demand
 	for _, job := range l.sortedJobs() {
@@ -291,7 +313,7 @@
 	sharing := 4 * max(1, p.MaxMoves)
 	machines := l.fleet.Machines()
 	if len(machines) > 0 {
-		at := int(l.writeSequence*97) % len(machines)
+		at := int(l.writer.sequence*97) % len(machines)
 		machines = slices.Concat(machines[at:], machines[:at])
 	}
 	for _, machine := range machines {
--- a/quota_test.go
+++ b/quota_test.go
@@ -196,8 +196,8 @@
 	s.resync(l)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if use := l.quota.Usage("team"); use.Total != (quota.Amount{}) || len(l.jobs) > 0 || len(s.state.Keys(store.PrefixJob)) > 0 {
-		t.Errorf("%+v in use, %d jobs", use, len(l.jobs))
+	if use := l.quota.Usage("team"); use.Total != (quota.Amount{}) || len(l.jobs.byUID) > 0 || len(s.state.Keys(store.PrefixJob)) > 0 {
+		t.Errorf("%+v in use, %d jobs", use, len(l.jobs.byUID))
 	}
 	if got := fmt.Sprint(l.quota.Teams()); got != "[team]" {
 		t.Errorf("teams %s", got)
--- a/recover.go
+++ b/reconciliation.go
@@ -14,8 +14,9 @@
 	"cedardoor/wire"
 )
 
-// recoveryState is what a leader keeps of its recovery. The leader's lock guards it.
-type recoveryState struct {
+// reconciliation is how far records and heartbeats have been brought into one view, and what of
+// the records can't be used.
+type reconciliation struct {
 	checkIsolated func(ctx context.Context) bool // tells whether no other controller answers
 	readRecords   func(ctx context.Context, source recovery.Source) (*recovery.Records, error)
 	isolated      bool // no other controller answered lately
@@ -25,13 +26,13 @@
 	// unusable are jobs whose record could not be read, or was missing beside attempts of it.
 	unusable map[string]bool
 	// unreadable are the jobs with tasks whose record can't be decoded, unreadableShared the
-	// shared records among these, and horizon by when every lease that a predecessor may
-	// have renewed is over.
-	unreadable           map[*Job]bool
-	unreadableShared     []*SharedRecord
+	// shared records among these.
+	unreadable       map[*Job]bool
+	unreadableShared []*SharedRecord
+	// predecessorLeasesEnd is when every lease that a predecessor may have renewed is over.
 	predecessorLeasesEnd clock.Micros
-	// jobLookups is what was read of jobs that workers show tasks of and that are not on the
-	// books, and wanted those that are to be read.
+	// jobLookups is what was read of jobs that workers report tasks of and that the leader does
+	// not know, and wantedLookups those that are to be read.
 	jobLookups    map[string]lookup
 	wantedLookups map[string]bool
 	lookupWakeups chan struct{}
@@ -40,8 +41,8 @@
 // progressLog tells which lines on the recovery the log has already.
 type progressLog struct{ mostly, ended bool }
 
-func newRecoveryState(since clock.Micros) recoveryState {
-	return recoveryState{progress: recovery.NewProgress(since), unusable: map[string]bool{}, unreadable: map[*Job]bool{}, jobLookups: map[string]lookup{},
+func newReconciliation(since clock.Micros) reconciliation {
+	return reconciliation{progress: recovery.NewProgress(since), unusable: map[string]bool{}, unreadable: map[*Job]bool{}, jobLookups: map[string]lookup{},
 		wantedLookups: map[string]bool{}, lookupWakeups: make(chan struct{}, 1)}
 }
 
@@ -51,23 +52,23 @@
 func (l *leader) loadRecords(ctx context.Context) (epoch uint64, err error) {
 	began, spell := l.clock.Now(), l.interruptions()
 	_, held := l.elector.HoldsLease()
-	records, err := l.readRecords(ctx, l.store)
+	records, err := l.reconciliation.readRecords(ctx, l.store)
 	if err != nil {
 		return 0, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	l.predecessorLeasesEnd = now + l.predecessorsLease()
+	l.reconciliation.predecessorLeasesEnd = now + l.predecessorsLease()
 	l.recordDamage(records.Damaged)
 	for uid, state := range records.States {
 		if state == recovery.JobUnreadable || state == recovery.JobUnrecorded {
-			l.unusable[uid] = true
+			l.reconciliation.unusable[uid] = true
 		}
 	}
 	l.loadFleetRecords(records)
 	for _, settled := range records.Settled {
-		l.finalMoves = append(l.finalMoves, &finalMove{uid: settled.UID, modRevision: settled.Stamp, record: settled.Record})
+		l.writer.finalMoves = append(l.writer.finalMoves, &finalMove{uid: settled.UID, modRevision: settled.Stamp, record: settled.Record})
 	}
 	for _, row := range records.Jobs {
 		l.addRecord(row.Record, row.Stamp, now)
@@ -83,16 +84,16 @@
 			l.loadUnreadableShared(shared)
 		}
 	}
-	for _, job := range l.jobs {
+	for _, job := range l.jobs.byUID {
 		// The predecessor's rate holds the work of the jobs found here.
 		job.arrivalCounted = records.Demand != nil
 		l.prepareJob(job)
 	}
 	l.loaded = true
-	l.progress.Loaded(now)
+	l.reconciliation.progress.Loaded(now)
 	l.changesRead(records.Epoch, began, spell, held)
 	l.log.Info("records loaded", "jobs", len(records.Jobs)+len(records.Settled), "chunks", len(records.Chunks), "epoch", records.Epoch,
-		"machines", l.progress.Machines(), "damaged", len(records.Damaged), "took_s", (l.clock.Now() - began).Seconds())
+		"machines", l.reconciliation.progress.Machines(), "damaged", len(records.Damaged), "took_s", (l.clock.Now() - began).Seconds())
 	return records.Epoch, nil
 }
 
@@ -106,29 +107,29 @@
 // loadFleetRecords takes in the machine types and the rate of work. The caller holds mu.
 func (l *leader) loadFleetRecords(records *recovery.Records) {
 	if demand := records.Demand; demand != nil {
-		l.predecessorRate = cloud.Load{Cores: demand.Cores, RAM: demand.RAM, Accelerators: demand.Accelerators}
+		l.autoscaler.predecessorRate = cloud.Load{Cores: demand.Cores, RAM: demand.RAM, Accelerators: demand.Accelerators}
 		for class, v := range demand.Classes {
 			if v[0] > 0 && v[1] > 0 {
-				l.classRuns[class] = runTimeStat{count: int(v[0]), total: clock.Micros(v[1])}
+				l.autoscaler.classRuns[class] = runTimeStat{count: int(v[0]), total: clock.Micros(v[1])}
 			}
 		}
 	}
 	if records.Catalog != nil {
-		l.catalog, l.catalogRevision = records.Catalog.Catalog, records.Catalog.Stamp
-		l.fleet.SetCatalog(l.catalog)
+		l.autoscaler.catalog, l.autoscaler.catalogRevision = records.Catalog.Catalog, records.Catalog.Stamp
+		l.fleet.SetCatalog(l.autoscaler.catalog)
 	}
 }
 
 // finishedJob gives a job that is over while some of its tasks may be on machines. The caller holds mu.
 func (l *leader) finishedJob(records *recovery.Records, uid string) *Job {
-	job := l.jobs[uid]
+	job := l.jobs.byUID[uid]
 	if job == nil {
 		over := records.Over[uid]
 		job = &Job{uid: uid, spec: remainingSpec(uid, &over), cancelled: true}
 		job.planJob = l.newPlanJob(job)
-		l.jobs[uid] = job
+		l.jobs.byUID[uid] = job
 	}
-	l.dirty[uid] = true
+	l.writer.dirty[uid] = true
 	return job
 }
 
@@ -137,7 +138,7 @@
 	var job *Job
 	switch records.States[row.UID] {
 	case recovery.JobActive:
-		job = l.jobs[row.UID]
+		job = l.jobs.byUID[row.UID]
 	case recovery.JobOver:
 		job = l.finishedJob(records, row.UID)
 		for len(job.tasks) < (row.Number+1)*store.TasksPerChunk {
@@ -187,13 +188,13 @@
 	shared := &SharedRecord{key: row.Key, jobCount: store.JobsPerSharedRecord}
 	shared.modRevision = row.Stamp
 	for _, r := range row.Record.Rows {
-		job := l.jobs[r.UID]
+		job := l.jobs.byUID[r.UID]
 		// A job that is done has ended wherever it was.
 		if job == nil && records.States[r.UID] == recovery.JobOver && r.Machine != "" && records.Over[r.UID].Status != wire.JobDone {
 			job = l.finishedJob(records, r.UID)
 			job.tasks = make([]Task, 1)
 		}
-		if l.unusable[r.UID] {
+		if l.reconciliation.unusable[r.UID] {
 			shared.keptRows = append(shared.keptRows, r)
 			continue
 		}
@@ -207,7 +208,7 @@
 	}
 	if shared.version > 0 || len(shared.jobs)+len(shared.keptRows) == 0 {
 		shared.version++
-		l.staleShared[shared] = true
+		l.writer.staleShared[shared] = true
 	}
 }
 
@@ -217,8 +218,8 @@
 	shared := &SharedRecord{key: row.Key, jobCount: store.JobsPerSharedRecord}
 	shared.modRevision = row.Stamp
 	shared.version++
-	l.unreadableShared = append(l.unreadableShared, shared)
-	for _, job := range l.jobs {
+	l.reconciliation.unreadableShared = append(l.reconciliation.unreadableShared, shared)
+	for _, job := range l.jobs.byUID {
 		if !job.cancelled && job.sharesRecord() && job.shared == nil && job.chunks[0].modRevision == 0 && !job.tasks[0].hasRun {
 			l.markUnreadable(job, 0, row.Stamp)
 		}
@@ -231,7 +232,7 @@
 		return
 	}
 	job.waiting = job.waiting[:0]
-	delete(l.queue, job)
+	delete(l.jobs.waiting, job)
 	for i := range job.tasks {
 		job.tasks[i].queued = false
 		if job.tasks[i].state == taskWaiting {
@@ -239,7 +240,7 @@
 		}
 	}
 	if job.done == len(job.tasks) {
-		l.dirty[job.uid] = true
+		l.writer.dirty[job.uid] = true
 	}
 	// What a predecessor knew of a job that fails everywhere went with it: one all
 	// of whose attempts are over without any result is tried with one task first.
@@ -256,9 +257,9 @@
 		return
 	}
 	machine := l.fleet.Ensure(p.Machine, now)
-	l.awaitedMachines[machine] = true
+	l.detector.awaited[machine] = true
 	machine.LeaseEnd = max(machine.LeaseEnd, now+l.predecessorsLease())
-	l.progress.Await(machine.Name, machine.LeaseEnd)
+	l.reconciliation.progress.Await(machine.Name, machine.LeaseEnd)
 	allocation := l.newAllocation(job, index, p.Attempt)
 	allocation.Incarnation = p.Incarnation
 	l.fleet.Adopt(machine, allocation, now)
@@ -291,7 +292,7 @@
 	job.started = true
 	job.planJob.Count("", "", 1)
 	job.chunkOf(index).unreadable++
-	l.unreadable[job] = true
+	l.reconciliation.unreadable[job] = true
 }
 
 // resolveUnreadable notes that it is known what has become of such a task. The caller holds mu.
@@ -311,7 +312,7 @@
 // decoded. A report may be an old copy, so only one of a machine that has shown this leader's
 // token counts. The caller holds mu.
 func (l *leader) adoptReported(machine *fleet.Machine, now clock.Micros) {
-	if len(l.unreadable) == 0 || !machine.Reported || machine.Suspect {
+	if len(l.reconciliation.unreadable) == 0 || !machine.Reported || machine.Suspect {
 		return
 	}
 	type shown struct {
@@ -325,7 +326,7 @@
 		}
 	})
 	for _, s := range found {
-		job := l.jobs[s.task.Job]
+		job := l.jobs.byUID[s.task.Job]
 		task := &job.tasks[s.task.Index]
 		if task.state != taskUnreadable {
 			continue
@@ -346,11 +347,11 @@
 // releaseUnreadable lets tasks whose record can't be decoded start again once every machine is
 // accounted for: then those that no machine has shown are nowhere. The caller holds mu.
 func (l *leader) releaseUnreadable(now clock.Micros) {
-	if len(l.unreadable) == 0 && len(l.unreadableShared) == 0 || now < l.predecessorLeasesEnd || !l.allAccounted(now) {
+	if len(l.reconciliation.unreadable) == 0 && len(l.reconciliation.unreadableShared) == 0 || now < l.reconciliation.predecessorLeasesEnd || !l.allAccounted(now) {
 		return
 	}
 	tasks := 0
-	for job := range l.unreadable {
+	for job := range l.reconciliation.unreadable {
 		for i := range job.tasks {
 			if job.tasks[i].state != taskUnreadable {
 				continue
@@ -361,14 +362,14 @@
 				l.enqueue(job, i)
 			}
 		}
-		l.dirty[job.uid] = true
+		l.writer.dirty[job.uid] = true
 	}
-	clear(l.unreadable)
-	for _, shared := range l.unreadableShared {
-		l.staleShared[shared] = true // nothing of what it held is needed any more
+	clear(l.reconciliation.unreadable)
+	for _, shared := range l.reconciliation.unreadableShared {
+		l.writer.staleShared[shared] = true // nothing of what it held is needed any more
 	}
-	l.unreadableShared = nil
-	l.jobsChanged = true
+	l.reconciliation.unreadableShared = nil
+	l.jobs.changed = true
 	l.log.Info("every machine is accounted for: tasks of unreadable records that none has shown may start", "tasks", tasks)
 }
 
@@ -390,7 +391,7 @@
 // record of its attempts was passed over then, so all records have to be read anew, by the next
 // leader: under a token of its own, since commands of this one may be on their way. The caller holds mu.
 func (l *leader) recordRestored(uid string) bool {
-	if !l.unusable[uid] {
+	if !l.reconciliation.unusable[uid] {
 		return false
 	}
 	l.log.Info("the record of a job can be used again: giving leadership up, so that all records are read anew", "job", uid)
@@ -409,7 +410,7 @@
 	if more := len(damaged) - mostLogged; more > 0 {
 		l.log.Error("further records can't be used: see cedardoor recovery", "more", more)
 	}
-	l.damaged = append(l.damaged, damaged...)
+	l.reconciliation.damaged = append(l.reconciliation.damaged, damaged...)
 }
 
 // lookup is what was read of a job.
@@ -428,7 +429,7 @@
 // books. The caller holds mu.
 func (l *leader) decideOrphan(id fleet.TaskID, sign recovery.Sign) recovery.Decision {
 	c := recovery.Case{Job: recovery.JobActive, Attempt: recovery.AttemptOther, Sign: sign}
-	switch job := l.jobs[id.Job]; {
+	switch job := l.jobs.byUID[id.Job]; {
 	case job == nil && sign != recovery.SignRunning:
 		c.Job = recovery.JobNotRead // what its job is makes no difference
 	case job == nil:
@@ -456,11 +457,11 @@
 // jobState is what was last read of a job that is not on the books; it is read again when
 // that was long ago. The caller holds mu.
 func (l *leader) jobState(uid string) recovery.JobState {
-	known, read := l.jobLookups[uid]
+	known, read := l.reconciliation.jobLookups[uid]
 	if !read || known.state != recovery.JobOver && l.clock.Now()-known.at > lookupValidFor {
-		l.wantedLookups[uid] = true
+		l.reconciliation.wantedLookups[uid] = true
 		select {
-		case l.lookupWakeups <- struct{}{}:
+		case l.reconciliation.lookupWakeups <- struct{}{}:
 		default:
 		}
 	}
@@ -469,11 +470,11 @@
 
 // forgetJob takes a job off the books of which nothing is left. The caller holds mu.
 func (l *leader) forgetJob(job *Job) {
-	delete(l.jobs, job.uid)
-	if len(l.jobLookups) >= maxLookups {
-		clear(l.jobLookups)
+	delete(l.jobs.byUID, job.uid)
+	if len(l.reconciliation.jobLookups) >= maxLookups {
+		clear(l.reconciliation.jobLookups)
 	}
-	l.jobLookups[job.uid] = lookup{state: recovery.JobOver}
+	l.reconciliation.jobLookups[job.uid] = lookup{state: recovery.JobOver}
 }
 
 // orphanLookupLoop reads the jobs that workers show tasks of and that are not on the books.
@@ -482,7 +483,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.lookupWakeups:
+		case <-l.reconciliation.lookupWakeups:
 		}
 		l.lookUpOrphans(ctx)
 	}
@@ -519,10 +520,10 @@
 func (l *leader) takeWantedLookups() (uids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for uid := range l.wantedLookups {
+	for uid := range l.reconciliation.wantedLookups {
 		uids = append(uids, uid)
 	}
-	clear(l.wantedLookups)
+	clear(l.reconciliation.wantedLookups)
 	slices.Sort(uids)
 	return uids
 }
@@ -543,7 +544,7 @@
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if before := l.jobLookups[uid]; before.state != state {
+	if before := l.reconciliation.jobLookups[uid]; before.state != state {
 		l.log.Info("a worker shows tasks that are not on the books", "job", uid, "state", state)
 	}
 	switch {
@@ -551,11 +552,11 @@
 		if err := l.addJob(row.Key, row.Value, row.ModRevision, now); err != nil {
 			return err
 		}
-	case l.jobs[uid] == nil:
-		l.jobLookups[uid] = lookup{state: state, at: now}
+	case l.jobs.byUID[uid] == nil:
+		l.reconciliation.jobLookups[uid] = lookup{state: state, at: now}
 	}
 	for _, machine := range l.fleet.MachinesWithOrphansOf(uid) {
-		l.urgentMachines[machine] = true
+		l.dispatcher.urgentMachines[machine] = true
 	}
 	l.wake()
 	return nil
@@ -563,7 +564,7 @@
 
 // logProgress logs how far the recovery is, a line for each stage. The caller holds mu.
 func (l *leader) logProgress() {
-	p, told := l.progress, &l.progressLog
+	p, told := l.reconciliation.progress, &l.reconciliation.progressLog
 	if p.Machines() == 0 {
 		return
 	}
@@ -585,22 +586,22 @@
 // reconnecting tells whether the workers have yet to find this leader: those that are not
 // heard are not lost. The caller holds mu.
 func (l *leader) reconnecting(now clock.Micros) bool {
-	return l.progress.Reconnecting(now, l.maxReportDelay(), l.isolated)
+	return l.reconciliation.progress.Reconnecting(now, l.maxReportDelay(), l.reconciliation.isolated)
 }
 
 // checkIsolation finds out whether other controllers answer, while that tells whether machines may
 // have yet to report.
 func (l *leader) checkIsolation(ctx context.Context) {
 	l.mu.Lock()
-	matters := l.progress.Stage() == recovery.StageReconciling && l.clock.Now()-l.progress.Began() < l.maxReportDelay()
+	matters := l.reconciliation.progress.Stage() == recovery.StageReconciling && l.clock.Now()-l.reconciliation.progress.Began() < l.maxReportDelay()
 	l.mu.Unlock()
 	if !matters {
 		return
 	}
-	alone := l.checkIsolated(ctx)
+	alone := l.reconciliation.checkIsolated(ctx)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.isolated = alone
+	l.reconciliation.isolated = alone
 }
 
 // maxReportDelay is how long a worker may take to find this leader where no other controller
@@ -618,21 +619,21 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.progress.Fill(&r, l.clock.Now())
+	l.reconciliation.progress.Fill(&r, l.clock.Now())
 	l.countAttempts(&r.Attempts)
 	var unrecorded []recovery.Unrecorded
 	l.fleet.EachRunningOrphan(func(machine *fleet.Machine, task fleet.TaskID, attempt uint64) {
 		unrecorded = append(unrecorded, recovery.Unrecorded{Task: task.String(), Attempt: attempt, Machine: machine.Name, Zone: machine.Zone,
 			Why: l.decideOrphan(task, recovery.SignRunning).String()})
 	})
-	r.List(unrecorded, l.damaged)
+	r.List(unrecorded, l.reconciliation.damaged)
 	return r, true
 }
 
 // countAttempts counts the attempts on the books by state. The caller holds mu.
 func (l *leader) countAttempts(counts *recovery.AttemptCounts) {
 	l.fleet.EachMachine(func(machine *fleet.Machine) {
-		awaited := l.progress.Awaited(machine.Name)
+		awaited := l.reconciliation.progress.Awaited(machine.Name)
 		machine.EachAllocation(func(allocation *fleet.Allocation) {
 			switch {
 			case !allocation.Live():
@@ -647,7 +648,7 @@
 			}
 		})
 	})
-	for job := range l.unreadable {
+	for job := range l.reconciliation.unreadable {
 		for i := range job.chunks {
 			counts.Unreadable += job.chunks[i].unreadable
 		}
--- a/recover_test.go
+++ b/recover_test.go
@@ -175,7 +175,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if n := len(l.jobLookups); n == 0 || n > seconds+1 {
+	if n := len(l.reconciliation.jobLookups); n == 0 || n > seconds+1 {
 		t.Errorf("%d look-ups in %d s", n, seconds)
 	}
 }
@@ -509,7 +509,7 @@
 	if r := mustReport(t, l); len(r.Damaged) != 3 || r.Stage != recovery.StageComplete {
 		t.Errorf("operators are told %+v", r)
 	}
-	if err := l.readCatalog(t.Context()); err != nil || l.catalogRevision == 0 {
+	if err := l.readCatalog(t.Context()); err != nil || l.autoscaler.catalogRevision == 0 {
 		t.Errorf("the catalogue is not written anew: %v", err)
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -78,8 +78,8 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.unconfirmed) != 0 || len(l.unreachable) != 0 {
-		t.Errorf("%d workers wait to be asked and %d that report count as mute", len(l.unconfirmed), len(l.unreachable))
+	if len(l.detector.unconfirmed) != 0 || len(l.detector.unreachable) != 0 {
+		t.Errorf("%d workers wait to be asked and %d that report count as mute", len(l.detector.unconfirmed), len(l.detector.unreachable))
 	}
 	if got := s.cloud.Returns(); len(got) != 0 {
 		t.Errorf("returned %v", got)
@@ -178,7 +178,7 @@
 		t.Fatal("its task was started elsewhere without proof")
 	}
 	for known := true; known; {
-		l.probesStartedAt = 0
+		l.detector.probesStartedAt = 0
 		l.probeSilentMachines(t.Context())
 		l.mu.Lock()
 		known = l.fleet.Machine("n-1") != nil
@@ -523,11 +523,11 @@
 		heartbeat(s.t, l, w)
 	}
 	for range unreachableAfterProbes {
-		l.probesStartedAt = 0
+		l.detector.probesStartedAt = 0
 		l.probeSilentMachines(s.t.Context())
 		s.settle(l)
 	}
-	l.probesStartedAt = 0
+	l.detector.probesStartedAt = 0
 	l.probeSilentMachines(s.t.Context())
 }
 
@@ -556,7 +556,7 @@
 		t.Errorf("returned %v", got)
 	}
 	l.mu.Lock()
-	muted := len(l.unreachable)
+	muted := len(l.detector.unreachable)
 	l.mu.Unlock()
 	if muted != 3 {
 		t.Errorf("%d machines mute, want 3", muted)
--- a/size_test.go
+++ b/size_test.go
@@ -36,7 +36,7 @@
 		if err := l.addJob(store.JobKey(sp.UID), raw, 1, now); err != nil {
 			t.Fatal(err)
 		}
-		job := l.jobs[sp.UID]
+		job := l.jobs.byUID[sp.UID]
 		for i := range machines {
 			machine := l.fleet.Ensure(fmt.Sprintf("n-%d", i), now)
 			allocation := l.newAllocation(job, i, 1)
@@ -108,8 +108,8 @@
 		}
 		looked := l.fleet.Examined
 		l.applyEvents(news, now)
-		for uid := range l.pendingResults {
-			l.dirty[uid] = true
+		for uid := range l.writer.pendingResults {
+			l.writer.dirty[uid] = true
 		}
 		last := wire.PriorityCritical
 		for tx := l.buildTransaction(); tx != nil; tx = l.buildTransaction() {
--- a/record.go
+++ b/state_writer.go
@@ -14,6 +14,22 @@
 	"cedardoor/wire"
 )
 
+// stateWriter collects what has changed and builds transactions of it, the most urgent first.
+type stateWriter struct {
+	sequence          uint64                  // numbers the term's transactions
+	dirty             map[string]bool         // jobs with something to record now
+	pendingResults    map[string]clock.Micros // jobs with results to record, and by when
+	openShared        *SharedRecord           // takes the attempts of the next single-task jobs
+	sharedCount       int                     // shared records that this term has made
+	staleShared       map[*SharedRecord]bool  // records that hold rows of jobs that are over
+	smallTransactions int                     // transactions that hold one change only, since one was refused
+	finalMoves        []*finalMove            // jobs that are done and have yet to move to where final states are kept
+}
+
+func newStateWriter() stateWriter {
+	return stateWriter{dirty: map[string]bool{}, pendingResults: map[string]clock.Micros{}, staleShared: map[*SharedRecord]bool{}}
+}
+
 // maxTransactionBytes keeps a transaction well under the service's 64 KiB.
 const maxTransactionBytes = 44 << 10
 
@@ -62,11 +78,11 @@
 
 // joinShared finds a job a record for its only task's attempts. The caller holds mu.
 func (l *leader) joinShared(job *Job) {
-	if l.openShared == nil || l.sharedIsFull(l.openShared) {
-		l.sharedCount++
-		l.openShared = &SharedRecord{key: store.SharedKey(l.term.Revision, l.sharedCount)}
+	if l.writer.openShared == nil || l.sharedIsFull(l.writer.openShared) {
+		l.writer.sharedCount++
+		l.writer.openShared = &SharedRecord{key: store.SharedKey(l.term.Revision, l.writer.sharedCount)}
 	}
-	job.shared = l.openShared
+	job.shared = l.writer.openShared
 	job.shared.jobCount++
 	job.shared.jobs = append(job.shared.jobs, job)
 }
@@ -74,7 +90,7 @@
 // sharedIsFull tells whether a shared record takes no more jobs: its first write is
 // conditional on each of them.
 func (l *leader) sharedIsFull(shared *SharedRecord) bool {
-	return shared != l.openShared || shared.jobCount >= min(store.JobsPerSharedRecord, 4*l.cfg.Facts.State.TxnOps-8)
+	return shared != l.writer.openShared || shared.jobCount >= min(store.JobsPerSharedRecord, 4*l.cfg.Facts.State.TxnOps-8)
 }
 
 // leaveShared takes a job of which nothing may be anywhere any more out of its
@@ -90,7 +106,7 @@
 	}
 	job.shared = nil
 	if shared.modRevision > 0 {
-		l.staleShared[shared] = true
+		l.writer.staleShared[shared] = true
 	}
 }
 
@@ -101,7 +117,7 @@
 // recordPriority orders what is to be recorded: placements and ends by priority, then what
 // is left of jobs that are over.
 func (l *leader) recordPriority(uid string) int {
-	job := l.jobs[uid]
+	job := l.jobs.byUID[uid]
 	switch {
 	case job == nil || job.cancelled:
 		return -1
@@ -120,41 +136,41 @@
 	// Results are recorded together with others, and give way to placements.
 	now := l.clock.Now()
 	var due []string
-	for uid, at := range l.pendingResults {
+	for uid, at := range l.writer.pendingResults {
 		if at <= now {
 			due = append(due, uid)
 		}
 	}
 	room := l.cfg.Facts.State.TxnOps / 2
 	slices.SortFunc(due, func(a, b string) int {
-		return cmp.Or(cmp.Compare(l.pendingResults[a], l.pendingResults[b]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(l.writer.pendingResults[a], l.writer.pendingResults[b]), cmp.Compare(a, b))
 	})
 	for _, uid := range due {
-		if room--; room < 0 || len(l.dirty) > 0 && l.pendingResults[uid]+l.resultDelay() > now {
+		if room--; room < 0 || len(l.writer.dirty) > 0 && l.writer.pendingResults[uid]+l.resultDelay() > now {
 			break
 		}
-		delete(l.pendingResults, uid)
-		l.dirty[uid] = true
+		delete(l.writer.pendingResults, uid)
+		l.writer.dirty[uid] = true
 	}
-	l.writeSequence++
-	tx := &transaction{nonce: fmt.Sprintf("%d.%d", l.term.Revision, l.writeSequence), sharedRecords: map[*SharedRecord]bool{}}
+	l.writer.sequence++
+	tx := &transaction{nonce: fmt.Sprintf("%d.%d", l.term.Revision, l.writer.sequence), sharedRecords: map[*SharedRecord]bool{}}
 	tx.txn.Conditions = []wire.Condition{{Key: store.KeyLead, ModRevision: l.term.Revision}}
 	spare, all := max(minDeferredOperations, l.store.SpareWrites()), l.cfg.Facts.State.TxnOps
-	if l.smallTransactions > 0 {
-		l.smallTransactions--
+	if l.writer.smallTransactions > 0 {
+		l.writer.smallTransactions--
 		spare, all = 1, 1
 	}
-	uids := make([]string, 0, len(l.dirty))
-	for uid := range l.dirty {
+	uids := make([]string, 0, len(l.writer.dirty))
+	for uid := range l.writer.dirty {
 		uids = append(uids, uid)
 	}
 	slices.SortFunc(uids, func(a, b string) int {
 		return cmp.Or(cmp.Compare(l.recordPriority(b), l.recordPriority(a)), cmp.Compare(a, b))
 	})
 	for _, uid := range uids {
-		job := l.jobs[uid]
+		job := l.jobs.byUID[uid]
 		if job == nil {
-			delete(l.dirty, uid)
+			delete(l.writer.dirty, uid)
 			continue
 		}
 		most := all
@@ -191,7 +207,7 @@
 			}
 		}
 		if clean {
-			delete(l.dirty, uid)
+			delete(l.writer.dirty, uid)
 		}
 	}
 	if len(tx.txn.Operations) == 0 {
@@ -294,32 +310,32 @@
 // records again that hold rows of them, when nothing else is to be recorded.
 func (l *leader) addFinalMoves(tx *transaction) {
 	spare := min(l.cfg.Facts.State.TxnOps, l.store.SpareWrites())
-	if (spare < min(finalMoveSpare, l.cfg.Facts.State.TxnOps) || l.store.Overloaded()) && len(l.finalMoves) < maxPendingFinalMoves {
+	if (spare < min(finalMoveSpare, l.cfg.Facts.State.TxnOps) || l.store.Overloaded()) && len(l.writer.finalMoves) < maxPendingFinalMoves {
 		return
 	}
-	for len(l.finalMoves) > 0 && len(tx.txn.Operations)+3 <= max(3, spare) && len(tx.txn.Conditions) < 3*l.cfg.Facts.State.TxnOps {
-		move := l.finalMoves[0]
-		l.finalMoves = l.finalMoves[1:]
+	for len(l.writer.finalMoves) > 0 && len(tx.txn.Operations)+3 <= max(3, spare) && len(tx.txn.Conditions) < 3*l.cfg.Facts.State.TxnOps {
+		move := l.writer.finalMoves[0]
+		l.writer.finalMoves = l.writer.finalMoves[1:]
 		// A row that outlived its job's record would have to be looked up by a new leader.
 		if move.shared != nil && move.shared.modRevision > 0 {
 			if !l.addShared(tx, move.shared) {
-				l.finalMoves = append(l.finalMoves, move)
+				l.writer.finalMoves = append(l.writer.finalMoves, move)
 				break
 			}
-			delete(l.staleShared, move.shared)
+			delete(l.writer.staleShared, move.shared)
 		}
 		tx.txn.Conditions = append(tx.txn.Conditions, wire.Condition{Key: store.JobKey(move.uid), ModRevision: move.modRevision})
 		tx.txn.Operations = append(tx.txn.Operations, wire.Operation{Delete: store.JobKey(move.uid)}, wire.Operation{Set: store.FinalKey(move.uid), Value: move.record})
 		tx.moved = append(tx.moved, move)
 	}
-	for shared := range l.staleShared {
+	for shared := range l.writer.staleShared {
 		if len(tx.txn.Operations) >= spare {
 			break
 		}
 		if !l.addShared(tx, shared) {
 			break
 		}
-		delete(l.staleShared, shared)
+		delete(l.writer.staleShared, shared)
 	}
 }
 
@@ -331,7 +347,7 @@
 			return true // its end will mark the job again
 		}
 	}
-	if l.unreadable[job] {
+	if l.reconciliation.unreadable[job] {
 		return true // so will the end of the doubt about its tasks
 	}
 	for n := range job.chunks {
@@ -377,7 +393,7 @@
 			// small as can be, so that one that is at fault keeps nothing else up for ever.
 			l.log.Error("record refused", "error", err, "changes", len(tx.txn.Operations), "conditions", len(tx.txn.Conditions))
 			l.mu.Lock()
-			l.smallTransactions = smallTransactionsAfterRefusal
+			l.writer.smallTransactions = smallTransactionsAfterRefusal
 			l.requeue(tx, nil)
 			l.mu.Unlock()
 			return ctx.Err() == nil
@@ -402,7 +418,7 @@
 		chunk.modRevision, chunk.savedVersion = epoch, write.version
 		for _, allocation := range write.attempts {
 			l.fleet.MarkDurable(allocation)
-			l.urgentMachines[allocation.Machine] = true
+			l.dispatcher.urgentMachines[allocation.Machine] = true
 		}
 		for _, allocation := range write.ended {
 			allocation.ResultDurable = true
@@ -416,7 +432,7 @@
 		}
 	}
 	for _, job := range tx.finished {
-		l.finalMoves = append(l.finalMoves, &finalMove{uid: job.uid, modRevision: epoch, record: store.NewFinalRecord(&job.spec, wire.JobDone, tx.nonce), shared: job.shared})
+		l.writer.finalMoves = append(l.writer.finalMoves, &finalMove{uid: job.uid, modRevision: epoch, record: store.NewFinalRecord(&job.spec, wire.JobDone, tx.nonce), shared: job.shared})
 		if job.pendingResult != nil {
 			job.pendingResult.ResultDurable = true
 		}
@@ -430,7 +446,7 @@
 		l.log.Debug("job done", "job", job.uid)
 		// What is left of its records is deleted like a cancelled job's.
 		job.cancelled = true
-		l.dirty[job.uid] = true
+		l.writer.dirty[job.uid] = true
 	}
 	for _, job := range tx.deleted {
 		l.forgetJob(job)
@@ -443,11 +459,11 @@
 		switch allocation := job.tasks[0].allocation; {
 		case job.cancelled:
 		case allocation != nil && !allocation.Durable || job.done == 1:
-			l.dirty[job.uid] = true
+			l.writer.dirty[job.uid] = true
 		}
 	}
 	if shared.version != shared.savedVersion && shared.modRevision > 0 {
-		l.staleShared[shared] = true
+		l.writer.staleShared[shared] = true
 	}
 }
 
@@ -455,7 +471,7 @@
 // The caller holds mu.
 func (l *leader) markJobAgain(job *Job, now clock.Micros) {
 	if job.cancelled || job.done == len(job.tasks) {
-		l.dirty[job.uid] = true
+		l.writer.dirty[job.uid] = true
 		return
 	}
 	for n := range job.chunks {
@@ -466,7 +482,7 @@
 		base := n * store.TasksPerChunk
 		for i := base; i < min(base+store.TasksPerChunk, len(job.tasks)); i++ {
 			if allocation := job.tasks[i].allocation; allocation != nil && !allocation.Durable {
-				l.dirty[job.uid] = true
+				l.writer.dirty[job.uid] = true
 				return
 			}
 		}
@@ -517,7 +533,7 @@
 		l.mu.Lock()
 		if isJob {
 			// Over by an earlier transaction, it was taken in again from an old listing.
-			if job := l.jobs[uid]; job != nil && (!found || mark.Over != nil) {
+			if job := l.jobs.byUID[uid]; job != nil && (!found || mark.Over != nil) {
 				l.cancel(job, l.clock.Now())
 			} else if job != nil {
 				job.modRevision = max(job.modRevision, row.ModRevision)
@@ -550,7 +566,7 @@
 			l.markSharedAgain(write.shared)
 			continue
 		}
-		l.dirty[write.job.uid] = true
+		l.writer.dirty[write.job.uid] = true
 		if write.job.cancelled {
 			for _, allocation := range chunk.endedAttempts {
 				allocation.ResultDurable = true
@@ -561,10 +577,23 @@
 	for _, move := range tx.moved {
 		// What is not where it was has moved already, by a copy of this that came late.
 		if !slices.Contains(failed, store.JobKey(move.uid)) {
-			l.finalMoves = append(l.finalMoves, move)
+			l.writer.finalMoves = append(l.writer.finalMoves, move)
 		}
 	}
 	for _, job := range append(tx.finished, tx.deleted...) {
-		l.dirty[job.uid] = true
+		l.writer.dirty[job.uid] = true
+	}
+}
+
+// resultDelay is how long results may wait to be recorded together: the
+// state service takes so many changes a second, and placements come first.
+func (l *leader) resultDelay() clock.Micros {
+	return min(3*clock.Second, clock.FromSeconds(60/l.cfg.Facts.State.WriteRPS))
+}
+
+// recordResultSoon marks results to be recorded with others. The caller holds mu.
+func (l *leader) recordResultSoon(job *Job, now clock.Micros) {
+	if _, due := l.writer.pendingResults[job.uid]; !due && !l.writer.dirty[job.uid] {
+		l.writer.pendingResults[job.uid] = now + l.resultDelay()
 	}
 }
--- a/swarm_test.go
+++ b/swarm_test.go
@@ -210,7 +210,7 @@
 			}
 			s.advance(time.Second)
 			l.mu.Lock()
-			done = l.jobs["j-1"].done
+			done = l.jobs.byUID["j-1"].done
 			looked, l.fleet.Examined = looked+l.fleet.Examined, 0
 			l.mu.Unlock()
 		}
@@ -263,8 +263,8 @@
 	placed := func(uid string) int {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.jobs[uid].pruneWaiting()
-		return len(l.jobs[uid].tasks) - len(l.jobs[uid].waiting)
+		l.jobs.byUID[uid].pruneWaiting()
+		return len(l.jobs.byUID[uid].tasks) - len(l.jobs.byUID[uid].waiting)
 	}
 	s.pass(l, ws, 1)
 	first := placed("j-1")
@@ -328,7 +328,7 @@
 	s.resync(l)
 	l.mu.Lock()
 	for _, uid := range uids {
-		l.dirty[uid] = true // recorded already with others' results
+		l.writer.dirty[uid] = true // recorded already with others' results
 	}
 	l.mu.Unlock()
 	s.pass(l, ws, 3)
--- a/teams.go
+++ b/teams.go
@@ -116,7 +116,7 @@
 func (l *leader) waitingByTeam() map[string]*quota.WaitingReport {
 	now := l.clock.Now()
 	out := map[string]*quota.WaitingReport{}
-	for job := range l.queue {
+	for job := range l.jobs.waiting {
 		ready, later := job.countWaiting(now)
 		if job.cancelled || ready+later == 0 {
 			continue
