--- /dev/null
+++ b/autoscaler/constraints.go
@@ -0,0 +1,183 @@
+package autoscaler
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"strings"
+
+	"cedardoor/clock"
+	"cedardoor/cloud"
+	"cedardoor/fleet"
+	"cedardoor/jobs"
+)
+
+const (
+	// stuckAfter is how long a job with tasks that wait must have had none placed to count as stuck.
+	stuckAfter = 60 * clock.Second
+	// waitingAfter is the same for machines with room to be kept for it.
+	waitingAfter = 5 * clock.Second
+	// maxStuck is how many jobs are looked at in a pass.
+	maxStuck = 8
+)
+
+// machineKind tells machines apart that may hold the same work.
+type machineKind struct {
+	machineType, zone string
+	preemptible       bool
+}
+
+// constraintKind tells apart work that the same machines may hold.
+type constraintKind struct {
+	zone, machineTypes string
+	preemptible        bool
+	oversized          cloud.Load // its task, where nothing held could take it
+}
+
+// newConstraint is what one task of a job asks of a machine.
+func newConstraint(job *jobs.Job) cloud.Constraint {
+	spec := &job.Spec
+	return cloud.Constraint{MachineTypes: spec.MachineTypes, Zone: spec.Zone, Preemptible: spec.Preemptible,
+		Task: cloud.Load{Cores: spec.Cores, RAM: spec.RAM, Accelerators: spec.Accelerators}}
+}
+
+// ConstrainedWork lists the work that only some machines may hold, as cloud.Resize wants it: what
+// is bound to a zone or to types with all it needs at once, all other work with one task, so that
+// even a little of it has a machine. A task that no machine held is large enough for stands by
+// itself.
+func (a *Autoscaler) ConstrainedWork(v View, held []cloud.Machine) []cloud.Constraint {
+	kinds := map[machineKind]bool{}
+	for i := range held {
+		if machine := &held[i]; !machine.Lost {
+			kinds[machineKind{machine.Type, machine.Zone, machine.Preemptible}] = true
+		}
+	}
+	found := map[constraintKind]*cloud.Constraint{}
+	for job := range v.Jobs.All() {
+		unfinished := len(job.Tasks) - job.Done
+		if job.Cancelled || job.CancellationPending || job.Failures.Failing() || unfinished == 0 {
+			continue
+		}
+		if job.Running == 0 && !a.fitsTeamLimit(job) {
+			continue // its team is at its limit: no machine would help it
+		}
+		work := newConstraint(job)
+		kind := constraintKind{zone: work.Zone, machineTypes: strings.Join(work.MachineTypes, " "), preemptible: work.Preemptible}
+		if !a.anyAllows(kinds, &work) {
+			kind.oversized = work.Task
+		}
+		if work.Zone != "" || work.MachineTypes != nil {
+			work.Cores = a.concurrentTasks(job, unfinished) * job.Spec.Cores
+		}
+		merge(found, kind, &work)
+	}
+	return sortedConstraints(found)
+}
+
+// anyAllows tells whether a machine of any of the kinds may hold the work.
+func (a *Autoscaler) anyAllows(kinds map[machineKind]bool, work *cloud.Constraint) bool {
+	for kind := range kinds {
+		if machineType, known := a.Fleet.MachineType(kind.machineType); known && work.Allows(machineType, kind.zone, kind.preemptible) {
+			return true
+		}
+	}
+	return false
+}
+
+// concurrentTasks is how many of a job's tasks should run at once.
+func (a *Autoscaler) concurrentTasks(job *jobs.Job, unfinished int) float64 {
+	tasks := float64(unfinished)
+	if job.IsService() || !job.Spec.Preemptible {
+		return tasks
+	}
+	runS := a.runTime(job).Seconds()
+	drainS, _ := a.drainTimes(job, runS)
+	return min(tasks, tasks*runS/drainS)
+}
+
+// merge adds work to that of the same kind.
+func merge(found map[constraintKind]*cloud.Constraint, kind constraintKind, work *cloud.Constraint) {
+	same := found[kind]
+	if same == nil {
+		found[kind] = work
+		return
+	}
+	same.Cores += work.Cores
+	if work.Task.Cores > same.Task.Cores {
+		same.Task = work.Task
+	}
+}
+
+// sortedConstraints lists the work in the same order whatever that of the jobs.
+func sortedConstraints(found map[constraintKind]*cloud.Constraint) []cloud.Constraint {
+	sorted := make([]cloud.Constraint, 0, len(found))
+	for _, work := range found {
+		sorted = append(sorted, *work)
+	}
+	slices.SortFunc(sorted, func(a, b cloud.Constraint) int {
+		if a.Preemptible != b.Preemptible {
+			if a.Preemptible {
+				return 1
+			}
+			return -1
+		}
+		return cmp.Or(cmp.Compare(a.Zone, b.Zone), slices.Compare(a.MachineTypes, b.MachineTypes), cmp.Compare(a.Task.Cores, b.Task.Cores),
+			cmp.Compare(a.Task.RAM, b.Task.RAM), cmp.Compare(a.Task.Accelerators, b.Task.Accelerators))
+	})
+	return sorted
+}
+
+// stuckWork lists a task each of the jobs of which tasks wait and none has been placed for that
+// long, though their teams may have more. Where a job must be spread or in one zone, it goes to the
+// zone that is left for it.
+func (a *Autoscaler) stuckWork(v View, after clock.Micros) (stuck []cloud.Constraint) {
+	var zones []string
+	for _, machineType := range a.catalog.MachineTypes {
+		zones = append(zones, machineType.Zones...)
+	}
+	for _, job := range a.oldestStuck(v, after) {
+		work := newConstraint(job)
+		if work.Zone == "" && (job.Spec.SameZone || job.Spec.Spread) {
+			work.Zone = job.PreferredZone(zones)
+		}
+		if job.Spec.SameZone && len(job.Plan.Zones) == 0 {
+			work.TogetherInZone = len(job.Waiting)
+		}
+		work.Avoid = avoided(job, v.Failures)
+		stuck = append(stuck, work)
+	}
+	return stuck
+}
+
+// oldestStuck lists the jobs that are stuck, the oldest first.
+func (a *Autoscaler) oldestStuck(v View, after clock.Micros) (stuck []*jobs.Job) {
+	for job := range v.Jobs.Waiting() {
+		since := max(job.SeenAt, v.RunningSince)
+		if !job.Failures.OnTrial() { // what is tried again and again and fails gets nowhere by it
+			since = max(since, job.LastPlacedAt)
+		} else if after < stuckAfter {
+			continue // it waits between its trials, not for room
+		}
+		if job.Cancelled || job.CancellationPending || job.Failures.Failing() || len(job.Waiting) == 0 || v.Now-since < after {
+			continue
+		}
+		if !a.fitsTeamLimit(job) {
+			continue
+		}
+		if i, _ := slices.BinarySearchFunc(stuck, job, jobs.CompareAge); i < maxStuck {
+			stuck = slices.Insert(stuck[:min(len(stuck), maxStuck-1)], i, job)
+		}
+	}
+	return stuck
+}
+
+// avoided are the machines that a job's next task keeps away from.
+func avoided(job *jobs.Job, failures Failures) map[string]bool {
+	avoid := map[string]bool{}
+	maps.Copy(avoid, job.Plan.Avoid)
+	job.Failures.FailedOn(func(machine string) { avoid[machine] = true })
+	if job.Failures.OnTrial() && failures.FewMachines() {
+		failures.Machines(func(machine *fleet.Machine) { avoid[machine.Name] = true })
+	}
+	return avoid
+}
--- a/bench_test.go
+++ b/bench_test.go
@@ -278,7 +278,7 @@
 	b.ResetTimer()
 	for range b.N {
 		l.mu.Lock()
-		l.planner.repairAt = 0
+		l.planner.RepairNow()
 		l.runPlan(l.clock.Now())
 		l.mu.Unlock()
 	}
@@ -318,9 +318,9 @@
 		if err := l.addJob(store.JobKey("j-900"), raw, 1, l.clock.Now()); err != nil {
 			b.Fatal(err)
 		}
-		job := l.jobs.byUID["j-900"]
-		delete(l.jobs.byUID, "j-900")
-		delete(l.jobs.waiting, job)
+		job := l.jobs.Get("j-900")
+		l.jobs.Remove(job)
+		l.jobs.Dequeue(job)
 		l.mu.Unlock()
 	}
 }
@@ -362,7 +362,7 @@
 		if err := l.addJob(store.JobKey(uid), raw, epoch, l.clock.Now()); err != nil {
 			b.Fatal(err)
 		}
-		l.planner.bestEffortTokens = 48
+		l.planner.AllowBestEffort(48)
 		l.mu.Unlock()
 		l.pass(b.Context())
 		for round := range 3 {
@@ -391,8 +391,8 @@
 			}
 			if round == 2 {
 				l.mu.Lock()
-				for uid := range l.writer.pendingResults {
-					l.writer.dirty[uid] = true
+				for job := range l.jobs.All() {
+					l.writer.MarkDirty(job.UID)
 				}
 				l.mu.Unlock()
 				l.pass(b.Context())
@@ -441,7 +441,7 @@
 	b.ResetTimer()
 	for range b.N {
 		l.mu.Lock()
-		l.jobs.changed = true
+		l.jobs.SetChanged(true)
 		l.runPlan(l.clock.Now())
 		l.mu.Unlock()
 	}
--- a/boots_test.go
+++ b/boots_test.go
@@ -27,7 +27,7 @@
 		machine := l.fleet.Ensure(fmt.Sprintf("n-%02d", i), now)
 		l.fleet.Describe(machine, "e", "b", "x", true)
 		machine.CloudStatus, machine.ListedAt = wire.MachineBooting, now
-		l.autoscaler.rentedAt[machine.Name] = now
+		l.autoscaler.Rented(wire.RentRequest{RequestID: machine.Name}, []string{machine.Name}, now, now)
 	}
 }
 
@@ -35,12 +35,12 @@
 	for i := from; i < from+n; i++ {
 		machine := l.fleet.Machine(fmt.Sprintf("n-%02d", i))
 		machine.Reported, machine.LastHeartbeat = true, l.clock.Now()
-		l.machineBooted(machine, l.clock.Now())
+		l.autoscaler.MachineUp(machine, l.clock.Now())
 	}
 }
 
 func counts(l *leader) (out, givenUp int) {
-	overdue := l.overdueMachines(l.clock.Now())
+	overdue := l.autoscaler.Overdue(l.scalingView(l.clock.Now()))
 	return len(overdue.Replace), len(overdue.Return)
 }
 
@@ -56,7 +56,7 @@
 	if out, up := counts(l); out != 1 || up != 1 {
 		t.Errorf("late: %d counted out, %d given up, want it", out, up)
 	}
-	for _, share := range l.autoscaler.bootTimes.Shares() {
+	for _, share := range l.autoscaler.BootShares() {
 		if share < 0.99 || share > 1.01 {
 			t.Errorf("a boot of 30 s was taken for %.2f of the stated time", share)
 		}
@@ -110,7 +110,7 @@
 	if more := len(s.cloud.Hosts()) - len(hosts); more != 0 || len(s.cloud.Returns()) != 0 {
 		t.Errorf("%d more rented, returned %v", more, s.cloud.Returns())
 	}
-	for _, share := range l.autoscaler.bootTimes.Shares() {
+	for _, share := range l.autoscaler.BootShares() {
 		if share > float64(2*clock.Second)/float64(30*clock.Second) {
 			t.Errorf("boot taken for %.2f of the stated time", share)
 		}
--- a/cloud/size.go
+++ b/cloud/size.go
@@ -30,6 +30,11 @@
 // Load is an amount of work to hold at once.
 type Load struct{ Cores, RAM, Accelerators float64 }
 
+// Plus is the sum of two loads.
+func (l Load) Plus(other Load) Load {
+	return Load{Cores: l.Cores + other.Cores, RAM: l.RAM + other.RAM, Accelerators: l.Accelerators + other.Accelerators}
+}
+
 // Demand is what the fleet has to hold.
 type Demand struct {
 	OnDemand    Load // only ordinary machines will do
--- /dev/null
+++ b/commands.go
@@ -0,0 +1,162 @@
+package cedardoor
+
+import (
+	"context"
+	"errors"
+
+	"cedardoor/clock"
+	"cedardoor/fleet"
+	"cedardoor/wire"
+)
+
+const (
+	// commandTimeout is how long a worker may take to answer a direct command.
+	commandTimeout = 1500 * clock.Millisecond
+	// probeTimeout is how long a worker may take to answer a probe.
+	probeTimeout = 700 * clock.Millisecond
+)
+
+// errNotSent means that a request was not sent: it was made under a token or a lease that is over.
+var errNotSent = errors.New("the token or the lease that it was made under is over")
+
+// dispatch sends direct commands to the machines that have urgent ones.
+func (l *leader) dispatch(ctx context.Context) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	token, _ := l.elector.HoldsLease()
+	for _, command := range l.dispatcher.Prepare(l.clock.Now(), token, l.commandScope(), l.reconciler.HasOrphansToStop) {
+		go l.sendCommand(ctx, command)
+	}
+}
+
+// mayStillSend tells whether a direct command may still go out: what it says of runs and results
+// needs the lease and all that was cancelled, a stop needs neither.
+func (l *leader) mayStillSend(command *fleet.InFlightCommand) bool {
+	token, held := l.elector.HoldsLease()
+	if token != command.Token {
+		return false
+	}
+	if command.OnlyStops() {
+		return true
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return held && (l.synced() || !command.HasRuns())
+}
+
+// sendCommand sends one direct command and takes its outcome in.
+func (l *leader) sendCommand(ctx context.Context, command *fleet.InFlightCommand) {
+	report, outcome, err := l.requestCommand(ctx, command)
+	if err != nil {
+		l.log.Debug("direct command failed", "machine", command.Machine.Name, "outcome", outcome, "error", err)
+	}
+	now := l.clock.Now()
+	l.mu.Lock()
+	l.fleet.CommandCompleted(command, outcome)
+	l.dispatcher.Completed(command)
+	switch machine := command.Machine; {
+	case report != nil && report.Machine == machine.Name:
+		l.fleet.Acknowledged(machine)
+		events, _ := l.fleet.Report(now, report, false)
+		l.applyEvents(events, now)
+		l.reconciler.AdoptReported(machine, now)
+	case err != nil && !errors.Is(err, errNotSent) && ctx.Err() == nil:
+		l.fleet.CommandFailed(machine)
+	}
+	// Without the lease the loop may be waiting for the state service.
+	more := l.dispatcher.IsUrgent(command.Machine) && l.commandScope() == fleet.StopsOnly
+	l.mu.Unlock()
+	l.wake()
+	if more {
+		l.dispatch(ctx)
+	}
+}
+
+// requestCommand sends a direct command, unless what it was computed by is over: what was computed
+// before this process paused must not go out after it.
+func (l *leader) requestCommand(ctx context.Context, command *fleet.InFlightCommand) (*wire.Heartbeat, fleet.Outcome, error) {
+	if !l.mayStillSend(command) {
+		return nil, fleet.OutcomeNotExecuted, errNotSent
+	}
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout.Duration())
+	defer cancel()
+	return l.workers.Do(ctx, command.Machine.Endpoint,
+		wire.CommandRequest{Token: command.Token, Incarnation: command.Incarnation, Commands: command.Commands})
+}
+
+// raiseTokenIfNeeded raises the token when copies of direct commands have to be void.
+func (l *leader) raiseTokenIfNeeded(ctx context.Context) {
+	l.mu.Lock()
+	token, held := l.elector.HoldsLease()
+	now := l.clock.Now()
+	due := held && l.dispatcher.FencingDue(now, token)
+	if due {
+		l.dispatcher.TokenRaised(now)
+	}
+	l.mu.Unlock()
+	if !due {
+		return
+	}
+	raised, err := l.elector.RaiseToken(ctx)
+	if err != nil {
+		l.log.Debug("token not raised", "error", err)
+		return
+	}
+	l.log.Info("token raised: copies of direct commands are void", "token", raised)
+}
+
+// startProbe asks a worker for its report. The caller holds mu.
+func (l *leader) startProbe(machine *fleet.Machine) {
+	if l.ctx == nil || !l.detector.BeginProbe(machine) {
+		return
+	}
+	l.log.Debug("worker probed", "machine", machine.Name, "silent_s", (l.clock.Now() - machine.LastHeartbeat).Seconds(),
+		"unanswered", machine.UnansweredProbes)
+	go l.probe(l.ctx, machine, machine.Endpoint, machine.ReportVersion())
+}
+
+// probe asks a worker for its report and takes the answer in.
+func (l *leader) probe(ctx context.Context, machine *fleet.Machine, endpoint string, known wire.ReportVersion) {
+	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
+	report, err := l.workers.Show(probeCtx, endpoint)
+	cancel()
+	now := l.clock.Now()
+	l.mu.Lock()
+	l.detector.EndProbe(machine)
+	switch {
+	case ctx.Err() != nil || l.fleet.Machine(machine.Name) != machine:
+	case err == nil && report.Machine == machine.Name:
+		l.applyEvents(l.fleet.ProbeAnswered(now, known, report), now)
+		l.reconciler.AdoptReported(machine, now)
+		if machine.Restarted() {
+			l.dispatcher.MarkUrgent(machine)
+		}
+	default:
+		l.detector.ProbeUnanswered(machine, now)
+	}
+	l.mu.Unlock()
+	l.wake()
+}
+
+// probeSilentMachines probes the workers that have gone silent, and returns machines that gave no
+// answer or that no command takes effect on.
+func (l *leader) probeSilentMachines(ctx context.Context) {
+	now := l.clock.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.detector.SilentCheckDue(now) {
+		return
+	}
+	if _, held := l.elector.HoldsLease(); !held || !l.operator.Fleet.Enabled {
+		return
+	}
+	check := l.detector.CheckSilent(now, l.startProbe)
+	if len(check.Unreachable) > 0 {
+		l.log.Info("machines returned: silent, with replicas", "machines", check.Unreachable)
+		go l.returnMachines(ctx, check.Unreachable)
+	}
+	if len(check.NotAcknowledging) > 0 {
+		l.log.Info("machines returned: commands are not acknowledged", "machines", check.NotAcknowledging)
+		go l.returnMachines(ctx, check.NotAcknowledging)
+	}
+}
--- a/config/config.go
+++ b/config/config.go
@@ -51,7 +51,15 @@
 	return out
 }
 
-// Objective is one of the aims that the platform repeats.
+// The kinds of objectives.
+const (
+	// ObjectiveFinished: a share of a class's jobs is done within a time of their acceptance.
+	ObjectiveFinished = "finished"
+	// ObjectiveWait: a share of a class's tasks starts within a time of their acceptance.
+	ObjectiveWait = "wait"
+)
+
+// Objective is one of the service-level objectives that the platform states.
 type Objective struct {
 	Kind    string  `json:"kind"`
 	Class   string  `json:"class"`
--- a/engine_test.go
+++ b/engine_test.go
@@ -17,7 +17,9 @@
 
 	"cedardoor/clock"
 	"cedardoor/config"
+	"cedardoor/detector"
 	"cedardoor/internal/standin"
+	"cedardoor/jobs"
 	"cedardoor/lead"
 	"cedardoor/peer"
 	"cedardoor/store"
@@ -108,8 +110,7 @@
 	if _, err := l.loadRecords(s.t.Context()); err != nil {
 		s.t.Fatal(err)
 	}
-	l.autoscaler.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
-	l.fleet.SetCatalog(l.autoscaler.catalog)
+	l.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: s.cloud.Builds})
 	return l, stop
 }
 
@@ -237,7 +238,7 @@
 		l.pass(s.t.Context())
 		for i := 0; ; i++ {
 			l.mu.Lock()
-			n := len(l.dispatcher.inFlight) + l.detector.openProbes
+			n := l.dispatcher.InFlightCount() + l.detector.OpenProbes()
 			l.mu.Unlock()
 			if n == 0 {
 				break
@@ -252,8 +253,7 @@
 
 func (s *site) resync(l *leader) {
 	s.t.Helper()
-	var since uint64
-	if err := l.resync(s.t.Context(), &since); err != nil {
+	if _, err := l.resync(s.t.Context(), 0); err != nil {
 		s.t.Fatal(err)
 	}
 }
@@ -330,9 +330,9 @@
 	s.settle(l) // the run is kept back; the token is raised against it
 	heartbeat(t, l, other)
 	l.mu.Lock()
-	allocation := l.jobs.byUID["j-1"].tasks[0].allocation
-	l.stopAttempt(l.jobs.byUID["j-1"], allocation, l.clock.Now())
-	still := l.jobs.byUID["j-1"].tasks[0].allocation == allocation
+	allocation := l.jobs.Get("j-1").Tasks[0].Allocation
+	l.stopAttempt(l.jobs.Get("j-1"), allocation, l.clock.Now())
+	still := l.jobs.Get("j-1").Tasks[0].Allocation == allocation
 	l.mu.Unlock()
 	if !still {
 		t.Fatal("freed while a run may still arrive")
@@ -461,7 +461,7 @@
 	}
 	stop()
 	gb, _ := s.elect(b)
-	if _, err := a.store.Commit(t.Context(), store.Urgent, wr.txn); err == nil {
+	if _, err := a.store.Commit(t.Context(), store.Urgent, wr.Txn); err == nil {
 		t.Fatal("a deposed leader's transaction was applied")
 	}
 	heartbeat(t, gb, w)
@@ -697,7 +697,7 @@
 	<-l.wakeups
 	cancel()
 	<-done
-	if l.jobs.byUID["j-1"] == nil {
+	if l.jobs.Get("j-1") == nil {
 		t.Fatal("job missed")
 	}
 }
@@ -781,7 +781,7 @@
 	n := s.node(nil)
 	l, _ := s.elect(n)
 	s.advance(time.Second)
-	for i := range reliableReporters {
+	for i := range detector.ReliableReporters {
 		heartbeat(t, l, s.worker(fmt.Sprintf("n-%d", i), "x", true))
 	}
 	s.advance(5 * time.Second)
@@ -854,8 +854,8 @@
 		s.advance(3 * time.Second)
 		heartbeat(t, gb, other)
 	}
-	for range unreachableAfterProbes {
-		l.detector.probesStartedAt = 0
+	for range detector.UnreachableAfterProbes {
+		l.detector.RecheckSilent()
 		l.probeSilentMachines(t.Context())
 		for probing := true; probing; runtime.Gosched() {
 			l.mu.Lock()
@@ -864,7 +864,7 @@
 			l.mu.Unlock()
 		}
 	}
-	l.detector.probesStartedAt = 0
+	l.detector.RecheckSilent()
 	l.probeSilentMachines(t.Context())
 	for gone := false; !gone; runtime.Gosched() {
 		l.mu.Lock()
@@ -890,7 +890,7 @@
 	s.settle(ga)
 	w.End("j-1/0", wire.CauseDone)
 	heartbeat(t, ga, w)
-	if n := ga.jobs.byUID["j-1"].runTimes.count; n != 1 {
+	if n := ga.jobs.Get("j-1").RunTimes.Count; n != 1 {
 		t.Fatalf("%d runs measured, want the one whose start was seen", n)
 	}
 	s.settle(ga)
@@ -899,8 +899,8 @@
 	heartbeat(t, gb, w)
 	w.End("j-1/1", wire.CauseDone)
 	heartbeat(t, gb, w)
-	if job := gb.jobs.byUID["j-1"]; job.done != 2 || job.runTimes.count != 0 {
-		t.Errorf("done %d, runs measured %d; want 2 and none", job.done, job.runTimes.count)
+	if job := gb.jobs.Get("j-1"); job.Done != 2 || job.RunTimes.Count != 0 {
+		t.Errorf("done %d, runs measured %d; want 2 and none", job.Done, job.RunTimes.Count)
 	}
 }
 
@@ -911,21 +911,21 @@
 	s.resync(l)
 	s.settle(l)
 	l.mu.Lock()
-	l.demand(l.clock.Now())
+	l.autoscaler.Demand(l.scalingView(l.clock.Now()))
 	l.mu.Unlock()
 	w.End("j-1/0", wire.CauseDone)
 	heartbeat(t, l, w)
 	s.settle(l)
 	s.advance(20 * time.Second)
 	l.mu.Lock()
-	held := l.demand(l.clock.Now()).Preemptible.Cores
+	held := l.autoscaler.Demand(l.scalingView(l.clock.Now())).Preemptible.Cores
 	l.mu.Unlock()
 	if held == 0 {
 		t.Error("nothing is held right after work was there")
 	}
 	s.advance(30 * time.Second)
 	l.mu.Lock()
-	need := l.demand(l.clock.Now())
+	need := l.autoscaler.Demand(l.scalingView(l.clock.Now()))
 	l.mu.Unlock()
 	if need.Preemptible.Cores != 0 || need.KeepPreemptible != 0 || need.KeepOnDemand != 0 {
 		t.Errorf("still held: %+v", need)
@@ -950,13 +950,15 @@
 		{"lane", due(64), 18, 46 * clock.Second},
 		{"lane", due(310), 100, 80 * clock.Second},
 		{"lane", due(190), 30, 120 * clock.Second},
-		{"lane", nil, 30, unlimitedSlack},
+		{"lane", nil, 30, jobs.UnlimitedSlack},
 		{"other", due(310), 100, 210 * clock.Second},
-		{"other", nil, 100, unlimitedSlack},
+		{"other", nil, 100, jobs.UnlimitedSlack},
 	} {
-		job := &Job{priority: wire.PriorityStandard, spec: spec("j-1", func(sp *wire.Spec) { sp.Class, sp.DeadlineS, sp.ExpectedS = tt.class, tt.due, tt.expect })}
-		l.newPlanJob(job)
-		if got := job.slackAt(0); got != tt.want {
+		record := store.JobRecord{Spec: spec("j-1", func(sp *wire.Spec) {
+			sp.Priority, sp.Class, sp.DeadlineS, sp.ExpectedS = "standard", tt.class, tt.due, tt.expect
+		})}
+		job := jobs.New(record, 1, &l.cfg.Facts, 0)
+		if got := job.Slack(0); got != tt.want {
 			t.Errorf("%s due %v, expected to run %v s: slack %v, want %v", tt.class, tt.due, tt.expect, got, tt.want)
 		}
 	}
@@ -981,7 +983,7 @@
 	if got := w.Starts(); len(got) != 0 {
 		t.Errorf("started %v of a job that is done", got)
 	}
-	if l.jobs.byUID["j-1"] != nil {
+	if l.jobs.Get("j-1") != nil {
 		t.Error("the job stays on the leader's books")
 	}
 	s.status(n, "j-1", wire.JobDone)
@@ -997,9 +999,9 @@
 	l.mu.Lock()
 	now := l.clock.Now()
 	l.runPlan(now)
-	job := l.jobs.byUID["j-1"]
-	l.stopAttempt(job, job.tasks[0].allocation, now) // never sent, so it is gone at once
-	l.jobs.changed = true
+	job := l.jobs.Get("j-1")
+	l.stopAttempt(job, job.Tasks[0].Allocation, now) // never sent, so it is gone at once
+	l.jobs.SetChanged(true)
 	l.runPlan(now)
 	if got := l.fleet.Machine("n-1").AllocationCount(); got != 1 {
 		t.Errorf("%d bookings of one task", got)
--- a/failures_test.go
+++ b/failures_test.go
@@ -44,7 +44,7 @@
 func banned(l *leader, ws []*standin.Worker) (out []string) {
 	for _, w := range ws {
 		if machine := l.fleet.Machine(w.Beats.Machine); machine.QuarantineReason != "" {
-			out = append(out, machine.Name+" "+machine.QuarantineReason)
+			out = append(out, machine.Name+" "+string(machine.QuarantineReason))
 		}
 	}
 	return out
@@ -91,7 +91,7 @@
 			good()
 			bad()
 		}
-		if got := banned(l, ws); len(got) != 1 || got[0] != "n-1 sick" {
+		if got := banned(l, ws); len(got) != 1 || got[0] != "n-1 failing" {
 			t.Fatalf("bad jobs first: %t: banned %v, want n-1 alone", badFirst, got)
 		}
 		live := 0
@@ -126,14 +126,14 @@
 	s.pass(l, ws, 90)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.jobs.byUID["j-1"].failures.failing {
-		t.Fatalf("not found bad: %+v", l.jobs.byUID["j-1"].failures)
+	if !l.jobs.Get("j-1").Failures.Failing() {
+		t.Fatalf("not found bad: %+v", l.jobs.Get("j-1").Failures)
 	}
-	if need := l.demand(l.clock.Now()); need.Preemptible.Cores > 0 || need.Urgent.Cores > 0 {
+	if need := l.autoscaler.Demand(l.scalingView(l.clock.Now())); need.Preemptible.Cores > 0 || need.Urgent.Cores > 0 {
 		t.Errorf("needed for a bad job: %+v", need)
 	}
-	if len(l.planner.reservedRoom) > 0 {
-		t.Errorf("room is kept for a bad job: %v", l.planner.reservedRoom)
+	if len(l.planner.ReservedRoom()) > 0 {
+		t.Errorf("room is kept for a bad job: %v", l.planner.ReservedRoom())
 	}
 }
 
@@ -178,8 +178,8 @@
 	if got := banned(l, ws); len(got) > 0 {
 		t.Errorf("banned: %v", got)
 	}
-	if job := l.jobs.byUID["j-1"]; job.done != 34 || job.failures.failing {
-		t.Errorf("%d tasks done, bad %t; want 34 and not bad", job.done, job.failures.failing)
+	if job := l.jobs.Get("j-1"); job.Done != 34 || job.Failures.Failing() {
+		t.Errorf("%d tasks done, bad %t; want 34 and not bad", job.Done, job.Failures.Failing())
 	}
 	if tries := startsOf(ws, "j-1"); tries > 34+6*9 {
 		t.Errorf("%d starts: those that fail are not slowed down", tries)
@@ -195,7 +195,7 @@
 	s.pass(l, ws, 30)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if need := l.demand(l.clock.Now()); need.Preemptible.Cores < 24 || need.Urgent.Cores < 24 {
+	if need := l.autoscaler.Demand(l.scalingView(l.clock.Now())); need.Preemptible.Cores < 24 || need.Urgent.Cores < 24 {
 		t.Errorf("needed for 12 replicas of 2 cores: %+v", need)
 	}
 }
@@ -213,7 +213,7 @@
 	ws[0].Fail(true)
 	ws[0].End("j-1/1", wire.CauseError)
 	s.pass(l, ws, 40)
-	if got := banned(l, ws); len(got) != 1 || got[0] != "n-1 sick" {
+	if got := banned(l, ws); len(got) != 1 || got[0] != "n-1 failing" {
 		t.Errorf("banned %v, want the machine as sick", got)
 	}
 	ws = append(ws, s.worker("n-2", "x", true))
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -124,17 +124,17 @@
 	CloudStatus      string       // status in the cloud's list; empty when not listed
 	ListedAt         clock.Micros
 	FirstSeen        clock.Micros
-	IdleSince        clock.Micros // since when nothing is booked; zero when something is
-	Returning        bool         // a return was asked for
-	QuarantineReason string       // why repair must empty it; empty when not banned
-	Cordoned         bool         // gets nothing new, is to be returned when empty
-	SuspendedUntil   clock.Micros // gets nothing new before: several jobs failed on it, and it is not clear yet which is at fault
-	Probing          bool         // is being asked why it is silent
-	UnansweredProbes int          // such questions in a row without an answer
-	Unacknowledged   int          // signs in a row that what it is told takes no effect
-	Suspect          bool         // was silent: one report does not make it trusted again
-	Unresponsive     bool         // among the silent ones
-	Slowness         float64      // observed run time against other machines'; 1 is usual
+	IdleSince        clock.Micros     // since when nothing is booked; zero when something is
+	Returning        bool             // a return was asked for
+	QuarantineReason QuarantineReason // why repair must empty it; empty when not banned
+	Cordoned         bool             // gets nothing new, is to be returned when empty
+	SuspendedUntil   clock.Micros     // gets nothing new before: several jobs failed on it, and it is not clear yet which is at fault
+	Probing          bool             // is being asked why it is silent
+	UnansweredProbes int              // such questions in a row without an answer
+	Unacknowledged   int              // signs in a row that what it is told takes no effect
+	Suspect          bool             // was silent: one report does not make it trusted again
+	Unresponsive     bool             // among the silent ones
+	Slowness         float64          // observed run time against other machines'; 1 is usual
 	SlownessSamples  int
 
 	UsedCores        float64
@@ -257,7 +257,8 @@
 		orphans: map[TaskID]map[*Machine]bool{}}
 }
 
-func (f *Fleet) machineChanged(m *Machine) {
+// MachineChanged tells OnMachineChange of a machine of which something changed that matters for placing.
+func (f *Fleet) MachineChanged(m *Machine) {
 	if f.OnMachineChange != nil {
 		f.OnMachineChange(m)
 	}
@@ -289,7 +290,7 @@
 func (f *Fleet) setCapacity(m *Machine) {
 	if b, ok := f.machineTypes[m.Type]; ok && (m.Cores != b.Cores || m.Accelerators != b.Accelerators || m.RAM != b.RAM) {
 		m.Cores, m.Accelerators, m.RAM = b.Cores, b.Accelerators, b.RAM
-		f.machineChanged(m)
+		f.MachineChanged(m)
 	}
 }
 
@@ -311,7 +312,7 @@
 		}
 	})
 	f.setCapacity(m)
-	f.machineChanged(m)
+	f.MachineChanged(m)
 }
 
 // MachineType looks a machine type up.
@@ -366,7 +367,7 @@
 	if m.leaseIndex > 0 {
 		heap.Remove(&f.leases, m.leaseIndex-1)
 	}
-	f.machineChanged(m)
+	f.MachineChanged(m)
 }
 
 // watchLease puts a machine that holds bookings among those whose lease is watched.
@@ -403,7 +404,7 @@
 	m.unchanged = false
 	f.capacityChanged(allocation, 1)
 	f.watchLease(m)
-	f.machineChanged(m)
+	f.MachineChanged(m)
 }
 
 // Adopt books an attempt that a predecessor recorded. Any token below this
@@ -486,7 +487,7 @@
 			m.IdleSince = now
 		}
 	}
-	f.machineChanged(m)
+	f.MachineChanged(m)
 }
 
 // Event is what a report, an expiry or a return taught about a booking.
@@ -562,7 +563,7 @@
 		warned = now + clock.FromSeconds(*report.WarningS)
 	}
 	if (warned > 0) != (m.PreemptionAt > 0) {
-		f.machineChanged(m)
+		f.MachineChanged(m)
 	}
 	m.PreemptionAt = warned
 	if viaHeartbeat {
@@ -603,13 +604,13 @@
 		}
 		if p.Status == wire.TaskRunning && !m.Images[allocation.Image] {
 			m.Images[allocation.Image] = true
-			f.machineChanged(m)
+			f.MachineChanged(m)
 		} else if _, known := m.Images[allocation.Image]; !known {
 			m.Images[allocation.Image] = false
 		}
 		if p.Status == wire.TaskRunning && allocation.RunningSince == 0 {
 			allocation.RunningSince = now
-			f.machineChanged(m)
+			f.MachineChanged(m)
 			events = append(events, Event{Allocation: allocation, Started: true})
 		}
 		if p.Status == wire.TaskEnded && !allocation.Ended {
@@ -619,7 +620,7 @@
 		}
 	}
 	if len(m.Images) != held || m.runningOrphans != before {
-		f.machineChanged(m)
+		f.MachineChanged(m)
 	}
 	steady := len(m.orphans) == 0
 	m.EachAllocation(func(allocation *Allocation) {
@@ -660,7 +661,7 @@
 	m.lastTasks, m.lastTasksToken = append(m.lastTasks[:0], report.RawTasks...), report.Token
 	if unheard {
 		m.Unacknowledged++
-		f.machineChanged(m)
+		f.MachineChanged(m)
 	}
 	return events, true
 }
@@ -671,7 +672,7 @@
 // Acknowledged notes that something told to the worker took effect.
 func (f *Fleet) Acknowledged(m *Machine) {
 	if m.Unacknowledged > 0 {
-		f.machineChanged(m)
+		f.MachineChanged(m)
 	}
 	m.Unacknowledged, m.commandFailed = 0, false
 }
@@ -692,7 +693,7 @@
 func (f *Fleet) heartbeatReceived(m *Machine, now clock.Micros) {
 	if m.Reported && now-m.LastHeartbeat > 2*f.reportInterval && !m.Suspect {
 		m.Suspect = true
-		f.machineChanged(m)
+		f.MachineChanged(m)
 	}
 	if m.Suspect || m.Token < f.firstToken {
 		return
@@ -705,7 +706,7 @@
 func (f *Fleet) trust(m *Machine, now clock.Micros) {
 	if !m.Reported {
 		m.Reported = true
-		f.machineChanged(m)
+		f.MachineChanged(m)
 	}
 	m.UnansweredProbes = 0
 	if m.Unresponsive {
@@ -715,7 +716,7 @@
 				allocation.reservation.Shown()
 			}
 		})
-		f.machineChanged(m)
+		f.MachineChanged(m)
 	}
 	m.LastHeartbeat = now
 	if m.heartbeat == nil {
@@ -759,13 +760,13 @@
 			allocation.Incarnation, allocation.Status = report.Incarnation, ""
 			allocation.reservation.Doubt()
 		})
-		f.machineChanged(m)
+		f.MachineChanged(m)
 	}
 	more, _ := f.Report(now, report, false)
 	m.LastHeartbeat = now
 	if m.Suspect {
 		m.Suspect = false
-		f.machineChanged(m)
+		f.MachineChanged(m)
 	}
 	if anew {
 		f.heartbeatReceived(m, now) // trusted once it knows the token, so that old commands are void
@@ -806,7 +807,7 @@
 	}
 	m.Unresponsive = true
 	m.EachAllocation(func(allocation *Allocation) { allocation.reservation.Doubt() })
-	f.machineChanged(m)
+	f.MachineChanged(m)
 }
 
 // endIncarnationsBefore frees what was booked in sessions before the given one.
@@ -844,7 +845,7 @@
 			f.heartbeats.Remove(m.heartbeat)
 			m.heartbeat = nil
 		}
-		f.machineChanged(m)
+		f.MachineChanged(m)
 	}
 	return events
 }
@@ -998,7 +999,7 @@
 		allocation.Stopping, allocation.StopRequestedAt, allocation.Grace = true, now, leeway
 		allocation.reservation.Stop()
 		allocation.Machine.unchanged = false
-		f.machineChanged(allocation.Machine)
+		f.MachineChanged(allocation.Machine)
 	}
 	return false
 }
--- a/gap_test.go
+++ b/gap_test.go
@@ -395,7 +395,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if allocation := l.jobs.byUID["j-1"].tasks[0].allocation; allocation == nil || allocation.Ended {
+	if allocation := l.jobs.Get("j-1").Tasks[0].Allocation; allocation == nil || allocation.Ended {
 		t.Error("freed without a proof")
 	}
 }
--- a/heartbeats.go
+++ b/heartbeats.go
@@ -1,57 +1,83 @@
 package cedardoor
 
 import (
+	"cedardoor/clock"
 	"cedardoor/fleet"
-	"cedardoor/recovery"
 	"cedardoor/wire"
 )
 
-// Heartbeat takes in a worker's report and says what to answer. A report without
-// news costs a look-up and the comparison of its task list with the last one.
-func (l *leader) Heartbeat(report *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+// Heartbeat takes in a worker's report and says what to answer; ok is false when this node may not
+// answer it. A report without news costs a look-up and the comparison of its task list with the
+// last one.
+func (l *leader) Heartbeat(report *wire.Heartbeat) (response wire.HeartbeatResponse, ok bool) {
 	now := l.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.detector.lastHeartbeat = now
+	l.detector.HeartbeatReceived(now)
 	token, may := l.elector.MayAnswerHeartbeats()
 	if !may || !l.loaded {
 		return wire.HeartbeatResponse{}, false
 	}
-	ans := wire.HeartbeatResponse{Token: token, Commands: []wire.Command{}}
-	if _, gone := l.autoscaler.returnedAt[report.Machine]; gone {
-		// The cloud has said that this machine and all on it are gone, and names
-		// are not given twice: a copy that was under way all this time.
-		return ans, true
+	response = wire.HeartbeatResponse{Token: token, Commands: []wire.Command{}}
+	if l.autoscaler.WasReturned(report.Machine) {
+		return response, true // a copy that was under way all this time
 	}
-	news, fresh := l.fleet.Report(now, report, true)
+	events, fresh := l.fleet.Report(now, report, true)
 	machine := l.fleet.Machine(report.Machine)
 	if !fresh {
-		// A late copy, or a new process that counts from the start again: its lease
-		// is counted as renewed, and the worker itself is asked which it is.
+		// A late copy, or a new process that counts from the start again: its lease is counted as
+		// renewed, and the worker itself is asked which it is.
 		l.fleet.HeartbeatAnswered(machine, now, token)
-		l.probeStaleReporter(machine, now)
-		return ans, true
+		if l.detector.StaleReport(machine, now) {
+			l.startProbe(machine)
+		}
+		return response, true
 	}
+	l.machineReported(machine, now)
+	l.applyEvents(events, now)
+	l.reconciler.AdoptReported(machine, now)
+	l.fleet.HeartbeatAnswered(machine, now, token)
+	if len(events) > 0 {
+		l.wake()
+	}
+	response.Commands = l.fleet.Commands(machine, now, true, l.heartbeatScope(machine))
+	return response, true
+}
+
+// heartbeatScope is what the answer to a machine's heartbeat may hold: no runs while a direct
+// command may bring the same ones.
+func (l *leader) heartbeatScope(machine *fleet.Machine) fleet.Scope {
+	scope := l.commandScope()
+	if scope == fleet.AllCommands && l.dispatcher.InFlight(machine.Name) {
+		return fleet.NoRuns
+	}
+	return scope
+}
+
+// machineReported notes a machine's report, and has it probed where that does not prove that the
+// machine is there now.
+func (l *leader) machineReported(machine *fleet.Machine, now clock.Micros) {
 	if machine.Suspect {
 		l.startProbe(machine)
 	} else if !machine.Reported {
-		l.detector.unconfirmed = append(l.detector.unconfirmed, unconfirmedMachine{machine, now})
+		l.detector.Unconfirmed(machine, now)
 	}
 	if machine.Reported {
-		delete(l.detector.awaited, machine)
-		l.reconciliation.progress.Settle(machine.Name, recovery.MachineReconciled, now)
-		l.machineBooted(machine, now)
+		l.detector.MachineUp(machine)
+		l.reconciler.MachineReported(machine, now)
+		l.autoscaler.MachineUp(machine, now)
 	}
-	l.applyEvents(news, now)
-	l.adoptReported(machine, now)
-	l.fleet.HeartbeatAnswered(machine, now, token)
-	if len(news) > 0 {
-		l.wake()
-	}
-	scope := l.commandScope()
-	if scope == fleet.AllCommands && l.dispatcher.inFlight[machine.Name] {
-		scope = fleet.NoRuns
+}
+
+// counts tells how many tasks of jobs are done and running.
+func (l *leader) counts(uids []string) map[string][2]int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make(map[string][2]int, len(uids))
+	for _, uid := range uids {
+		if job := l.jobs.Get(uid); job != nil && l.loaded {
+			out[uid] = [2]int{job.Done, job.Running}
+		}
 	}
-	ans.Commands = l.fleet.Commands(machine, now, true, scope)
-	return ans, true
+	return out
 }
--- a/leader.go
+++ b/leader.go
@@ -7,14 +7,24 @@
 	"sync"
 
 	"cedardoor/agent"
+	"cedardoor/attribution"
+	"cedardoor/autoscaler"
+	"cedardoor/changefeed"
 	"cedardoor/clock"
 	"cedardoor/cloud"
 	"cedardoor/config"
 	"cedardoor/connlimit"
+	"cedardoor/detector"
+	"cedardoor/dispatcher"
 	"cedardoor/fleet"
+	"cedardoor/jobs"
 	"cedardoor/lead"
 	"cedardoor/metrics"
+	"cedardoor/planinput"
 	"cedardoor/quota"
+	"cedardoor/reconciliation"
+	"cedardoor/recovery"
+	"cedardoor/statewriter"
 	"cedardoor/store"
 )
 
@@ -24,30 +34,32 @@
 //
 // Only the leader's own methods lock mu, and none of them does I/O under it. A component has no
 // lock, does no I/O and never calls another one: it is told the time and what it needs, and
-// returns what follows.
+// returns what follows. Methods whose names end in Locked, and all that take now, are called
+// under the lock.
 type leader struct {
 	environment
 
 	term    lead.Term
 	wakeups chan struct{} // asks the control loop for a pass
 
-	mu             sync.Mutex      // guards everything below
-	ctx            context.Context // the term's, for probes that a heartbeat starts; nil before it runs
-	loaded         bool            // the records have been read
-	fleet          *fleet.Fleet
-	quota          *quota.Ledger // the only count of what teams use
-	jobs           jobTable
-	writer         stateWriter
-	feed           changeFeed
-	reconciliation reconciliation
-	detector       failureDetector
-	attribution    failureAttribution
-	autoscaler     autoscaler
-	planner        plannerInput
-	dispatcher     dispatcher
+	mu              sync.Mutex      // guards everything below
+	ctx             context.Context // the term's, for probes that a heartbeat starts; nil before it runs
+	loaded          bool            // the records have been read
+	catalogRevision uint64          // of the machine types as they are stored; zero when they are not
+	fleet           *fleet.Fleet
+	quota           *quota.Ledger // the only count of what teams use
+	jobs            *jobs.Table
+	writer          *statewriter.Writer
+	feed            *changefeed.Feed
+	reconciler      *reconciliation.Reconciler
+	detector        *detector.Detector
+	attribution     *attribution.Tracker
+	autoscaler      *autoscaler.Autoscaler
+	planner         *planinput.Input
+	dispatcher      *dispatcher.Dispatcher
 }
 
-// environment is what a leader is given by its controller: settings, clients, clock and log.
+// environment is what a leader is given by its controller.
 type environment struct {
 	cfg      *config.Platform
 	operator *config.Operator
@@ -59,42 +71,70 @@
 	log      *slog.Logger
 	metrics  *metrics.Metrics
 	budget   connlimit.Budget
+	// readRecords reads what predecessors left, and isolated tells whether no other controller answers.
+	readRecords func(ctx context.Context, source recovery.Source) (*recovery.Records, error)
+	isolated    func(ctx context.Context) bool
 }
 
 func newLeader(s *Service, term lead.Term) *leader {
-	workers := s.cfg.Facts.Workers
 	ledger := s.newLedger(config.TeamLimits(s.cfg.Facts.Teams))
 	l := &leader{
 		environment: environment{cfg: s.cfg, operator: s.operator, clock: s.clock, store: s.store, elector: s.elector,
-			workers: s.workers, cloud: s.cloud, log: s.log, metrics: s.metrics, budget: s.budget},
+			workers: s.workers, cloud: s.cloud, log: s.log, metrics: s.metrics, budget: s.budget,
+			readRecords: s.readRecords, isolated: s.isolated},
 		term:    term,
 		wakeups: make(chan struct{}, 1),
 		quota:   ledger,
-		fleet:   fleet.New(clock.FromSeconds(workers.LeaseS), clock.FromSeconds(workers.ReportS), term.Token, ledger),
-
-		jobs:           newJobTable(),
-		writer:         newStateWriter(),
-		feed:           newChangeFeed(),
-		reconciliation: newReconciliation(term.Since),
-		detector:       newFailureDetector(term.Since),
-		attribution:    newFailureAttribution(),
-		autoscaler:     newAutoscaler(),
-		planner:        newPlannerInput(s.operator, ledger),
-		dispatcher:     newDispatcher(),
+		jobs:    jobs.NewTable(),
 	}
-	l.fleet.OnMachineChange = func(machine *fleet.Machine) { l.planner.changedMachines[machine] = true }
-	l.fleet.OnCapacityChange = l.capacityChanged
-	l.fleet.DecideOrphan = l.decideOrphan
-	l.reconciliation.readRecords, l.reconciliation.checkIsolated = s.readRecords, s.isolated
+	l.fleet = fleet.New(l.workerLease(), l.reportInterval(), term.Token, ledger)
+	l.addComponents()
+	l.fleet.OnMachineChange = l.planner.MachineChanged
+	l.fleet.OnCapacityChange = l.jobs.CapacityChanged
+	l.fleet.DecideOrphan = l.reconciler.DecideOrphan
 	return l
 }
 
-// wake asks the loop for a pass soon.
-func (l *leader) wake() {
-	select {
-	case l.wakeups <- struct{}{}:
-	default:
-	}
+// addComponents makes the components of a new term.
+func (l *leader) addComponents() {
+	facts, since := &l.cfg.Facts, l.term.Since
+	l.feed = changefeed.New(l.maxUnsynced())
+	l.writer = statewriter.New(l.term.Revision, facts.State, func(job *jobs.Job) bool { return l.reconciler.HasUnreadable(job) })
+	l.attribution = attribution.NewTracker(l.fleet, l.log)
+	l.dispatcher = dispatcher.New(l.fleet, l.budget.Commands, l.workerLease(), since)
+	l.planner = planinput.New(planinput.Settings{Facts: facts, Operator: l.operator, Fleet: l.fleet, Quota: l.quota, Log: l.log})
+	l.detector = detector.New(detector.Settings{Fleet: l.fleet, ReportInterval: l.reportInterval(), Since: since,
+		MaxProbes: l.budget.Questions, Log: l.log})
+	l.autoscaler = autoscaler.New(autoscaler.Settings{Facts: facts, Operator: l.operator, Fleet: l.fleet, Quota: l.quota,
+		Token: l.term.Token, Since: since, Log: l.log})
+	l.reconciler = reconciliation.New(reconciliation.Settings{Jobs: l.jobs, Fleet: l.fleet, Quota: l.quota, Writer: l.writer,
+		Token: l.term.Token, Since: since, PredecessorLease: l.predecessorLease(), MaxReportDelay: l.maxReportDelay(),
+		Now: l.clock.Now, Log: l.log})
+}
+
+// reportInterval is how far apart a worker's heartbeats are.
+func (l *leader) reportInterval() clock.Micros { return clock.FromSeconds(l.cfg.Facts.Workers.ReportS) }
+
+// workerLease is for how long a worker's tasks run on after an answer to a heartbeat.
+func (l *leader) workerLease() clock.Micros { return clock.FromSeconds(l.cfg.Facts.Workers.LeaseS) }
+
+// predecessorLease is how long the answers of a predecessor may keep a worker's lease from now on.
+func (l *leader) predecessorLease() clock.Micros {
+	return (l.workerLease() + lead.AttestationTTL).Stretch(clock.Drift) + clock.Second
+}
+
+// maxReportDelay is how long a worker may take to find this leader where no other controller
+// answers. After a lease there is nothing left to wait for.
+func (l *leader) maxReportDelay() clock.Micros {
+	return min(recovery.ReportWithin(1+len(l.cfg.Others), l.reportInterval()), l.workerLease())
+}
+
+// maxUnsynced is how long a leader may go on that can't read the changes of jobs: its successor must
+// still be able to stop what was cancelled meanwhile in time.
+func (l *leader) maxUnsynced() clock.Micros {
+	workers := &l.cfg.Facts.Workers
+	left := clock.FromSeconds(workers.CancelS) - clock.FromSeconds(workers.LeaseS+l.operator.Lead.TTLs).Stretch(clock.Drift)
+	return max(left, 2*l.reportInterval())
 }
 
 // run leads until ctx ends.
@@ -102,20 +142,54 @@
 	l.mu.Lock()
 	l.ctx = ctx
 	l.mu.Unlock()
-	epoch, err := l.loadRecords(ctx)
+	revision, err := l.loadRecords(ctx)
 	if err != nil {
 		return fmt.Errorf("load records: %w", err)
 	}
-	var wg sync.WaitGroup
-	wg.Go(func() { l.watchJobs(ctx, epoch) })
-	wg.Go(func() { l.autoscaleLoop(ctx) })
-	wg.Go(func() { l.pauseLoop(ctx) })
-	wg.Go(func() { l.orphanLookupLoop(ctx) })
+	var loops sync.WaitGroup
+	loops.Go(func() { l.watchJobs(ctx, revision) })
+	loops.Go(func() { l.autoscaleLoop(ctx) })
+	loops.Go(func() { l.pauseLoop(ctx) })
+	loops.Go(func() { l.orphanLookupLoop(ctx) })
 	l.loop(ctx)
-	wg.Wait()
+	loops.Wait()
 	return nil
 }
 
+// loadRecords reads what predecessors left, and gives the revision up to which it was read.
+func (l *leader) loadRecords(ctx context.Context) (revision uint64, err error) {
+	read := l.beginRead()
+	records, err := l.readRecords(ctx, l.store)
+	if err != nil {
+		return 0, err
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.clock.Now()
+	if records.Demand != nil {
+		l.autoscaler.RestoreDemand(records.Demand)
+	}
+	if records.Catalog != nil {
+		l.catalogRevision = records.Catalog.Stamp
+		l.autoscaler.RestoreCatalog(records.Catalog.Catalog)
+	}
+	l.reconciler.Load(records, reconciliation.Sink{
+		AddJob:       func(record store.JobRecord, modRevision uint64) { l.addRecord(record, modRevision, now) },
+		AwaitMachine: l.detector.Await,
+	}, read.BeganAt, now)
+	l.loaded = true
+	l.readCompleted(read, records.Epoch)
+	return records.Epoch, nil
+}
+
+// wake asks the control loop for a pass soon.
+func (l *leader) wake() {
+	select {
+	case l.wakeups <- struct{}{}:
+	default:
+	}
+}
+
 func (l *leader) sleep(ctx context.Context, d clock.Micros) {
 	select {
 	case <-ctx.Done():
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -306,7 +306,7 @@
 				if wr == nil {
 					return
 				}
-				if len(wr.finished) > 0 {
+				if len(wr.Finished()) > 0 {
 					now = wire.JobDone
 				}
 				record := func() {
@@ -349,8 +349,8 @@
 		}
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		if len(l.writer.finalMoves)+len(l.jobs.byUID)+len(l.writer.dirty)+len(l.writer.staleShared) != 0 {
-			t.Errorf("%d tasks a job: %d moves, %d jobs, %d changes and %d records are left", pieces, len(l.writer.finalMoves), len(l.jobs.byUID), len(l.writer.dirty), len(l.writer.staleShared))
+		if left := l.writer.Backlog(); left.FinalMoves+l.jobs.Len()+left.Dirty+left.StaleShared != 0 {
+			t.Errorf("%d tasks a job: %+v and %d jobs are left", pieces, left, l.jobs.Len())
 		}
 		if left := s.state.Keys(store.PrefixJob); len(left) != 0 {
 			t.Errorf("jobs that have not moved: %v", left)
@@ -378,7 +378,7 @@
 	s.submit(n, spec("j-1", nil))
 	s.resync(l)
 	l.mu.Lock()
-	l.dispatcher.tokenRaisedAt = l.clock.Now() // no raise yet
+	l.dispatcher.TokenRaised(l.clock.Now()) // no raise yet
 	l.mu.Unlock()
 	s.settle(l) // the run is held back and in doubt
 	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
@@ -550,8 +550,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				l.autoscaler.catalog = wire.Catalog{MachineTypes: s.cloud.Builds}
-				l.fleet.SetCatalog(l.autoscaler.catalog)
+				l.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: s.cloud.Builds})
 				if cancelled == (moment == "watch") {
 					t.Fatalf("cancelled by the end of the load: %t", cancelled)
 				}
@@ -569,8 +568,8 @@
 				go func() { defer close(watching); l.watchJobs(ctx, epoch) }()
 				for known := false; !known; runtime.Gosched() {
 					l.mu.Lock()
-					job := l.jobs.byUID["j-2"]
-					known = job == nil || job.cancelled
+					job := l.jobs.Get("j-2")
+					known = job == nil || job.Cancelled
 					l.mu.Unlock()
 				}
 				end()
@@ -790,7 +789,8 @@
 		s.state.Value(k, &rec)
 		rows += len(rec.Rows)
 	}
-	return map[string]int{"jobs": len(l.jobs.byUID), "dirty": len(l.writer.dirty), "lazy": len(l.writer.pendingResults), "queue": len(l.jobs.waiting), "untidy": len(l.writer.staleShared), "finalMoves": len(l.writer.finalMoves),
+	left := l.writer.Backlog()
+	return map[string]int{"jobs": l.jobs.Len(), "dirty": left.Dirty, "pending results": left.PendingResults, "queue": l.jobs.WaitingLen(), "stale shared records": left.StaleShared, "final moves": left.FinalMoves,
 		"bookings": bookings, "unfinished jobs": len(s.state.Keys(store.PrefixJob)), "shared records": len(s.state.Keys(store.PrefixShared)),
 		"rows": rows, "records": len(s.state.Keys(store.PrefixAttempts))}
 }
@@ -959,7 +959,7 @@
 		w.End("j-4/0", wire.CauseDone)
 		heartbeat(t, l, w)
 		l.mu.Lock()
-		l.writer.dirty["j-4"] = true // need not wait for others' results
+		l.writer.MarkDirty("j-4") // need not wait for others' results
 		l.mu.Unlock()
 		drain()
 		cancel()
@@ -1056,7 +1056,7 @@
 			l.mu.Lock()
 			wr := l.buildTransaction() // about to be recorded
 			l.mu.Unlock()
-			if wr == nil || len(wr.finished) != 1 {
+			if wr == nil || len(wr.Finished()) != 1 {
 				t.Fatal("the end is not to be recorded")
 			}
 			want, other := wire.JobCancelled, wire.JobDone
@@ -1458,7 +1458,7 @@
 		l.mu.Lock()
 		wr := l.buildTransaction()
 		l.mu.Unlock()
-		if wr == nil || len(wr.finished) != 1 || !l.commit(t.Context(), wr) {
+		if wr == nil || len(wr.Finished()) != 1 || !l.commit(t.Context(), wr) {
 			t.Fatal("the end was not recorded")
 		}
 		stop()
--- a/model_test.go
+++ b/model_test.go
@@ -27,6 +27,7 @@
 	"cedardoor/internal/link"
 	"cedardoor/internal/standin"
 	"cedardoor/peer"
+	"cedardoor/planinput"
 	"cedardoor/quota"
 	"cedardoor/recovery"
 	"cedardoor/store"
@@ -1366,10 +1367,10 @@
 	defer l.mu.Unlock()
 	sp, _ := w.Job(uid)
 	text := fmt.Sprintf("%+v; leader %s; ", sp, p.name)
-	if job := l.jobs.byUID[uid]; job == nil {
+	if job := l.jobs.Get(uid); job == nil {
 		text += "job unknown; "
 	} else {
-		text += fmt.Sprintf("waiting %v of %d queued jobs; ", job.waiting, len(l.jobs.waiting))
+		text += fmt.Sprintf("waiting %v of %d queued jobs; ", job.Waiting, l.jobs.WaitingLen())
 	}
 	rec, token := store.TokenRecord{}, uint64(0)
 	w.state.Value(store.KeyToken, &rec)
@@ -1377,7 +1378,7 @@
 	text += fmt.Sprintf("token %d, on record %d; ", token, rec.Token)
 	for _, machine := range l.fleet.Machines() {
 		text += fmt.Sprintf("\n%s %s %s cores %v banned %q cordoned %v usable %v tally %d token %d unheard %d;", machine.Name, machine.Type, machine.Zone, machine.UsedCores, machine.QuarantineReason, machine.Cordoned,
-			l.usable(machine, l.clock.Now()), machine.Sequence, machine.Token, machine.Unacknowledged)
+			planinput.Usable(machine, l.clock.Now()), machine.Sequence, machine.Token, machine.Unacknowledged)
 		machine.EachAllocation(func(allocation *fleet.Allocation) {
 			text += fmt.Sprintf("\n  %v#%d %+v", allocation.Task, allocation.Attempt, *allocation)
 		})
--- a/planning.go
+++ b/planning.go
@@ -3,131 +3,118 @@
 import (
 	"cedardoor/clock"
 	"cedardoor/fleet"
+	"cedardoor/jobs"
 	"cedardoor/plan"
+	"cedardoor/planinput"
 )
 
-// runPlan makes a plan and books it. The caller holds mu.
+// runPlan makes a plan, if one is due, and carries it out: rooms are booked and stops ordered. Runs
+// go out once they are recorded.
 func (l *leader) runPlan(now clock.Micros) {
-	round := now >= l.planner.repairAt
-	changed := len(l.planner.changedMachines) > 0 || l.jobs.changed
-	for machine := range l.planner.changedMachines {
-		if !l.refreshMachine(machine, now) {
-			delete(l.planner.changedMachines, machine)
-		}
-	}
-	if !round && (len(l.jobs.waiting) == 0 || !changed && now < l.planner.plannedAt+passInterval) {
-		return // nothing waits, or nothing has changed since it found no room
-	}
-	if round {
-		l.planner.repairAt = now + l.operator.Period()
+	changed := l.planner.HasChanges() || l.jobs.Changed()
+	l.planner.RefreshChanged(func(machine *fleet.Machine) bool { return l.refreshMachine(machine, now) })
+	round, due := l.planner.Due(now, l.jobs.WaitingLen() > 0, changed)
+	if !due {
+		return
 	}
-	l.planner.plannedAt = now
 	began := l.clock.Now()
-	res := plan.Make(l.planInput(now, round))
-	l.jobs.changed = false
-	l.reserveRoom(res.Reservations)
-	l.planner.snapshot.StarvedTurns = res.StarvedTurns
-	for _, launch := range res.Launches {
-		job := l.jobs.byUID[launch.Task.Job]
-		task := &job.tasks[launch.Task.Index]
-		allocation := l.reserve(job, launch.Task.Index, l.fleet.Machine(launch.Machine), now)
-		if allocation == nil {
-			continue
-		}
-		task.attempt = allocation.Attempt
-		job.lastPlacedAt = now
-		job.preemptionExempt = job.preemptionExempt || job.planJob.Starved
-		if job.planJob.OnTrial {
-			l.trialStarted(job, now)
-		}
-		if job.bestEffort() {
-			l.planner.bestEffortTokens--
-		}
-		task.state, task.allocation = taskPlaced, allocation
-		if job.sharesRecord() && job.shared == nil && job.chunks[0].modRevision == 0 {
-			l.joinShared(job)
-		}
-		job.markChanged(launch.Task.Index)
-		l.writer.dirty[job.uid] = true
-		delete(l.writer.pendingResults, job.uid)
+	result := plan.Make(l.snapshot(now, round))
+	l.jobs.SetChanged(false)
+	unplaced := l.planner.Planned(l.jobs, &result, now)
+	for _, launch := range result.Launches {
+		l.launch(launch, now)
 	}
-	for _, id := range res.Preemptions {
-		job := l.jobs.byUID[id.Job]
-		if allocation := job.tasks[id.Index].allocation; allocation != nil {
-			l.log.Debug("preempted", "task", allocation.Task.String(), "host", allocation.Machine.Name)
-			l.stopAttempt(job, allocation, now)
-		}
+	for _, id := range result.Preemptions {
+		l.preempt(id, now)
 	}
-	for _, mv := range res.Moves {
-		job := l.jobs.byUID[mv.Task.Job]
-		task := &job.tasks[mv.Task.Index]
-		t := l.reserve(job, mv.Task.Index, l.fleet.Machine(mv.To), now)
-		if t == nil {
-			continue
-		}
-		task.moveTarget = t
-		l.log.Info("move", "task", task.allocation.Task.String(), "from", mv.From, "to", mv.To, "reason", mv.Reason)
-		l.stopAttempt(job, task.allocation, now)
+	for _, move := range result.Moves {
+		l.move(move, now)
 	}
 	if round {
-		l.metrics.Round(l.clock.Now()-began, res.Violations, len(res.Moves))
-		if res.Violations > 0 || len(res.Moves) > 0 {
-			l.log.Info("repair round", "moves", len(res.Moves), "deferred", res.Deferred, "violations", res.Violations)
+		l.metrics.Round(l.clock.Now()-began, result.Violations, len(result.Moves))
+		if result.Violations > 0 || len(result.Moves) > 0 {
+			l.log.Info("repair round", "moves", len(result.Moves), "deferred", result.Deferred, "violations", result.Violations)
 		}
 	}
-	unplaced := 0
-	for _, n := range res.Unplaced {
-		unplaced += n
-	}
-	if unplaced > 0 && now-l.planner.noRoomLoggedAt > 10*clock.Second {
-		l.planner.noRoomLoggedAt = now
-		l.log.Info("tasks wait for room", "tasks", unplaced, "jobs", len(res.Unplaced))
-	}
 	l.metrics.Queue(unplaced)
 }
 
-// reserve books a task's next attempt on a machine; nil where the ledger refuses it,
-// which knows better than the plan. The caller holds mu.
-func (l *leader) reserve(job *Job, index int, machine *fleet.Machine, now clock.Micros) *fleet.Allocation {
-	allocation := l.newAllocation(job, index, job.tasks[index].attempt+1)
-	allocation.Incarnation = machine.Incarnation
-	if err := l.fleet.Reserve(machine, allocation, now); err != nil {
-		l.log.Error("the plan goes beyond a team's limit", "error", err)
-		return nil
-	}
-	return allocation
+// snapshot readies the snapshot of the cluster for a plan.
+func (l *leader) snapshot(now clock.Micros, round bool) *plan.Snapshot {
+	return l.planner.Snapshot(planinput.View{Now: now, Wall: l.clock.Wall(), Seed: l.writer.NextSequence(), Round: round, Jobs: l.jobs,
+		AvoidFailures: l.attribution.FewMachines(),
+		Trial:         func(job *jobs.Job) []int { return l.trialTasks(job, now) }})
 }
 
-// reserveRoom notes which machines' room is kept for jobs that have waited long. The
-// caller holds mu.
-func (l *leader) reserveRoom(holds map[string]string) {
-	for name := range l.planner.reservedRoom {
-		if holds[name] == "" {
-			if machine := l.fleet.Machine(name); machine != nil {
-				l.planner.changedMachines[machine] = true
-			}
+// refreshMachine judges a machine of which something has changed, and brings the snapshot up to date
+// with it. It tells whether the machine has to be looked at again though nothing changes.
+func (l *leader) refreshMachine(machine *fleet.Machine, now clock.Micros) (again bool) {
+	if current := l.fleet.Machine(machine.Name); current != machine {
+		if current == nil {
+			l.planner.Remove(machine.Name)
 		}
+		l.detector.Forget(machine)
+		l.dispatcher.Forget(machine)
+		l.attribution.Forget(machine)
+		return false
 	}
-	for name, uid := range holds {
-		if job := l.jobs.byUID[uid]; job != nil && job.planJob.ReservedMachine != name {
-			job.planJob.ReservedMachine = name
-			l.planner.changedMachines[l.fleet.Machine(name)] = true
-			l.log.Info("room is kept for a job that has waited long", "job", uid, "host", name)
-		}
+	if machine.SuspendedUntil > 0 && machine.SuspendedUntil <= now {
+		l.attribution.EndSuspension(machine, now)
 	}
-	l.planner.reservedRoom = holds
+	l.detector.EvaluateMachine(machine)
+	return l.planner.Refresh(machine, l.attribution.HasFailures(machine), now)
 }
 
-// stopAttempt stops an attempt, with time to save if it can. The caller holds mu.
-func (l *leader) stopAttempt(job *Job, allocation *fleet.Allocation, now clock.Micros) {
-	leeway := 0.0
-	if allocation.Checkpoints {
-		leeway = allocation.CheckpointGrace + 1
+// launch books a task that waits on a machine.
+func (l *leader) launch(launch plan.Placement, now clock.Micros) {
+	job := l.jobs.Get(launch.Task.Job)
+	task := &job.Tasks[launch.Task.Index]
+	allocation := l.reserve(job, launch.Task.Index, l.fleet.Machine(launch.Machine), now)
+	if allocation == nil {
+		return
+	}
+	job.LastPlacedAt = now
+	job.PreemptionExempt = job.PreemptionExempt || job.Plan.Starved
+	if job.Plan.OnTrial {
+		job.Failures.TrialStarted(now)
+	}
+	if job.IsBestEffort() {
+		l.planner.BestEffortStarted()
 	}
-	if l.fleet.Stop(allocation, leeway, now) {
-		task := &job.tasks[allocation.Task.Index]
-		l.attemptEnded(job, task, allocation, true, now)
+	task.State, task.Allocation, task.Attempt = jobs.TaskPlaced, allocation, allocation.Attempt
+	l.writer.MarkPlaced(job, launch.Task.Index)
+}
+
+// preempt stops a task to make room for another.
+func (l *leader) preempt(id plan.TaskID, now clock.Micros) {
+	job := l.jobs.Get(id.Job)
+	if allocation := job.Tasks[id.Index].Allocation; allocation != nil {
+		l.log.Debug("task preempted", "task", allocation.Task.String(), "machine", allocation.Machine.Name)
+		l.stopAttempt(job, allocation, now)
+	}
+}
+
+// move books a task where it is to go, and stops it where it is.
+func (l *leader) move(move plan.Move, now clock.Micros) {
+	job := l.jobs.Get(move.Task.Job)
+	task := &job.Tasks[move.Task.Index]
+	target := l.reserve(job, move.Task.Index, l.fleet.Machine(move.To), now)
+	if target == nil {
 		return
 	}
-	l.dispatcher.urgentMachines[allocation.Machine] = true
+	task.MoveTarget = target
+	l.log.Info("task moves", "task", task.Allocation.Task.String(), "from", move.From, "to", move.To, "reason", move.Reason)
+	l.stopAttempt(job, task.Allocation, now)
+}
+
+// reserve books a task's next attempt on a machine; nil where the ledger refuses it, which knows
+// better than the plan.
+func (l *leader) reserve(job *jobs.Job, index int, machine *fleet.Machine, now clock.Micros) *fleet.Allocation {
+	allocation := job.NewAllocation(index, job.Tasks[index].Attempt+1)
+	allocation.Incarnation = machine.Incarnation
+	if err := l.fleet.Reserve(machine, allocation, now); err != nil {
+		l.log.Error("the plan goes beyond a team's limit", "error", err)
+		return nil
+	}
+	return allocation
 }
--- a/quota_test.go
+++ b/quota_test.go
@@ -117,7 +117,8 @@
 		t.Errorf("the accepted job: %d %+v", code, v)
 	}
 	gb.mu.Lock()
-	need, bound := gb.demand(gb.clock.Now()), gb.constrainedWork(nil)
+	view := gb.scalingView(gb.clock.Now())
+	need, bound := gb.autoscaler.Demand(view), gb.autoscaler.ConstrainedWork(view, nil)
 	gb.mu.Unlock()
 	if need.OnDemand.Cores > 0 || need.Preemptible.Cores > 0 || len(bound) > 0 {
 		t.Errorf("machines are wanted for what may not run: %+v, %+v", need, bound)
@@ -196,8 +197,8 @@
 	s.resync(l)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if use := l.quota.Usage("team"); use.Total != (quota.Amount{}) || len(l.jobs.byUID) > 0 || len(s.state.Keys(store.PrefixJob)) > 0 {
-		t.Errorf("%+v in use, %d jobs", use, len(l.jobs.byUID))
+	if use := l.quota.Usage("team"); use.Total != (quota.Amount{}) || l.jobs.Len() > 0 || len(s.state.Keys(store.PrefixJob)) > 0 {
+		t.Errorf("%+v in use, %d jobs", use, l.jobs.Len())
 	}
 	if got := fmt.Sprint(l.quota.Teams()); got != "[team]" {
 		t.Errorf("teams %s", got)
--- /dev/null
+++ b/reconciliation/load.go
@@ -0,0 +1,215 @@
+package reconciliation
+
+import (
+	"cedardoor/clock"
+	"cedardoor/fleet"
+	"cedardoor/jobs"
+	"cedardoor/recovery"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+// maxLoggedDamage is how many damaged records are logged one by one.
+const maxLoggedDamage = 5
+
+// Sink is told what the records hold that others keep.
+type Sink struct {
+	// AddJob takes an accepted job in.
+	AddJob func(record store.JobRecord, modRevision uint64)
+	// AwaitMachine notes a machine with recorded attempts.
+	AwaitMachine func(machine *fleet.Machine)
+}
+
+// Load takes in every unfinished job and every recorded attempt. The machines of those may go on
+// under the predecessor's last answers, so each keeps its allocations until it reports or its lease
+// must have run out.
+func (r *Reconciler) Load(records *recovery.Records, sink Sink, began, now clock.Micros) {
+	r.unreadable.predecessorLeasesEnd = now + r.PredecessorLease
+	r.recordDamage(records.Damaged)
+	for uid, state := range records.States {
+		if state == recovery.JobUnreadable || state == recovery.JobUnrecorded {
+			r.unusable[uid] = true
+		}
+	}
+	for _, settled := range records.Settled {
+		r.Writer.AddFinalMove(settled.UID, settled.Stamp, settled.Record)
+	}
+	for _, row := range records.Jobs {
+		sink.AddJob(row.Record, row.Stamp)
+	}
+	l := loader{Reconciler: r, records: records, sink: sink, now: now}
+	for _, chunk := range records.Chunks {
+		l.loadChunk(chunk)
+	}
+	for _, shared := range records.Shared {
+		l.loadShared(shared)
+	}
+	for _, shared := range records.Shared {
+		if shared.Unreadable {
+			r.loadUnreadableShared(shared)
+		}
+	}
+	for job := range r.Jobs.All() {
+		// The predecessor's rate holds the work of the jobs found here.
+		job.ArrivalCounted = records.Demand != nil
+		r.queueJob(job)
+	}
+	r.progress.Loaded(now)
+	r.Log.Info("records loaded", "jobs", len(records.Jobs)+len(records.Settled), "chunks", len(records.Chunks), "revision", records.Epoch,
+		"machines", r.progress.Machines(), "damaged", len(records.Damaged),
+		"took_s", (now - began).Seconds())
+}
+
+// recordDamage keeps and logs what can't be used of the records.
+func (r *Reconciler) recordDamage(damaged []recovery.Damage) {
+	for i, d := range damaged {
+		if i < maxLoggedDamage {
+			r.Log.Error("record can't be used", "key", d.Key, "kind", d.Kind, "detail", d.Detail, "follows", d.Kind.Advice())
+		}
+	}
+	if more := len(damaged) - maxLoggedDamage; more > 0 {
+		r.Log.Error("further records can't be used: see cedardoor recovery", "more", more)
+	}
+	r.damaged = append(r.damaged, damaged...)
+}
+
+// loader takes in records of attempts.
+type loader struct {
+	*Reconciler
+	records *recovery.Records
+	sink    Sink
+	now     clock.Micros
+}
+
+// finishedJob gives a job that is over while some of its tasks may be on machines.
+func (l *loader) finishedJob(uid string) *jobs.Job {
+	job := l.Jobs.Get(uid)
+	if job == nil {
+		final := l.records.Over[uid]
+		job = jobs.NewFinished(uid, &final)
+		l.Jobs.Add(job)
+	}
+	l.Writer.MarkDirty(uid)
+	return job
+}
+
+// isDone tells whether a job's tasks have ended wherever they were.
+func (l *loader) isDone(uid string) bool { return l.records.Over[uid].Status == wire.JobDone }
+
+// chunkJob is the job that a chunk is of, with room for the chunk's tasks; nil when it is not known:
+// what workers show of it is left alone then.
+func (l *loader) chunkJob(row recovery.ChunkRow) *jobs.Job {
+	var job *jobs.Job
+	switch l.records.States[row.UID] {
+	case recovery.JobActive:
+		job = l.Jobs.Get(row.UID)
+	case recovery.JobOver:
+		job = l.finishedJob(row.UID)
+		for len(job.Tasks) < (row.Number+1)*store.TasksPerChunk {
+			job.Tasks = append(job.Tasks, jobs.Task{})
+		}
+	default:
+		return nil
+	}
+	for len(job.Record.Chunks) <= row.Number {
+		job.Record.Chunks = append(job.Record.Chunks, jobs.Chunk{})
+	}
+	return job
+}
+
+// loadChunk takes in the record of some of a job's tasks.
+func (l *loader) loadChunk(row recovery.ChunkRow) {
+	job := l.chunkJob(row)
+	if job == nil {
+		return
+	}
+	job.Record.Chunks[row.Number].ModRevision = row.Stamp
+	first, done := row.Number*store.TasksPerChunk, l.isDone(row.UID)
+	if row.Unreadable && !done {
+		for i := first; i < min(first+store.TasksPerChunk, job.Size()); i++ {
+			l.markUnreadable(job, i, row.Stamp)
+		}
+		return
+	}
+	for i, taskDone := range row.Done {
+		if taskDone && first+i < len(job.Tasks) {
+			job.Tasks[first+i].State = jobs.TaskDone
+			job.Done++
+		}
+	}
+	for _, attempt := range row.Runs {
+		if !done {
+			l.adopt(job, first+attempt.Index, attempt)
+		}
+	}
+}
+
+// loadShared takes in a record that single tasks share.
+func (l *loader) loadShared(row recovery.SharedRow) {
+	if row.Unreadable {
+		return
+	}
+	shared := newSharedRecord(row)
+	for _, entry := range row.Record.Rows {
+		job := l.Jobs.Get(entry.UID)
+		if job == nil && l.records.States[entry.UID] == recovery.JobOver && entry.Machine != "" && !l.isDone(entry.UID) {
+			job = l.finishedJob(entry.UID)
+			job.Tasks = make([]jobs.Task, 1)
+		}
+		switch {
+		case l.unusable[entry.UID]:
+			shared.KeptRows = append(shared.KeptRows, entry)
+		case job == nil || len(job.Tasks) != 1:
+			shared.Version++ // nothing of it can be anywhere: its row goes
+		default:
+			job.Record.Shared = shared
+			shared.Jobs = append(shared.Jobs, job)
+			l.adopt(job, 0, store.TaskAttempt{Attempt: entry.Attempt, Machine: entry.Machine, Incarnation: entry.Incarnation})
+		}
+	}
+	if shared.Version > 0 || len(shared.Jobs)+len(shared.KeptRows) == 0 {
+		shared.Version++
+		l.Writer.MarkStale(shared)
+	}
+}
+
+// newSharedRecord makes a shared record that takes no more jobs.
+func newSharedRecord(row recovery.SharedRow) *jobs.SharedRecord {
+	return &jobs.SharedRecord{Key: row.Key, JobCount: store.JobsPerSharedRecord, Chunk: jobs.Chunk{ModRevision: row.Stamp}}
+}
+
+// adopt takes in an attempt that a predecessor recorded.
+func (l *loader) adopt(job *jobs.Job, index int, attempt store.TaskAttempt) {
+	task := &job.Tasks[index]
+	task.Attempt, task.HasRun = attempt.Attempt, true
+	job.Started = true
+	if attempt.Machine == "" {
+		return
+	}
+	machine := l.Fleet.Ensure(attempt.Machine, l.now)
+	l.sink.AwaitMachine(machine)
+	machine.LeaseEnd = max(machine.LeaseEnd, l.now+l.PredecessorLease)
+	l.progress.Await(machine.Name, machine.LeaseEnd)
+	allocation := job.NewAllocation(index, attempt.Attempt)
+	allocation.Incarnation = attempt.Incarnation
+	l.Fleet.Adopt(machine, allocation, l.now)
+	if job.Cancelled {
+		l.Fleet.Stop(allocation, 0, l.now)
+	}
+	task.State, task.Allocation = jobs.TaskPlaced, allocation
+}
+
+// queueJob readies a job's queue of waiting tasks once its records are in.
+func (r *Reconciler) queueJob(job *jobs.Job) {
+	if job.Cancelled {
+		return
+	}
+	r.Jobs.ResetQueue(job)
+	if job.Done == len(job.Tasks) {
+		r.Writer.MarkDirty(job.UID)
+	}
+	// What a predecessor knew of a job that fails everywhere went with it: one all of whose
+	// attempts are over without any result is tried with one task first.
+	allEnded := job.Started && job.Done == 0 && len(job.Waiting) == len(job.Tasks)
+	job.Failures.Restore(job.Done > 0, allEnded)
+}
--- a/recover_test.go
+++ b/recover_test.go
@@ -11,7 +11,9 @@
 
 	"cedardoor/clock"
 	"cedardoor/config"
+	"cedardoor/fleet"
 	"cedardoor/internal/standin"
+	"cedardoor/reconciliation"
 	"cedardoor/recovery"
 	"cedardoor/store"
 	"cedardoor/wire"
@@ -135,7 +137,7 @@
 	// The leader sees neither the submission nor the cancel: it looks again by itself.
 	sp := spec("j-8", nil)
 	s.write(n, store.FinalKey("j-8"), store.NewFinalRecord(&sp, wire.JobCancelled, "later"))
-	s.pass(l, []*standin.Worker{w}, int(lookupValidFor/clock.Second)+2)
+	s.pass(l, []*standin.Worker{w}, int(reconciliation.LookupValidFor/clock.Second)+2)
 	s.lookUps(l)
 	s.settle(l)
 	if got := w.Live(); len(got) != 0 {
@@ -175,7 +177,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if n := len(l.reconciliation.jobLookups); n == 0 || n > seconds+1 {
+	if n := l.reconciler.LookupCount(); n == 0 || n > seconds+1 {
 		t.Errorf("%d look-ups in %d s", n, seconds)
 	}
 }
@@ -204,8 +206,8 @@
 	if err := l.lookUpJob(t.Context(), "j-9"); err == nil {
 		t.Error("read without the lease")
 	}
-	if state := l.jobState("j-9"); state != recovery.JobNotRead {
-		t.Errorf("taken for %v", state)
+	if decision := l.reconciler.DecideOrphan(fleet.TaskID{Job: "j-9"}, recovery.SignRunning); decision != recovery.LookUp {
+		t.Errorf("decided to %v", decision)
 	}
 	if _, known := l.recoveryReport(); known {
 		t.Error("operators are told of a recovery by a controller that may not lead")
@@ -509,7 +511,7 @@
 	if r := mustReport(t, l); len(r.Damaged) != 3 || r.Stage != recovery.StageComplete {
 		t.Errorf("operators are told %+v", r)
 	}
-	if err := l.readCatalog(t.Context()); err != nil || l.autoscaler.catalogRevision == 0 {
+	if err := l.readCatalog(t.Context()); err != nil || l.catalogRevision == 0 {
 		t.Errorf("the catalogue is not written anew: %v", err)
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -11,8 +11,10 @@
 	"time"
 
 	"cedardoor/agent"
+	"cedardoor/detector"
 	"cedardoor/internal/standin"
 	"cedardoor/peer"
+	"cedardoor/planinput"
 	"cedardoor/store"
 	"cedardoor/wire"
 
@@ -23,7 +25,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	machine := l.fleet.Machine(host)
-	return machine != nil && l.usable(machine, l.clock.Now())
+	return machine != nil && planinput.Usable(machine, l.clock.Now())
 }
 
 // deliver hands a report to the leader without the worker learning the answer.
@@ -78,8 +80,8 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.detector.unconfirmed) != 0 || len(l.detector.unreachable) != 0 {
-		t.Errorf("%d workers wait to be asked and %d that report count as mute", len(l.detector.unconfirmed), len(l.detector.unreachable))
+	if l.detector.UnconfirmedCount() != 0 || l.detector.UnreachableCount() != 0 {
+		t.Errorf("%d workers wait to be probed and %d that report count as unreachable", l.detector.UnconfirmedCount(), l.detector.UnreachableCount())
 	}
 	if got := s.cloud.Returns(); len(got) != 0 {
 		t.Errorf("returned %v", got)
@@ -178,7 +180,7 @@
 		t.Fatal("its task was started elsewhere without proof")
 	}
 	for known := true; known; {
-		l.detector.probesStartedAt = 0
+		l.detector.RecheckSilent()
 		l.probeSilentMachines(t.Context())
 		l.mu.Lock()
 		known = l.fleet.Machine("n-1") != nil
@@ -522,12 +524,12 @@
 	for _, w := range rest {
 		heartbeat(s.t, l, w)
 	}
-	for range unreachableAfterProbes {
-		l.detector.probesStartedAt = 0
+	for range detector.UnreachableAfterProbes {
+		l.detector.RecheckSilent()
 		l.probeSilentMachines(s.t.Context())
 		s.settle(l)
 	}
-	l.detector.probesStartedAt = 0
+	l.detector.RecheckSilent()
 	l.probeSilentMachines(s.t.Context())
 }
 
@@ -556,10 +558,10 @@
 		t.Errorf("returned %v", got)
 	}
 	l.mu.Lock()
-	muted := len(l.detector.unreachable)
+	muted := l.detector.UnreachableCount()
 	l.mu.Unlock()
 	if muted != 3 {
-		t.Errorf("%d machines mute, want 3", muted)
+		t.Errorf("%d machines unreachable, want 3", muted)
 	}
 }
 
@@ -593,22 +595,3 @@
 		t.Errorf("6 tasks take %d and %d changes, 110 take %d and %d", fewPlaced, fewEnded, manyPlaced, manyEnded)
 	}
 }
-
-// Nothing is rented in a zone of whose machines nearly all are silent, and
-// when all zones are, the fault is the controller's own.
-func TestNothingIsRentedInACutZone(t *testing.T) {
-	tests := []struct {
-		quiet, known map[string]int
-		want         map[string]bool
-	}{
-		{map[string]int{"x": 9}, map[string]int{"x": 10, "y": 10}, map[string]bool{"x": true}},
-		{map[string]int{"x": 2}, map[string]int{"x": 2, "y": 10}, map[string]bool{}},
-		{map[string]int{"x": 7}, map[string]int{"x": 10, "y": 10}, map[string]bool{}},
-		{map[string]int{"x": 9, "y": 9}, map[string]int{"x": 10, "y": 10}, nil},
-	}
-	for _, tt := range tests {
-		if got := unreachableZones(tt.quiet, tt.known); !cmp.Equal(got, tt.want) {
-			t.Errorf("silent %v of %v: avoided %v, want %v", tt.quiet, tt.known, got, tt.want)
-		}
-	}
-}
--- /dev/null
+++ b/scaling.go
@@ -0,0 +1,231 @@
+package cedardoor
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+
+	"cedardoor/autoscaler"
+	"cedardoor/clock"
+	"cedardoor/cloud"
+	"cedardoor/fleet"
+	"cedardoor/planinput"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+const (
+	// catalogInterval is how far apart the machine types are read.
+	catalogInterval = 20 * clock.Second
+	// minListInterval is how far apart the machine list is read: it lags by seconds anyway.
+	minListInterval = 3 * clock.Second
+	// machinesPerListSecond is for how many machines the list is read a second later: each page
+	// of it is one of the cloud's few requests.
+	machinesPerListSecond = 500
+	// rentTries is how often a rental is asked for whose answer was lost.
+	rentTries = 3
+	// rentPause is how far apart that is.
+	rentPause = 1 * clock.Second
+)
+
+// autoscaleLoop keeps the machine types and the machine list, and rents and returns machines.
+func (l *leader) autoscaleLoop(ctx context.Context) {
+	var catalogAt, listAt clock.Micros
+	failing := false
+	for ctx.Err() == nil {
+		now := l.clock.Now()
+		var err error
+		if catalogAt == 0 || now-catalogAt > catalogInterval {
+			if err = l.readCatalog(ctx); err == nil {
+				catalogAt = now
+			}
+		}
+		if err == nil && (listAt == 0 || now-listAt > l.machineListInterval()) {
+			if err = l.readMachineList(ctx); err == nil {
+				listAt = now
+			}
+		}
+		if err != nil && !failing && ctx.Err() == nil {
+			l.log.Info("cloud does not answer", "error", err)
+		}
+		failing = err != nil
+		l.checkIsolation(ctx)
+		if l.operator.Fleet.Enabled && listAt != 0 {
+			l.autoscale(ctx)
+			l.saveDemand(ctx)
+		}
+		l.sleep(ctx, clock.FromSeconds(l.operator.Fleet.PeriodS))
+	}
+}
+
+// machineListInterval is how far apart the machine list is read.
+func (l *leader) machineListInterval() clock.Micros {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return minListInterval + clock.Micros(l.fleet.Len()/machinesPerListSecond)*clock.Second
+}
+
+// readCatalog reads the machine types, and records them where they have changed: so any node and any
+// later leader can judge submissions while the cloud does not answer.
+func (l *leader) readCatalog(ctx context.Context) error {
+	catalog, err := l.cloud.Catalog(ctx)
+	if err != nil {
+		return err
+	}
+	l.mu.Lock()
+	changed := l.autoscaler.SetCatalog(catalog)
+	recorded := l.catalogRevision != 0
+	l.mu.Unlock()
+	l.wake()
+	if !changed && recorded {
+		return nil
+	}
+	revision, err := l.commitValue(ctx, store.Urgent, store.KeyCatalog, catalog)
+	if err != nil {
+		l.log.Debug("machine types not recorded", "error", err)
+		return nil
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.catalogRevision = revision
+	return nil
+}
+
+// commitValue records a value under the leader's own record.
+func (l *leader) commitValue(ctx context.Context, priority store.Priority, key string, value any) (revision uint64, err error) {
+	return l.store.Commit(ctx, priority, wire.Txn{
+		Conditions: []wire.Condition{{Key: store.KeyLead, ModRevision: l.term.Revision}},
+		Operations: []wire.Operation{{Set: key, Value: value}},
+	})
+}
+
+// readMachineList takes the cloud's list of machines in.
+func (l *leader) readMachineList(ctx context.Context) error {
+	machines, err := l.cloud.List(ctx)
+	if err != nil {
+		return err
+	}
+	now := l.clock.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.autoscaler.SetMachineList(machines, now)
+	return nil
+}
+
+// saveDemand records the rate of arriving work when that is due.
+func (l *leader) saveDemand(ctx context.Context) {
+	l.mu.Lock()
+	record, due := l.autoscaler.DemandToSave(l.clock.Now())
+	l.mu.Unlock()
+	if !due {
+		return
+	}
+	if _, err := l.commitValue(ctx, store.Normal, store.KeyDemand, record); err != nil {
+		l.log.Debug("demand not recorded", "error", err)
+	}
+}
+
+// scalingView is what the autoscaler looks at. The caller holds mu.
+func (l *leader) scalingView(now clock.Micros) autoscaler.View {
+	return autoscaler.View{Now: now, Wall: l.clock.Wall(), RunningSince: l.detector.RunningSince(), Jobs: l.jobs, Failures: l.attribution,
+		BestEffortRate: l.planner.BestEffortRate(), Awaited: l.detector.IsAwaited, Reconnecting: l.reconciler.Reconnecting(now),
+		Usable: func(machine *fleet.Machine) bool { return planinput.Usable(machine, now) }}
+}
+
+// autoscale makes one pass of the autoscaler and carries out what it decides.
+func (l *leader) autoscale(ctx context.Context) {
+	decision, decided := l.decideScaling()
+	if !decided {
+		return
+	}
+	if len(decision.Return) > 0 {
+		l.returnMachines(ctx, decision.Return[:min(len(decision.Return), wire.MaxReturnPerRequest)])
+	}
+	if decision.LimitReached {
+		l.log.Info("no more machines may be held: fleet.max_machines", "max_machines", l.operator.Fleet.MaxMachines)
+	}
+	// The most pressing first, in whole batches and side by side; what goes beyond the cloud's
+	// requests of a pass is asked for on the next.
+	var requests sync.WaitGroup
+	for _, rental := range autoscaler.SplitRentals(decision.Rent, int(l.cfg.Facts.Cloud.RPS*l.operator.Fleet.PeriodS)) {
+		requests.Go(func() { l.rentMachines(ctx, rental) })
+	}
+	requests.Wait()
+	if decision.Uncordoned {
+		l.wake()
+	}
+}
+
+// decideScaling makes one pass of the autoscaler; false where this leader may not, or does not know
+// enough, to rent and return machines.
+func (l *leader) decideScaling() (decision autoscaler.Decision, decided bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.clock.Now()
+	if _, held := l.elector.HoldsLease(); !held || len(l.autoscaler.Catalog().MachineTypes) == 0 || l.detector.IsolatedFromWorkers(now) {
+		return decision, false
+	}
+	decision = l.autoscaler.Decide(l.scalingView(now))
+	l.metrics.Fleet(decision.Machines, decision.Tasks, decision.Refused)
+	return decision, true
+}
+
+// returnMachines returns machines. Nothing new is put on them from the moment that it is decided;
+// their allocations are freed only by the cloud's answer.
+func (l *leader) returnMachines(ctx context.Context, names []string) {
+	// Judged before this process paused, perhaps: a successor may use them.
+	if _, held := l.elector.HoldsLease(); !held {
+		return
+	}
+	if err := l.cloud.Return(ctx, names); err != nil {
+		l.log.Debug("machines not returned", "error", err)
+		return // they stay marked, and are returned on a later pass
+	}
+	now := l.clock.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, name := range names {
+		l.applyEvents(l.fleet.MachineReturned(name, now), now)
+		l.autoscaler.Returned(name, now)
+	}
+	l.log.Info("machines returned", "machines", fmt.Sprint(names))
+	l.wake()
+}
+
+// rentMachines asks for machines; a lost answer is asked for again under the same name.
+func (l *leader) rentMachines(ctx context.Context, rental cloud.Rental) {
+	l.mu.Lock()
+	request := l.autoscaler.NewRequest(rental)
+	l.mu.Unlock()
+	sentAt := l.clock.Now()
+	machines, err := l.requestRental(ctx, request)
+	now := l.clock.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(machines) < request.Count && (err == nil || errors.Is(err, cloud.ErrNoCapacity)) {
+		l.autoscaler.Refused(request, now)
+	}
+	if err != nil {
+		l.log.Debug("machines not rented", "error", err)
+		return
+	}
+	l.autoscaler.Rented(request, machines, sentAt, now)
+	l.log.Info("machines rented", "type", rental.MachineType, "zone", rental.Zone, "preemptible", rental.Preemptible,
+		"machines", fmt.Sprint(machines))
+}
+
+// requestRental asks for a rental until there is an answer, at most a few times.
+func (l *leader) requestRental(ctx context.Context, request wire.RentRequest) (machines []string, err error) {
+	for range rentTries {
+		if _, held := l.elector.HoldsLease(); !held {
+			return nil, errNotSent
+		}
+		machines, err = l.cloud.Rent(ctx, request)
+		if err == nil || errors.Is(err, cloud.ErrNoCapacity) || ctx.Err() != nil {
+			return machines, err
+		}
+		l.sleep(ctx, rentPause)
+	}
+	return machines, err
+}
--- a/scenes_test.go
+++ b/scenes_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"cedardoor/internal/standin"
+	"cedardoor/planinput"
 	"cedardoor/store"
 	"cedardoor/wire"
 )
@@ -431,7 +432,7 @@
 				}
 			}
 		}
-		if most < agedAfter.Duration()+at(10) {
+		if most < planinput.StarvedAfter.Duration()+at(10) {
 			w.t.Errorf("no job waited for longer than %v: there was room", most)
 		}
 	})
--- a/size_test.go
+++ b/size_test.go
@@ -5,7 +5,9 @@
 	"testing"
 	"time"
 
+	"cedardoor/autoscaler"
 	"cedardoor/cloud"
+	"cedardoor/jobs"
 	"cedardoor/store"
 	"cedardoor/wire"
 
@@ -36,13 +38,13 @@
 		if err := l.addJob(store.JobKey(sp.UID), raw, 1, now); err != nil {
 			t.Fatal(err)
 		}
-		job := l.jobs.byUID[sp.UID]
+		job := l.jobs.Get(sp.UID)
 		for i := range machines {
 			machine := l.fleet.Ensure(fmt.Sprintf("n-%d", i), now)
-			allocation := l.newAllocation(job, i, 1)
+			allocation := job.NewAllocation(i, 1)
 			allocation.Incarnation = 1
 			l.fleet.Adopt(machine, allocation, now)
-			job.tasks[i].state, job.tasks[i].allocation, job.tasks[i].attempt = taskPlaced, allocation, 1
+			job.Tasks[i].State, job.Tasks[i].Allocation, job.Tasks[i].Attempt = jobs.TaskPlaced, allocation, 1
 		}
 	}
 	return s, l
@@ -108,21 +110,26 @@
 		}
 		looked := l.fleet.Examined
 		l.applyEvents(news, now)
-		for uid := range l.writer.pendingResults {
-			l.writer.dirty[uid] = true
+		for job := range l.jobs.All() {
+			l.writer.MarkDirty(job.UID)
 		}
 		last := wire.PriorityCritical
 		for tx := l.buildTransaction(); tx != nil; tx = l.buildTransaction() {
-			if n := len(tx.txn.Operations); n > l.cfg.Facts.State.TxnOps {
+			if n := len(tx.Txn.Operations); n > l.cfg.Facts.State.TxnOps {
 				t.Fatalf("%d changes in a transaction", n)
 			}
-			for _, c := range tx.chunks {
-				if c.job.priority > last {
-					t.Errorf("%s is recorded after work of lower priority", c.job.uid)
+			for _, operation := range tx.Txn.Operations {
+				uid, _, ok := store.ParseChunkKey(operation.Set)
+				if !ok {
+					t.Fatalf("%q is written for tasks that are gone", operation.Set)
 				}
-				last = c.job.priority
-				c.chunk.savedVersion = c.version
+				job := l.jobs.Get(uid)
+				if job.Priority > last {
+					t.Errorf("%s is recorded after work of lower priority", uid)
+				}
+				last = job.Priority
 			}
+			l.writer.Applied(tx, 1, now, l.fleet.MarkDurable)
 		}
 		return looked
 	}
@@ -132,7 +139,7 @@
 			t.Errorf("the loss of 100 of %d machines visits %d", machines, looked)
 		}
 	}
-	got := splitRentals([]cloud.Rental{{MachineType: "b", Zone: "x", Count: 120}, {MachineType: "b", Zone: "y", Preemptible: true, Count: 70}}, 4)
+	got := autoscaler.SplitRentals([]cloud.Rental{{MachineType: "b", Zone: "x", Count: 120}, {MachineType: "b", Zone: "y", Preemptible: true, Count: 70}}, 4)
 	want := []cloud.Rental{{MachineType: "b", Zone: "x", Count: 50}, {MachineType: "b", Zone: "x", Count: 50}, {MachineType: "b", Zone: "x", Count: 20}, {MachineType: "b", Zone: "y", Preemptible: true, Count: 50}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
--- a/stall_test.go
+++ b/stall_test.go
@@ -58,7 +58,7 @@
 	gb, _ := s.elect(b)
 	gb.mu.Lock()
 	defer gb.mu.Unlock()
-	if pc := gb.jobs.byUID["j-1"].tasks[0]; pc.allocation == nil || pc.allocation.Machine.Name != "n-1" {
+	if pc := gb.jobs.Get("j-1").Tasks[0]; pc.Allocation == nil || pc.Allocation.Machine.Name != "n-1" {
 		t.Error("the successor does not count an attempt that may have been sent")
 	}
 }
--- a/swarm_test.go
+++ b/swarm_test.go
@@ -9,6 +9,7 @@
 
 	"cedardoor/config"
 	"cedardoor/internal/standin"
+	"cedardoor/statewriter"
 	"cedardoor/store"
 	"cedardoor/wire"
 )
@@ -210,7 +211,7 @@
 			}
 			s.advance(time.Second)
 			l.mu.Lock()
-			done = l.jobs.byUID["j-1"].done
+			done = l.jobs.Get("j-1").Done
 			looked, l.fleet.Examined = looked+l.fleet.Examined, 0
 			l.mu.Unlock()
 		}
@@ -263,8 +264,8 @@
 	placed := func(uid string) int {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.jobs.byUID[uid].pruneWaiting()
-		return len(l.jobs.byUID[uid].tasks) - len(l.jobs.byUID[uid].waiting)
+		l.jobs.Get(uid).PruneWaiting()
+		return len(l.jobs.Get(uid).Tasks) - len(l.jobs.Get(uid).Waiting)
 	}
 	s.pass(l, ws, 1)
 	first := placed("j-1")
@@ -328,7 +329,7 @@
 	s.resync(l)
 	l.mu.Lock()
 	for _, uid := range uids {
-		l.writer.dirty[uid] = true // recorded already with others' results
+		l.writer.MarkDirty(uid) // recorded already with others' results
 	}
 	l.mu.Unlock()
 	s.pass(l, ws, 3)
@@ -351,9 +352,9 @@
 	// One that is refused does not keep the others up.
 	s.submit(n, spec("j-3", nil))
 	s.resync(l)
-	tx := &transaction{nonce: "x"}
+	tx := &statewriter.Transaction{}
 	for k := range 30 {
-		tx.txn.Operations = append(tx.txn.Operations, wire.Operation{Delete: fmt.Sprintf("p/x/%05d", k)})
+		tx.Txn.Operations = append(tx.Txn.Operations, wire.Operation{Delete: fmt.Sprintf("p/x/%05d", k)})
 	}
 	if !l.commit(t.Context(), tx) {
 		t.Fatal("a refused transaction ends the term")
--- a/teams.go
+++ b/teams.go
@@ -4,6 +4,7 @@
 	"context"
 
 	"cedardoor/clock"
+	"cedardoor/jobs"
 	"cedardoor/peer"
 	"cedardoor/quota"
 )
@@ -116,18 +117,18 @@
 func (l *leader) waitingByTeam() map[string]*quota.WaitingReport {
 	now := l.clock.Now()
 	out := map[string]*quota.WaitingReport{}
-	for job := range l.jobs.waiting {
-		ready, later := job.countWaiting(now)
-		if job.cancelled || ready+later == 0 {
+	for job := range l.jobs.Waiting() {
+		ready, later := job.CountWaiting(now)
+		if job.Cancelled || ready+later == 0 {
 			continue
 		}
-		w := out[job.spec.Team]
+		w := out[job.Spec.Team]
 		if w == nil {
 			w = &quota.WaitingReport{}
-			out[job.spec.Team] = w
+			out[job.Spec.Team] = w
 		}
 		w.Jobs++
-		if job.planJob.Entitled {
+		if job.Plan.Entitled {
 			w.WithinGuarantee += ready + later
 		}
 		w.Add(l.whyWaits(job, now), ready)
@@ -136,30 +137,16 @@
 	return out
 }
 
-// countWaiting counts a job's tasks that wait, apart from those that are backing off.
-func (j *Job) countWaiting(now clock.Micros) (ready, later int) {
-	for _, i := range j.waiting {
-		switch t := &j.tasks[i]; {
-		case t.state != taskWaiting:
-		case t.notBefore > now:
-			later++
-		default:
-			ready++
-		}
-	}
-	return ready, later
-}
-
 // whyWaits tells why those of a job's tasks wait that are not backing off. The caller holds mu.
-func (l *leader) whyWaits(job *Job, now clock.Micros) quota.Reason {
+func (l *leader) whyWaits(job *jobs.Job, now clock.Micros) quota.Reason {
 	switch {
-	case job.cancellationPending:
+	case job.CancellationPending:
 		return quota.ReasonCancelling
-	case !l.fitsTeamLimit(job):
+	case !l.quota.Fits(job.Spec.Team, job.TaskAmount()):
 		return quota.ReasonLimit
-	case job.failures.onTrial():
+	case job.Failures.OnTrial():
 		return quota.ReasonRetry
-	case now-job.seenAt < newJobAge:
+	case now-job.SeenAt < newJobAge:
 		return quota.ReasonNew
 	}
 	return quota.ReasonRoom
