--- /dev/null
+++ b/dispatcher/dispatcher_test.go
@@ -0,0 +1,92 @@
+package dispatcher
+
+import (
+	"testing"
+
+	"cedardoor/clock"
+	"cedardoor/fleet"
+	"cedardoor/quota"
+	"cedardoor/wire"
+)
+
+const firstToken = 5
+
+// fixture is a dispatcher with a machine that has shown the term's token.
+func fixture(t *testing.T, maxInFlight int) (*Dispatcher, *fleet.Fleet, *fleet.Machine) {
+	t.Helper()
+	f := fleet.New(10*clock.Second, clock.Second, firstToken, quota.NewLedger(nil))
+	f.Report(0, &wire.Heartbeat{Machine: "n-1", Endpoint: "e", Incarnation: 1, Sequence: 1, Token: firstToken}, true)
+	return New(f, maxInFlight, 10*clock.Second, 0), f, f.Machine("n-1")
+}
+
+// run books an attempt whose run may be sent.
+func run(t *testing.T, f *fleet.Fleet, machine *fleet.Machine, heartbeatOnly bool) *fleet.Allocation {
+	t.Helper()
+	allocation := &fleet.Allocation{Task: fleet.TaskID{Job: "j-1"}, Attempt: 1, Cores: 1}
+	allocation.Incarnation, allocation.HeartbeatOnly = machine.Incarnation, heartbeatOnly
+	if err := f.Reserve(machine, allocation, 0); err != nil {
+		t.Fatal(err)
+	}
+	f.MarkDurable(allocation)
+	return allocation
+}
+
+func noOrphans(*fleet.Machine) bool { return false }
+
+func TestPrepare(t *testing.T) {
+	tests := []struct {
+		name          string
+		scope         fleet.Scope
+		heartbeatOnly bool
+		maxInFlight   int
+		commands      int
+		stillUrgent   bool
+	}{
+		{"a run", fleet.AllCommands, false, 4, 1, false},
+		{"a run that goes with heartbeats only", fleet.AllCommands, true, 4, 0, false},
+		{"no runs now", fleet.NoRuns, false, 4, 0, true},
+		{"only stops", fleet.StopsOnly, false, 4, 0, true},
+		{"too many in flight", fleet.AllCommands, false, 0, 0, true},
+	}
+	for _, tt := range tests {
+		d, f, machine := fixture(t, tt.maxInFlight)
+		run(t, f, machine, tt.heartbeatOnly)
+		d.MarkUrgent(machine)
+		commands := d.Prepare(0, firstToken, tt.scope, noOrphans)
+		if len(commands) != tt.commands || d.IsUrgent(machine) != tt.stillUrgent || d.InFlight("n-1") != (tt.commands > 0) {
+			t.Errorf("%s: %d commands, urgent %t, in flight %t", tt.name, len(commands), d.IsUrgent(machine), d.InFlight("n-1"))
+		}
+	}
+}
+
+// TestOneCommandInFlight: a machine has one command in flight at a time.
+func TestOneCommandInFlight(t *testing.T) {
+	d, f, machine := fixture(t, 4)
+	run(t, f, machine, false)
+	d.MarkUrgent(machine)
+	commands := d.Prepare(0, firstToken, fleet.AllCommands, noOrphans)
+	d.MarkUrgent(machine)
+	if again := d.Prepare(0, firstToken, fleet.AllCommands, noOrphans); len(commands) != 1 || len(again) != 0 {
+		t.Fatalf("%d commands, then %d", len(commands), len(again))
+	}
+	d.Completed(commands[0])
+	if d.InFlightCount() != 0 {
+		t.Error("still in flight after it completed")
+	}
+}
+
+// TestFencing: a run that went unanswered is fenced at once, but not often.
+func TestFencing(t *testing.T) {
+	d, f, machine := fixture(t, 4)
+	run(t, f, machine, false)
+	d.MarkUrgent(machine)
+	command := d.Prepare(0, firstToken, fleet.AllCommands, noOrphans)[0]
+	f.CommandCompleted(command, fleet.OutcomeUnknown)
+	if !d.FencingDue(clock.Second, firstToken) {
+		t.Error("a run in doubt is not fenced")
+	}
+	d.TokenRaised(clock.Second)
+	if d.FencingDue(2*clock.Second, firstToken) {
+		t.Error("the token is raised again within seconds")
+	}
+}
--- /dev/null
+++ b/reconciliation/reconciler_test.go
@@ -0,0 +1,183 @@
+package reconciliation
+
+import (
+	"log/slog"
+	"slices"
+	"testing"
+
+	"cedardoor/clock"
+	"cedardoor/config"
+	"cedardoor/fleet"
+	"cedardoor/jobs"
+	"cedardoor/quota"
+	"cedardoor/recovery"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+const firstToken = 7
+
+// writer notes what it is told.
+type writer struct {
+	dirty, results []string
+	stale          []*jobs.SharedRecord
+	moves          []string
+}
+
+func (w *writer) MarkDirty(uid string)                     { w.dirty = append(w.dirty, uid) }
+func (w *writer) MarkResult(job *jobs.Job, _ clock.Micros) { w.results = append(w.results, job.UID) }
+func (w *writer) MarkStale(shared *jobs.SharedRecord)      { w.stale = append(w.stale, shared) }
+func (w *writer) AddFinalMove(uid string, _ uint64, _ store.FinalRecord) {
+	w.moves = append(w.moves, uid)
+}
+
+type fixture struct {
+	*Reconciler
+	writer  *writer
+	now     clock.Micros
+	awaited []string
+}
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	ledger := quota.NewLedger(nil)
+	f := &fixture{writer: &writer{}}
+	f.Reconciler = New(Settings{Jobs: jobs.NewTable(), Fleet: fleet.New(10*clock.Second, clock.Second, firstToken, ledger), Quota: ledger,
+		Writer: f.writer, Token: firstToken, PredecessorLease: 12 * clock.Second, MaxReportDelay: 5 * clock.Second,
+		Now: func() clock.Micros { return f.now }, Log: slog.New(slog.DiscardHandler)})
+	f.Fleet.DecideOrphan = f.DecideOrphan
+	return f
+}
+
+// load takes records in.
+func (f *fixture) load(records *recovery.Records) {
+	f.Load(records, Sink{
+		AddJob: func(record store.JobRecord, modRevision uint64) {
+			f.Jobs.Add(jobs.New(record, modRevision, &config.Facts{}, f.now))
+		},
+		AwaitMachine: func(machine *fleet.Machine) { f.awaited = append(f.awaited, machine.Name) },
+	}, f.now, f.now)
+}
+
+// report has a machine report that tasks run there.
+func (f *fixture) report(machine string, token uint64, tasks ...wire.TaskReport) *fleet.Machine {
+	report := &wire.Heartbeat{Machine: machine, Endpoint: "e", Incarnation: 1, Sequence: uint64(f.now) + 1, Token: token, Tasks: tasks}
+	f.Fleet.Report(f.now, report, true)
+	return f.Fleet.Machine(machine)
+}
+
+func jobRow(uid string, tasks int) recovery.JobRow {
+	spec := wire.Spec{UID: uid, Kind: wire.KindBatch, Priority: "standard", Tasks: tasks, Cores: 1}
+	return recovery.JobRow{Record: store.JobRecord{Spec: spec}, Stamp: 4}
+}
+
+// TestLoad takes in a job with a task that is done, one on a machine and one that waits.
+func TestLoad(t *testing.T) {
+	f := newFixture(t)
+	f.load(&recovery.Records{
+		Jobs:   []recovery.JobRow{jobRow("j-1", 3)},
+		States: map[string]recovery.JobState{"j-1": recovery.JobActive},
+		Chunks: []recovery.ChunkRow{{UID: "j-1", Stamp: 6, Done: []bool{true, false, false},
+			Runs: []store.TaskAttempt{{Index: 1, Attempt: 2, Machine: "n-1", Incarnation: 1}}}},
+		Settled: []recovery.SettledRow{{UID: "j-2"}},
+	})
+	job := f.Jobs.Get("j-1")
+	if job.Done != 1 || !slices.Equal(job.Waiting, []int{2}) || job.Record.Chunks[0].ModRevision != 6 {
+		t.Errorf("%d done, %v waiting, chunk %+v", job.Done, job.Waiting, job.Record.Chunks[0])
+	}
+	task := &job.Tasks[1]
+	if task.State != jobs.TaskPlaced || task.Attempt != 2 || !task.Allocation.Durable || !task.Allocation.Adopted {
+		t.Errorf("the recorded attempt is taken in as %+v", task)
+	}
+	machine := f.Fleet.Machine("n-1")
+	if !slices.Equal(f.awaited, []string{"n-1"}) || machine.LeaseEnd < f.PredecessorLease {
+		t.Errorf("awaited %v, lease until %v", f.awaited, machine.LeaseEnd)
+	}
+	if !slices.Equal(f.writer.moves, []string{"j-2"}) {
+		t.Errorf("to be moved: %v", f.writer.moves)
+	}
+}
+
+// TestUnreadableTasks: a task whose record can't be decoded is started nowhere before a machine shows
+// it or all machines are accounted for.
+func TestUnreadableTasks(t *testing.T) {
+	f := newFixture(t)
+	f.load(&recovery.Records{
+		Jobs:   []recovery.JobRow{jobRow("j-1", 2)},
+		States: map[string]recovery.JobState{"j-1": recovery.JobActive},
+		Chunks: []recovery.ChunkRow{{UID: "j-1", Stamp: 6, Unreadable: true}},
+	})
+	job := f.Jobs.Get("j-1")
+	if len(job.Waiting) != 0 || !f.HasUnreadable(job) || f.Report(f.now).Attempts.Unreadable != 2 {
+		t.Fatalf("waiting %v, unreadable %d", job.Waiting, f.Report(f.now).Attempts.Unreadable)
+	}
+	f.now = clock.Second
+	machine := f.report("n-1", firstToken, wire.TaskReport{Task: "j-1/0", Attempt: 5, Status: wire.TaskRunning})
+	f.AdoptReported(machine, f.now)
+	if task := &job.Tasks[0]; task.State != jobs.TaskPlaced || task.Attempt != 5 || job.Running != 1 {
+		t.Errorf("shown by a machine, and taken in as %+v", task)
+	}
+	f.ReleaseUnreadable(f.now)
+	if len(job.Waiting) != 0 {
+		t.Error("released before the predecessor's leases are over")
+	}
+	f.now = f.PredecessorLease + 1
+	f.report("n-1", firstToken, wire.TaskReport{Task: "j-1/0", Attempt: 5, Status: wire.TaskRunning})
+	f.ReleaseUnreadable(f.now)
+	if !slices.Equal(job.Waiting, []int{1}) || f.HasUnreadable(job) {
+		t.Errorf("waiting %v once every machine is accounted for, want the task that none shows", job.Waiting)
+	}
+	if job.Tasks[1].Attempt < firstUnreadableAttempt {
+		t.Errorf("attempt %d may be numbered twice", job.Tasks[1].Attempt)
+	}
+}
+
+// TestOrphanIsLookedUpBeforeItIsStopped: a task of a job that is not known is left alone until its job
+// was read.
+func TestOrphanIsLookedUpBeforeItIsStopped(t *testing.T) {
+	f := newFixture(t)
+	id := fleet.TaskID{Job: "j-9"}
+	if d := f.DecideOrphan(id, recovery.SignRunning); d != recovery.LookUp {
+		t.Errorf("decided to %v before the job was read", d)
+	}
+	select {
+	case <-f.LookupsWanted():
+	default:
+		t.Error("no look-up is wanted")
+	}
+	if got := f.TakeWantedLookups(); !slices.Equal(got, []string{"j-9"}) {
+		t.Errorf("to be read: %v", got)
+	}
+	tests := []struct {
+		state recovery.JobState
+		want  recovery.Decision
+	}{
+		{recovery.JobUnrecorded, recovery.Retain},
+		{recovery.JobUnreadable, recovery.Retain},
+		{recovery.JobOver, recovery.Stop},
+	}
+	for _, tt := range tests {
+		f.LookedUp("j-9", tt.state, f.now)
+		if d := f.DecideOrphan(id, recovery.SignRunning); d != tt.want {
+			t.Errorf("%v: decided to %v, want %v", tt.state, d, tt.want)
+		}
+	}
+	f.now += LookupValidFor + 1
+	f.DecideOrphan(id, recovery.SignRunning)
+	if got := f.TakeWantedLookups(); len(got) != 0 {
+		t.Errorf("a job that is over is read again: %v", got)
+	}
+}
+
+// TestUnusableRecordsAreKept: rows of a job whose own record is missing stay in the shared record.
+func TestUnusableRecordsAreKept(t *testing.T) {
+	f := newFixture(t)
+	row := store.SharedRow{UID: "j-1", Attempt: 1, Machine: "n-1", Incarnation: 1}
+	f.load(&recovery.Records{
+		States: map[string]recovery.JobState{"j-1": recovery.JobUnrecorded},
+		Shared: []recovery.SharedRow{{Key: "s/1.1", Stamp: 3, Record: store.SharedRecord{Rows: []store.SharedRow{row}}}},
+	})
+	if !f.IsUnusable("j-1") || len(f.writer.stale) != 0 {
+		t.Errorf("unusable %t, %d shared records to be written again", f.IsUnusable("j-1"), len(f.writer.stale))
+	}
+}
--- /dev/null
+++ b/statewriter/writer_test.go
@@ -0,0 +1,252 @@
+package statewriter
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	"cedardoor/clock"
+	"cedardoor/config"
+	"cedardoor/fleet"
+	"cedardoor/jobs"
+	"cedardoor/quota"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+const term = 9
+
+// capacity is what the service takes, as a test sets it.
+type capacity struct {
+	spare      int
+	overloaded bool
+}
+
+func (c capacity) SpareWrites() int { return c.spare }
+func (c capacity) Overloaded() bool { return c.overloaded }
+
+var plenty = capacity{spare: 24}
+
+// fixture is a writer with a table of jobs and a machine to place their tasks on.
+type fixture struct {
+	t       *testing.T
+	w       *Writer
+	table   *jobs.Table
+	fleet   *fleet.Fleet
+	machine *fleet.Machine
+}
+
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	f := &fixture{t: t, table: jobs.NewTable(), fleet: fleet.New(clock.Second, clock.Second, 1, quota.NewLedger(nil))}
+	f.w = New(term, config.State{TxnOps: 8, WriteRPS: 30}, func(*jobs.Job) bool { return false })
+	f.machine = f.fleet.Ensure("n-1", 0)
+	return f
+}
+
+func (f *fixture) add(uid string, tasks int, priority string) *jobs.Job {
+	spec := wire.Spec{UID: uid, Kind: wire.KindBatch, Priority: priority, Tasks: tasks, Cores: 1}
+	job := jobs.New(store.JobRecord{Spec: spec}, 5, &config.Facts{}, 0)
+	f.table.Add(job)
+	return job
+}
+
+// place puts a task on the machine.
+func (f *fixture) place(job *jobs.Job, index int) *fleet.Allocation {
+	f.t.Helper()
+	task := &job.Tasks[index]
+	allocation := job.NewAllocation(index, task.Attempt+1)
+	if err := f.fleet.Reserve(f.machine, allocation, 0); err != nil {
+		f.t.Fatal(err)
+	}
+	task.State, task.Allocation, task.Attempt = jobs.TaskPlaced, allocation, allocation.Attempt
+	f.w.MarkPlaced(job, index)
+	return allocation
+}
+
+// finish ends a task with its result.
+func (f *fixture) finish(job *jobs.Job, index int) {
+	task := &job.Tasks[index]
+	allocation := task.Allocation
+	task.Allocation, task.State = nil, jobs.TaskDone
+	job.Done++
+	chunk := f.w.AttemptEnded(job, index)
+	chunk.EndedAttempts = append(chunk.EndedAttempts, allocation)
+	f.fleet.Remove(allocation, 0)
+	f.w.MarkDirty(job.UID)
+}
+
+func (f *fixture) next(c capacity) *Transaction {
+	f.t.Helper()
+	tx, forgotten := f.w.Next(f.table, c, 0)
+	for _, job := range forgotten {
+		f.table.Remove(job)
+	}
+	return tx
+}
+
+func (f *fixture) apply(tx *Transaction, revision uint64) {
+	f.t.Helper()
+	if tx == nil {
+		f.t.Fatal("nothing to record")
+	}
+	for _, job := range f.w.Applied(tx, revision, 0, f.fleet.MarkDurable) {
+		f.table.Remove(job)
+	}
+}
+
+// written lists the keys that a transaction sets or deletes.
+func written(tx *Transaction) (keys []string) {
+	if tx == nil {
+		return nil
+	}
+	for _, operation := range tx.Txn.Operations {
+		if operation.Delete != "" {
+			keys = append(keys, "-"+operation.Delete)
+		} else {
+			keys = append(keys, operation.Set)
+		}
+	}
+	return keys
+}
+
+func (f *fixture) want(tx *Transaction, keys ...string) {
+	f.t.Helper()
+	if got := written(tx); !slices.Equal(got, keys) {
+		f.t.Errorf("writes %q, want %q", got, keys)
+	}
+}
+
+// TestLifeOfAJob follows a job's records from its first attempt until nothing of it is left.
+func TestLifeOfAJob(t *testing.T) {
+	f := newFixture(t)
+	job := f.add("j-1", 2, "standard")
+	allocations := []*fleet.Allocation{f.place(job, 0), f.place(job, 1)}
+	tx := f.next(plenty)
+	f.want(tx, "p/j-1/00000")
+	conditions := []wire.Condition{{Key: "lead", ModRevision: term}, {Key: "p/j-1/00000"}, {Key: "j/j-1", ModRevision: 5}}
+	if !slices.Equal(tx.Txn.Conditions, conditions) {
+		t.Errorf("conditions %v, want %v", tx.Txn.Conditions, conditions)
+	}
+	if allocations[0].Durable {
+		t.Error("durable before the transaction was applied")
+	}
+	f.apply(tx, 20)
+	if !allocations[0].Durable || !allocations[1].Durable {
+		t.Error("not durable after the transaction was applied")
+	}
+	f.finish(job, 0)
+	f.finish(job, 1)
+	f.apply(f.next(plenty), 21)
+	if !job.Cancelled || !allocations[0].ResultDurable || !allocations[1].ResultDurable {
+		t.Errorf("over %t, results durable %t and %t", job.Cancelled, allocations[0].ResultDurable, allocations[1].ResultDurable)
+	}
+	tx = f.next(plenty)
+	f.want(tx, "-p/j-1/00000")
+	f.apply(tx, 22)
+	if f.table.Get("j-1") != nil {
+		t.Error("the job is not forgotten")
+	}
+	tx = f.next(plenty)
+	f.want(tx, "-j/j-1", "f/j-1")
+	f.apply(tx, 23)
+	if f.next(plenty) != nil || f.w.Backlog() != (Backlog{}) {
+		t.Errorf("left to record: %+v", f.w.Backlog())
+	}
+}
+
+// TestSingleTasksShareARecord: jobs of one task take one record, and leave it when they are over.
+func TestSingleTasksShareARecord(t *testing.T) {
+	f := newFixture(t)
+	first, second := f.add("j-1", 1, "standard"), f.add("j-2", 1, "standard")
+	f.place(first, 0)
+	f.place(second, 0)
+	tx := f.next(plenty)
+	f.want(tx, "s/9.1")
+	f.apply(tx, 20)
+	f.finish(first, 0)
+	f.apply(f.next(plenty), 21)
+	if tx := f.next(capacity{overloaded: true}); tx != nil {
+		t.Errorf("writes %q while the service has too much to do", written(tx))
+	}
+	tx = f.next(plenty)
+	f.want(tx, "s/9.1", "-j/j-1", "f/j-1")
+	rows := tx.Txn.Operations[0].Value.(store.SharedRecord).Rows
+	if len(rows) != 1 || rows[0].UID != "j-2" {
+		t.Errorf("the shared record holds %+v, want the job that goes on", rows)
+	}
+}
+
+// TestUrgentWorkGoesFirst: what can wait takes only what is to spare.
+func TestUrgentWorkGoesFirst(t *testing.T) {
+	f := newFixture(t)
+	for i := range 8 {
+		f.place(f.add(fmt.Sprintf("j-1%d", i), 2, "low"), 0)
+	}
+	f.place(f.add("j-9", 2, "critical"), 0)
+	got := written(f.next(capacity{spare: 0}))
+	if len(got) != minDeferredOperations || got[0] != "p/j-9/00000" {
+		t.Errorf("writes %q, want the critical job's first and %d in all", got, minDeferredOperations)
+	}
+}
+
+// TestRefusedTransactionIsMadeOfSingleChanges: one change at fault keeps nothing else up.
+func TestRefusedTransactionIsMadeOfSingleChanges(t *testing.T) {
+	f := newFixture(t)
+	f.place(f.add("j-1", 2, "standard"), 0)
+	f.place(f.add("j-2", 2, "standard"), 0)
+	tx := f.next(plenty)
+	f.want(tx, "p/j-1/00000", "p/j-2/00000")
+	f.w.Refused(tx)
+	f.want(f.next(plenty), "p/j-1/00000")
+}
+
+// TestRequeueKeepsResults: what a transaction held that is never applied is recorded by the next.
+func TestRequeueKeepsResults(t *testing.T) {
+	f := newFixture(t)
+	job := f.add("j-1", 3, "standard")
+	allocation := f.place(job, 0)
+	f.apply(f.next(plenty), 20)
+	f.finish(job, 0)
+	tx := f.next(plenty)
+	f.w.Requeue(tx, nil)
+	if allocation.ResultDurable {
+		t.Error("a result is durable by a transaction that was not applied")
+	}
+	f.apply(f.next(plenty), 21)
+	if !allocation.ResultDurable {
+		t.Error("a result is lost with a transaction that was not applied")
+	}
+}
+
+// TestWroteTellsAnEarlierCopy: the nonce tells whether a record is this transaction's.
+func TestWroteTellsAnEarlierCopy(t *testing.T) {
+	tx := &Transaction{nonce: "9.4"}
+	final := store.FinalRecord{Status: wire.JobCancelled, Nonce: "other"}
+	own := store.FinalRecord{Status: wire.JobDone, Nonce: "9.4"}
+	tests := []struct {
+		name        string
+		record      any
+		isJob       bool
+		wrote, over bool
+	}{
+		{"its chunk", store.ChunkRecord{Nonce: "9.4"}, false, true, false},
+		{"another's chunk", store.ChunkRecord{Nonce: "8.1"}, false, false, false},
+		{"an unfinished job", store.JobRecord{Spec: wire.Spec{UID: "j-1"}}, true, false, false},
+		{"a job that it finished", store.JobRecord{Spec: wire.Spec{UID: "j-1"}, Final: &own}, true, true, true},
+		{"a job that is over otherwise", store.JobRecord{Spec: wire.Spec{UID: "j-1"}, Final: &final}, true, false, true},
+	}
+	for _, tt := range tests {
+		value, err := wire.Marshal(tt.record)
+		if err != nil {
+			t.Fatal(err)
+		}
+		wrote, over, err := tx.Wrote(wire.Row{Value: value}, tt.isJob)
+		if err != nil || wrote != tt.wrote || over != tt.over {
+			t.Errorf("%s: wrote %t, over %t, error %v", tt.name, wrote, over, err)
+		}
+	}
+	if _, _, err := tx.Wrote(wire.Row{Value: []byte{0xc1}}, true); err == nil {
+		t.Error("a record that can't be decoded: no error")
+	}
+}
