--- a/autoscaler/autoscaler.go
+++ b/autoscaler/autoscaler.go
@@ -4,6 +4,7 @@
 package autoscaler
 
 import (
+	"context"
 	"fmt"
 	"log/slog"
 	"math"
@@ -58,6 +59,12 @@
 	Machines(do func(machine *fleet.Machine))
 }
 
+// Awaited tells which machines have yet to find this leader.
+type Awaited interface {
+	// IsAwaited tells whether a machine was recorded by a predecessor and has been silent since.
+	IsAwaited(machine *fleet.Machine) bool
+}
+
 // View is what a pass looks at.
 type View struct {
 	Now          clock.Micros
@@ -67,10 +74,7 @@
 	Failures     Failures
 	// BestEffortRate is how many tasks of the lowest priority may be started in a second.
 	BestEffortRate float64
-	// Usable tells whether a machine may be given tasks.
-	Usable func(machine *fleet.Machine) bool
-	// Awaited tells whether a machine was recorded by a predecessor and has been silent since.
-	Awaited func(machine *fleet.Machine) bool
+	Awaited        Awaited
 	// Reconnecting: the workers have yet to find this leader.
 	Reconnecting bool
 }
@@ -147,6 +151,9 @@
 
 // logPass logs what a pass saw and decided.
 func (a *Autoscaler) logPass(held []cloud.Machine, demand cloud.Demand, resize cloud.Decision, returning []string) {
+	if !a.Log.Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
 	var cores, unused [2]float64 // on-demand and preemptible machines that count, and what of them is unused
 	for i := range held {
 		machine := &held[i]
--- a/autoscaler/autoscaler_test.go
+++ b/autoscaler/autoscaler_test.go
@@ -22,9 +22,14 @@
 type fixture struct {
 	*Autoscaler
 	table   *jobs.Table
-	awaited map[*fleet.Machine]bool
+	awaited awaited
 }
 
+// awaited are machines that have yet to find this leader.
+type awaited map[*fleet.Machine]bool
+
+func (a awaited) IsAwaited(machine *fleet.Machine) bool { return a[machine] }
+
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	operator, err := config.LoadOperator("")
@@ -36,13 +41,12 @@
 	f := fleet.New(18*clock.Second, 3*clock.Second, firstToken, ledger)
 	a := New(Settings{Facts: facts, Operator: operator, Fleet: f, Quota: ledger, Token: firstToken, Log: slog.New(slog.DiscardHandler)})
 	a.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "m", Cores: 8, RAM: 32, BootS: 30, Zones: []string{"x", "y"}}}})
-	return &fixture{Autoscaler: a, table: jobs.NewTable(), awaited: map[*fleet.Machine]bool{}}
+	return &fixture{Autoscaler: a, table: jobs.NewTable(), awaited: awaited{}}
 }
 
 func (f *fixture) view(now clock.Micros) View {
 	return View{Now: now, Wall: now, Jobs: f.table, Failures: attribution.NewTracker(f.Fleet, f.Log), BestEffortRate: 100,
-		Usable:  func(machine *fleet.Machine) bool { return machine.Reported },
-		Awaited: func(machine *fleet.Machine) bool { return f.awaited[machine] }}
+		Awaited: f.awaited}
 }
 
 func (f *fixture) add(uid string, change func(spec *wire.Spec)) *jobs.Job {
--- a/autoscaler/fleet_view.go
+++ b/autoscaler/fleet_view.go
@@ -64,7 +64,7 @@
 			seen.OnDemandCores += allocation.Cores
 		}
 	})
-	if v.Usable(machine) {
+	if machine.Usable(v.Now) {
 		seen.Free.Cores, seen.Free.Accelerators, seen.Free.RAM = machine.Free()
 	} else if machineType, known := a.Fleet.MachineType(machine.Type); known && !seen.Up {
 		seen.Free = capacity(machineType)
@@ -106,12 +106,12 @@
 	case machine.ListedAt > 0 && machine.CloudStatus != wire.MachineBooting && v.Now-machine.FirstSeen > a.silentTimeout():
 		return true
 	}
-	return v.Awaited(machine) && v.Now-a.Since > 2*a.reportInterval()+awaitedSlack && !v.Reconnecting
+	return v.Awaited.IsAwaited(machine) && v.Now-a.Since > 2*a.reportInterval()+awaitedSlack && !v.Reconnecting
 }
 
 // isSilent tells whether a machine that should report does not.
 func (a *Autoscaler) isSilent(v View, machine *fleet.Machine) bool {
-	return v.Awaited(machine) && !machine.Reported && v.Now-a.Since > 2*a.reportInterval() || isUnresponsive(machine)
+	return v.Awaited.IsAwaited(machine) && !machine.Reported && v.Now-a.Since > 2*a.reportInterval() || isUnresponsive(machine)
 }
 
 // isDead tells whether a machine has failed, or has been silent for so long that it is given up.
--- a/model_test.go
+++ b/model_test.go
@@ -27,7 +27,6 @@
 	"cedardoor/internal/link"
 	"cedardoor/internal/standin"
 	"cedardoor/peer"
-	"cedardoor/planinput"
 	"cedardoor/quota"
 	"cedardoor/recovery"
 	"cedardoor/store"
@@ -1378,7 +1377,7 @@
 	text += fmt.Sprintf("token %d, on record %d; ", token, rec.Token)
 	for _, machine := range l.fleet.Machines() {
 		text += fmt.Sprintf("\n%s %s %s cores %v banned %q cordoned %v usable %v tally %d token %d unheard %d;", machine.Name, machine.Type, machine.Zone, machine.UsedCores, machine.QuarantineReason, machine.Cordoned,
-			planinput.Usable(machine, l.clock.Now()), machine.Sequence, machine.Token, machine.Unacknowledged)
+			machine.Usable(l.clock.Now()), machine.Sequence, machine.Token, machine.Unacknowledged)
 		machine.EachAllocation(func(allocation *fleet.Allocation) {
 			text += fmt.Sprintf("\n  %v#%d %+v", allocation.Task, allocation.Attempt, *allocation)
 		})
--- a/planinput/machines.go
+++ b/planinput/machines.go
@@ -15,13 +15,6 @@
 // obey leaves room that may be long in coming.
 const stopGrace = 3 * clock.Second
 
-// Usable tells whether a machine may be given tasks.
-func Usable(machine *fleet.Machine, now clock.Micros) bool {
-	reports := machine.Reported && !machine.Suspect && !machine.Unresponsive && !machine.LeaseExpired(now)
-	stays := !machine.Returning && machine.PreemptionAt == 0
-	return reports && stays && machine.RunningOrphans() == 0 && machine.Cores > 0 && machine.SuspendedUntil <= now
-}
-
 // Remove takes a machine out of the snapshot that is no longer known.
 func (in *Input) Remove(name string) {
 	if in.snapshot.Machine(name) != nil {
@@ -38,7 +31,7 @@
 	}
 	planned.Type, planned.Zone, planned.Preemptible = machine.Type, machine.Zone, machine.Preemptible
 	planned.Cores, planned.Accelerators, planned.RAM = machine.Free()
-	planned.Usable, planned.QuarantineReason, planned.Cordoned = Usable(machine, now), string(machine.QuarantineReason), machine.Cordoned
+	planned.Usable, planned.QuarantineReason, planned.Cordoned = machine.Usable(now), string(machine.QuarantineReason), machine.Cordoned
 	planned.ReservedFor = in.reservedRoom[machine.Name]
 	planned.HasFailures = hasFailures
 	if machineType, known := in.Fleet.MachineType(machine.Type); known {
--- a/rules_test.go
+++ b/rules_test.go
@@ -14,7 +14,6 @@
 	"cedardoor/detector"
 	"cedardoor/internal/standin"
 	"cedardoor/peer"
-	"cedardoor/planinput"
 	"cedardoor/store"
 	"cedardoor/wire"
 
@@ -25,7 +24,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	machine := l.fleet.Machine(host)
-	return machine != nil && planinput.Usable(machine, l.clock.Now())
+	return machine != nil && machine.Usable(l.clock.Now())
 }
 
 // deliver hands a report to the leader without the worker learning the answer.
--- a/scaling.go
+++ b/scaling.go
@@ -9,8 +9,6 @@
 	"cedardoor/autoscaler"
 	"cedardoor/clock"
 	"cedardoor/cloud"
-	"cedardoor/fleet"
-	"cedardoor/planinput"
 	"cedardoor/store"
 	"cedardoor/wire"
 )
@@ -129,8 +127,7 @@
 // scalingView is what the autoscaler looks at. The caller holds mu.
 func (l *leader) scalingView(now clock.Micros) autoscaler.View {
 	return autoscaler.View{Now: now, Wall: l.clock.Wall(), RunningSince: l.detector.RunningSince(), Jobs: l.jobs, Failures: l.attribution,
-		BestEffortRate: l.planner.BestEffortRate(), Awaited: l.detector.IsAwaited, Reconnecting: l.reconciler.Reconnecting(now),
-		Usable: func(machine *fleet.Machine) bool { return planinput.Usable(machine, now) }}
+		BestEffortRate: l.planner.BestEffortRate(), Awaited: l.detector, Reconnecting: l.reconciler.Reconnecting(now)}
 }
 
 // autoscale makes one pass of the autoscaler and carries out what it decides.
