--- a/cloud/arrivals.go
+++ b/cloud/arrivals.go
@@ -6,21 +6,31 @@
 	"cedardoor/clock"
 )
 
-// recently is the span in which a rate of arrivals that has fallen shows first.
-const recently = 30 * clock.Second
+const (
+	// recentSpan is the span in which a rate of arrivals that has fallen shows first.
+	recentSpan = 30 * clock.Second
+	// headroomFactor is the headroom per square of the relative standard error of the work that arrives.
+	headroomFactor = 2.5
+	// minDecay is the least share of a rate that is still expected while there is work left.
+	minDecay = 0.02
+	// minArrivals is how many jobs have to have come for the usual pause between them to be known.
+	minArrivals = 5
+	// longPause is how many times the usual pause without a job means that none come any more.
+	longPause = 5
+)
 
 // Arrival is the work that came with a job, in core-seconds and the like.
 type Arrival struct {
 	At      clock.Micros
 	Work    Load
 	Initial bool // was there when the first leader began
-	Job     any  // tells it from others
+	Job     any  // identifies the job
 }
 
 // Arrivals is the work that came within a window, oldest first.
 type Arrivals struct{ list []Arrival }
 
-// Add notes work that came.
+// Add records work that came.
 func (a *Arrivals) Add(arrival Arrival) { a.list = append(a.list, arrival) }
 
 // Withdraw takes a job's work back: it calls for no machines.
@@ -32,7 +42,7 @@
 	}
 }
 
-// Window is what the arrivals are looked at by.
+// Window is the span over which a rate is taken.
 type Window struct {
 	Now         clock.Micros
 	Since       clock.Micros // when this leader began to count
@@ -46,7 +56,7 @@
 type Rate struct {
 	Load     Load    // what keeps up with it
 	Headroom float64 // share of it that covers how much it varies
-	Decay    float64 // share of the window's rate that the last short while still bears out
+	Decay    float64 // share of the window's rate that the arrivals of late still support
 }
 
 // Rate tells how fast work came within a window.
@@ -55,7 +65,7 @@
 		a.list = a.list[1:]
 	}
 	var sum Load
-	var square float64
+	var sumOfSquares float64
 	recent := 0
 	age := (w.Now - w.Since).Seconds()
 	for _, arrival := range a.list {
@@ -68,12 +78,12 @@
 		sum.Cores += arrival.Work.Cores * weight
 		sum.RAM += arrival.Work.RAM * weight
 		sum.Accelerators += arrival.Work.Accelerators * weight
-		square += arrival.Work.Cores * arrival.Work.Cores
-		if w.Now-arrival.At <= recently {
+		sumOfSquares += arrival.Work.Cores * arrival.Work.Cores
+		if w.Now-arrival.At <= recentSpan {
 			recent++
 		}
 	}
-	rate := Rate{Headroom: headroom(sum.Cores, square, w.MaxHeadroom), Decay: a.fade(recent, w)}
+	rate := Rate{Headroom: headroom(sum.Cores, sumOfSquares, w.MaxHeadroom), Decay: a.decay(recent, w)}
 	span := w.Span.Seconds()
 	if w.Predecessor == (Load{}) {
 		span = min(span, span/2+age)
@@ -90,100 +100,30 @@
 // headroom is what the work arriving in a window calls for beyond its mean, as a
 // share of it: many small jobs vary less in sum than a few large. It goes with
 // the square of the sum's standard error, since a large fleet also works off
-// what comes above the mean sooner: more machines fall free at any time.
-func headroom(sum, square, most float64) float64 {
+// what comes above the mean sooner: more machines become free at any time.
+func headroom(sum, sumOfSquares, limit float64) float64 {
 	if sum <= 0 {
-		return most
+		return limit
 	}
-	return min(most, 2.5*square/(sum*sum))
+	return min(limit, headroomFactor*sumOfSquares/(sum*sum))
 }
 
-// fade is the share of the rate seen over the window that the last short
-// while still bears out: one, unless clearly fewer jobs came in it than at that
+// decay is the share of the rate seen over the window that the arrivals of late, of which
+// there were so many, still support: one, unless clearly fewer jobs came than at that
 // rate. When work stops coming, the machines for it can go soon; and once all of
 // it is done, and none has come for several times as long as usual, at once.
-func (a *Arrivals) fade(recent int, w Window) float64 {
+func (a *Arrivals) decay(recent int, w Window) float64 {
 	seen := len(a.list)
 	if w.Now-w.Since < w.Span || seen == 0 {
 		return 1
 	}
 	last := a.list[seen-1].At
-	quiet := w.Now - last
-	if usual := (last - a.list[0].At) / clock.Micros(max(1, seen-1)); w.Idle && seen >= 5 && quiet > max(recently, 5*usual) {
+	pause := w.Now - last
+	if usual := (last - a.list[0].At) / clock.Micros(max(1, seen-1)); w.Idle && seen >= minArrivals && pause > max(recentSpan, longPause*usual) {
 		return 0
 	}
 	n := float64(recent)
-	likely := (n + 2*math.Sqrt(n) + 2) / max(recently, quiet).Seconds()
-	return max(0.02, min(1, likely*w.Span.Seconds()/float64(seen)))
-}
-
-const (
-	// growthOver is the span whose growth of ordinary demand is expected once more: a
-	// machine takes a boot to come.
-	growthOver = 30 * clock.Second
-	// trendFrom is how much must be known of ordinary demand to tell its trend.
-	trendFrom = 60 * clock.Second
-)
-
-// peak is what was needed at one moment.
-type peak struct {
-	at               clock.Micros
-	onDemand         float64 // cores that only ordinary machines may hold
-	preemptible      float64
-	onDemandReserved float64 // the same as firm, with what is kept in reserve
-	urgent           float64
-}
-
-// Peaks is what was needed over the last while, oldest first.
-type Peaks struct{ list []peak }
-
-// Retention is how long what was needed is held.
-type Retention struct {
-	Now, Since  clock.Micros // this moment, and when this leader began to count
-	Preemptible clock.Micros // on spot machines
-	OnDemand    clock.Micros // on ordinary ones
-	Decay       float64      // share of loaned work's rate that is still borne out
-}
-
-// Retain notes what is needed now and fills in what is to be held of what was needed
-// before: it is likely to be needed again before a new machine could be up, so only what
-// has been too much for a while is given up.
-func (p *Peaks) Retain(need *Demand, pressing float64, h Retention) {
-	need.Growth = p.growth(need.OnDemand.Cores, h)
-	p.list = append(p.list, peak{h.Now, need.OnDemand.Cores, need.Preemptible.Cores, need.OnDemand.Cores*(1+need.ReserveShare) + need.Growth, pressing})
-	for len(p.list) > 0 && h.Now-p.list[0].at > max(h.Preemptible, h.OnDemand) {
-		p.list = p.list[1:]
-	}
-	for _, peak := range p.list {
-		if h.Now-peak.at <= h.Preemptible {
-			// What is held for more work to come goes with the signs that it will.
-			need.KeepPreemptible = max(need.KeepPreemptible, peak.preemptible*h.Decay)
-			need.KeepUrgent = max(need.KeepUrgent, peak.urgent*h.Decay)
-		}
-		if h.Now-peak.at <= h.OnDemand {
-			need.KeepOnDemand = max(need.KeepOnDemand, peak.onDemandReserved)
-		}
-	}
-	// A machine that is emptied while replicas come on the whole is rented again
-	// soon, cold: what the last while added is expected once more.
-	if known := h.Now - p.list[0].at; known >= trendFrom && need.OnDemand.Cores > p.list[0].onDemand {
-		grown := (need.OnDemand.Cores - p.list[0].onDemand) * h.OnDemand.Seconds() / known.Seconds()
-		need.KeepOnDemand = max(need.KeepOnDemand, (need.OnDemand.Cores+grown)*(1+need.ReserveShare))
-	}
-}
-
-// growth is what ordinary demand is about to grow by: replicas arrive faster at some
-// times than at others.
-func (p *Peaks) growth(firm float64, h Retention) float64 {
-	for i := len(p.list) - 1; i >= 0; i-- {
-		if h.Now-p.list[i].at <= growthOver && i > 0 {
-			continue
-		}
-		span := max(10*clock.Second, h.Now-p.list[i].at)
-		if grown := firm - p.list[i].onDemand; grown > 0 && h.Now-h.Since > 2*growthOver {
-			return grown * growthOver.Seconds() / span.Seconds()
-		}
-		break
-	}
-	return 0
+	// An upper bound of the rate, in jobs a second, from the few jobs that came of late.
+	likely := (n + 2*math.Sqrt(n) + 2) / max(recentSpan, pause).Seconds()
+	return max(minDecay, min(1, likely*w.Span.Seconds()/float64(seen)))
 }
--- a/cloud/arrivals_test.go
+++ b/cloud/arrivals_test.go
@@ -6,26 +6,26 @@
 	"cedardoor/clock"
 )
 
-// A rate fades as the time grows in which nothing has come, and is gone once all
+// A rate decays as the time grows in which nothing has come, and is gone once all
 // work is done and the pause is long beside the usual one: machines held for it
 // would be paid for nothing.
-func TestRateFadesAsNothingComes(t *testing.T) {
-	at := func(every, quiet clock.Micros, done bool) float64 {
-		now := 1000 * clock.Second
+func TestRateDecaysWithoutArrivals(t *testing.T) {
+	const s = clock.Second
+	decay := func(interval, pause clock.Micros, idle bool) float64 {
+		now := 1000 * s
 		var arrivals Arrivals
 		for i := range 20 {
-			arrivals.Add(Arrival{At: now - quiet - clock.Micros(19-i)*every})
+			arrivals.Add(Arrival{At: now - pause - clock.Micros(19-i)*interval})
 		}
-		return arrivals.fade(0, Window{Now: now, Span: 120 * clock.Second, Idle: done})
+		return arrivals.decay(0, Window{Now: now, Span: 120 * s, Idle: idle})
 	}
-	const s = clock.Second
-	if a, b := at(2*s, 35*s, false), at(2*s, 70*s, false); a <= b || b <= 0 {
-		t.Errorf("with work left, the rate fades from %v to %v", a, b)
+	if sooner, later := decay(2*s, 35*s, false), decay(2*s, 70*s, false); sooner <= later || later <= 0 {
+		t.Errorf("with work left, the rate decays from %v to %v", sooner, later)
 	}
-	if f := at(2*s, 35*s, true); f != 0 {
-		t.Errorf("all done, and nothing for long: %v of the rate is held for", f)
+	if got := decay(2*s, 35*s, true); got != 0 {
+		t.Errorf("all done, and nothing for long: %v of the rate is held for", got)
 	}
-	if f := at(20*s, 70*s, true); f == 0 {
+	if got := decay(20*s, 70*s, true); got == 0 {
 		t.Error("a pause that is usual here counts as the end")
 	}
 }
--- a/cloud/boot.go
+++ b/cloud/boot.go
@@ -8,20 +8,24 @@
 )
 
 const (
-	// lateShare and lateMargin tell a machine that comes late: the others are up
-	// within one and a half of the stated time.
-	lateShare  = 1.6
+	// lateShare is the share of the stated time after which a boot is late: the others are up
+	// within one and a half of it.
+	lateShare = 1.6
+	// lateMargin is given on top of that.
 	lateMargin = 3 * clock.Second
-	// bootsFor is how long what a boot took says something of those to come.
-	bootsFor = 120 * clock.Second
-	// allLate is how many late boots may be each machine's own fault, and
-	// replacedPart the part of them that is replaced when they are not.
-	allLate      = 3
+	// bootMemory is how long what a boot took says something of those to come.
+	bootMemory = 120 * clock.Second
+	// minLateBoots is how many boots have to be late before the cloud may be at fault.
+	minLateBoots = 3
+	// replacedPart is the part of the late machines that is replaced while the cloud is slow: one in so many.
 	replacedPart = 4
+	// patienceFactor is how many times as long as the slowest boot lately a machine may take
+	// while the cloud is slow.
+	patienceFactor = 1.5
 )
 
 // boot is how long a rented machine took to come up, as a share of what the
-// catalogue says of its type.
+// catalog says of its type.
 type boot struct {
 	at    clock.Micros
 	share float64
@@ -30,27 +34,27 @@
 // BootTimes is how long machines that were rented lately took to come up.
 type BootTimes struct{ boots []boot }
 
-// Booted notes a machine that came up after so long, of a type that is ready after so long.
-func (t *BootTimes) Booted(now, took, ready clock.Micros) {
-	if ready > 0 {
-		t.boots = append(t.boots, boot{at: now, share: float64(max(0, took)) / float64(ready)})
+// Booted notes a machine that took so long to come up, of a type for which so long is expected.
+func (t *BootTimes) Booted(now, took, expected clock.Micros) {
+	if expected > 0 {
+		t.boots = append(t.boots, boot{at: now, share: float64(max(0, took)) / float64(expected)})
 	}
 }
 
 // Shares lists how long the boots took, as shares of the stated times.
 func (t *BootTimes) Shares() []float64 {
-	out := make([]float64, 0, len(t.boots))
-	for _, b := range t.boots {
-		out = append(out, b.share)
+	shares := make([]float64, 0, len(t.boots))
+	for _, boot := range t.boots {
+		shares = append(shares, boot.share)
 	}
-	return out
+	return shares
 }
 
 // Booting is a machine that is not up yet.
 type Booting struct {
 	Name     string
 	Age      clock.Micros // since it was rented
-	Expected clock.Micros // how long its type takes, by the catalogue
+	Expected clock.Micros // how long its type takes, by the catalog
 }
 
 // share is the machine's age as a share of the stated time.
@@ -77,34 +81,34 @@
 // is given up only once it takes clearly longer than those that did come, and
 // longer than the given share of the stated time.
 func (t *BootTimes) Evaluate(now clock.Micros, booting []Booting, patience float64) Overdue {
-	inTime, slow, slowest := t.lately(now)
+	inTime, slow, slowest := t.recent(now)
 	late := slices.DeleteFunc(slices.Clone(booting), func(b Booting) bool { return !b.late() })
 	slices.SortFunc(late, func(a, b Booting) int {
 		return cmp.Or(cmp.Compare(b.share(), a.share()), cmp.Compare(a.Name, b.Name))
 	})
-	out := Overdue{Replace: map[string]bool{}, Return: map[string]bool{}, Late: len(late)}
-	out.CloudSlow = len(late)+slow >= allLate && len(late)+slow > inTime
-	patience = max(patience, 1.5*slowest)
-	for i, b := range late {
-		out.Longest = max(out.Longest, b.share())
+	overdue := Overdue{Replace: map[string]bool{}, Return: map[string]bool{}, Late: len(late)}
+	overdue.CloudSlow = len(late)+slow >= minLateBoots && len(late)+slow > inTime
+	patience = max(patience, patienceFactor*slowest)
+	for i, machine := range late {
+		overdue.Longest = max(overdue.Longest, machine.share())
 		switch {
-		case !out.CloudSlow || b.share() > patience:
-			out.Replace[b.Name], out.Return[b.Name] = true, true
+		case !overdue.CloudSlow || machine.share() > patience:
+			overdue.Replace[machine.Name], overdue.Return[machine.Name] = true, true
 		case i <= len(late)/replacedPart:
-			out.Replace[b.Name] = true
+			overdue.Replace[machine.Name] = true
 		}
 	}
-	return out
+	return overdue
 }
 
-// lately counts the boots that still say something, and gives the longest share.
-func (t *BootTimes) lately(now clock.Micros) (inTime, slow int, slowest float64) {
-	for len(t.boots) > 0 && now-t.boots[0].at > bootsFor {
+// recent forgets boots of long ago, counts the others, and gives the longest share.
+func (t *BootTimes) recent(now clock.Micros) (inTime, slow int, slowest float64) {
+	for len(t.boots) > 0 && now-t.boots[0].at > bootMemory {
 		t.boots = t.boots[1:]
 	}
-	for _, b := range t.boots {
-		slowest = max(slowest, b.share)
-		if b.share > lateShare {
+	for _, boot := range t.boots {
+		slowest = max(slowest, boot.share)
+		if boot.share > lateShare {
 			slow++
 		} else {
 			inTime++
