--- a/jobs/job.go
+++ b/jobs/job.go
@@ -143,11 +143,16 @@
 // plan makes the job as the planner sees it; its counts follow the allocations.
 func (j *Job) plan(startWithin clock.Micros) {
 	spec := &j.Spec
-	j.Plan = &plan.Job{UID: j.UID, Team: spec.Team, Priority: j.Priority, Service: j.IsService(), Gang: j.IsGang(), Tasks: spec.Tasks,
-		Cores: spec.Cores, Accelerators: spec.Accelerators, RAM: spec.RAM, MachineTypes: spec.MachineTypes, Zone: spec.Zone,
-		SameZone: spec.SameZone, Spread: spec.Spread, Preemptible: spec.Preemptible, Image: spec.Image, ImageGB: spec.ImageGB,
-		Order: j.AcceptedUS, StartWithin: startWithin, Slack: UnlimitedSlack,
-		Zones: map[string]int{}, Machines: map[string]int{}}
+	j.Plan = &plan.Job{UID: j.UID, Team: spec.Team, Priority: j.Priority, Order: j.AcceptedUS,
+		Requirements: plan.Requirements{
+			Resources: plan.Resources{Cores: spec.Cores, Accelerators: spec.Accelerators, RAM: spec.RAM},
+			Tasks:     spec.Tasks, Service: j.IsService(), Gang: j.IsGang(),
+			MachineTypes: spec.MachineTypes, Zone: spec.Zone, SameZone: spec.SameZone, Spread: spec.Spread, Preemptible: spec.Preemptible,
+			Image: spec.Image, ImageGB: spec.ImageGB, StartWithin: startWithin,
+		},
+		Progress:  plan.Progress{Slack: UnlimitedSlack},
+		Occupancy: plan.Occupancy{Zones: map[string]int{}, Machines: map[string]int{}},
+	}
 }
 
 // setTargets takes what is expected of the job's class from the platform's objectives.
--- a/plan/index.go
+++ b/plan/index.go
@@ -5,213 +5,218 @@
 	"sort"
 )
 
-// levels is how many classes of free memory machines are kept apart in, eight
-// for each doubling: worst fit looks at the uppermost first.
-const levels = 128
+const (
+	// memoryLevels is how many classes of free memory machines are indexed by: worst fit looks at
+	// the uppermost first.
+	memoryLevels = 128
+	// levelsPerDoubling is how many of them each doubling of the memory has.
+	levelsPerDoubling = 8
+	// coreClasses is how many classes of free cores the machines of a level are indexed by,
+	// four for each doubling: those with too few for a task are not looked at.
+	coreClasses = 32
+	// levelsPerCoreClass makes them coarser than the levels of memory.
+	levelsPerCoreClass = 2
+)
 
-func level(ram float64) int {
-	return max(0, min(levels-1, int(8*math.Log2(1+max(0, ram+slop)))))
+// memoryLevel is the class of an amount of free memory.
+func memoryLevel(ram float64) int {
+	return max(0, min(memoryLevels-1, int(levelsPerDoubling*math.Log2(1+max(0, ram+epsilon)))))
 }
 
-// widths is how many classes of free processors the machines of a level are kept
-// apart in, four for each doubling: those with too few for a task are not looked at.
-const widths = 32
-
-func width(cores float64) int { return min(widths-1, level(cores)/2) }
+// coreClass is the class of a number of free cores.
+func coreClass(cores float64) int { return min(coreClasses-1, memoryLevel(cores)/levelsPerCoreClass) }
 
-// The kinds of machine, in the order in which loaned work prefers them.
+// The kinds of machine, in the order in which preemptible work prefers them.
 const (
-	loaned = iota
-	ordinary
+	kindSpot = iota
+	kindOnDemand
 	kinds
 )
 
-func kindOf(m *Machine) int {
-	if m.Preemptible {
-		return loaned
+func kindOf(machine *Machine) int {
+	if machine.Preemptible {
+		return kindSpot
 	}
-	return ordinary
+	return kindOnDemand
 }
 
 // index finds machines without looking at all of them: by name, by kind and
 // free memory among those that may be given tasks, and by image.
 type index struct {
-	byName  map[string]*Machine
-	all     [kinds][]*Machine
-	open    [kinds][levels]shelf
-	images  map[string][]*Machine
-	perZone map[string]int
-}
-
-// shelf is the machines of a level, by free processors.
-type shelf struct {
-	some  uint32 // a bit for each width that has machines
-	width [widths][]*Machine
+	byName    map[string]*Machine
+	all       [kinds][]*Machine
+	available [kinds][memoryLevels]coreClassList
+	images    map[string][]*Machine // the machines that hold an image, or fetch it
+	perZone   map[string]int        // how many machines are in a zone
 }
 
-// place is where the index holds a machine.
-type place struct {
-	known  bool
-	kind   int // in all
-	nth    int
-	zone   string
-	open   bool
-	oKind  int
-	oLevel int
-	oWidth int
-	oNth   int
-	images map[string]int
+// coreClassList is the machines of a memory level, by free cores.
+type coreClassList struct {
+	nonEmpty uint32 // a bit for each class that has machines
+	machines [coreClasses][]*Machine
 }
 
-func (p *Snapshot) reindex() {
-	p.index = &index{byName: map[string]*Machine{}, images: map[string][]*Machine{}, perZone: map[string]int{}}
-	for _, m := range p.Machines {
-		m.at = place{}
-		p.index.put(m)
-	}
+// indexEntry is where the index holds a machine.
+type indexEntry struct {
+	known     bool
+	kind      int
+	position  int // in all
+	zone      string
+	images    map[string]int // positions in images
+	available availableEntry
 }
 
-// Put takes a machine into the picture, or notes that it has changed.
-func (p *Snapshot) Put(m *Machine) {
-	if p.index == nil {
-		p.reindex()
-	}
-	p.index.put(m)
+// availableEntry is where the index holds a machine that may be given tasks.
+type availableEntry struct {
+	listed             bool
+	kind, level, class int
+	position           int
 }
 
-// Machine looks a machine up.
-func (p *Snapshot) Machine(name string) *Machine {
-	if p.index == nil {
-		p.reindex()
-	}
-	return p.index.byName[name]
-}
-
-// Remove takes a machine out of the picture.
-func (p *Snapshot) Remove(name string) {
-	if m := p.Machine(name); m != nil {
-		p.index.drop(m)
-	}
+func newIndex() *index {
+	return &index{byName: map[string]*Machine{}, images: map[string][]*Machine{}, perZone: map[string]int{}}
 }
 
+// zones lists the zones that have machines, in order.
 func (x *index) zones() []string {
-	out := make([]string, 0, len(x.perZone))
-	for y := range x.perZone {
-		out = append(out, y)
+	zones := make([]string, 0, len(x.perZone))
+	for zone := range x.perZone {
+		zones = append(zones, zone)
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(zones)
+	return zones
 }
 
-// kinds lists the machines of the kinds that a job may use.
-func (x *index) kinds(j *Job) []*Machine {
-	if !j.Preemptible || len(x.all[loaned]) == 0 {
-		return x.all[ordinary]
+// usableBy lists the machines of the kinds that a job may use.
+func (x *index) usableBy(job *Job) []*Machine {
+	spot, onDemand := x.all[kindSpot], x.all[kindOnDemand]
+	if !job.Preemptible || len(spot) == 0 {
+		return onDemand
 	}
-	if len(x.all[ordinary]) == 0 {
-		return x.all[loaned]
+	if len(onDemand) == 0 {
+		return spot
 	}
-	both := make([]*Machine, 0, len(x.all[loaned])+len(x.all[ordinary]))
-	return append(append(both, x.all[loaned]...), x.all[ordinary]...)
+	both := make([]*Machine, 0, len(spot)+len(onDemand))
+	return append(append(both, spot...), onDemand...)
 }
 
-func (x *index) put(m *Machine) {
-	at := &m.at
-	if at.known && at.kind != kindOf(m) {
-		x.drop(m)
+// put takes a machine in, or brings the index up to date with it.
+func (x *index) put(machine *Machine) {
+	entry := &machine.index
+	if entry.known && entry.kind != kindOf(machine) {
+		x.remove(machine)
 	}
-	if !at.known {
-		at.known, at.kind, at.nth = true, kindOf(m), len(x.all[kindOf(m)])
-		x.all[at.kind] = append(x.all[at.kind], m)
-		x.byName[m.Name] = m
-		at.images = map[string]int{}
+	if !entry.known {
+		kind := kindOf(machine)
+		entry.known, entry.kind, entry.position = true, kind, len(x.all[kind])
+		x.all[kind] = append(x.all[kind], machine)
+		x.byName[machine.Name] = machine
+		entry.images = map[string]int{}
 	}
-	if at.zone != m.Zone {
-		x.leave(at.zone)
-		at.zone = m.Zone
-		if m.Zone != "" {
-			x.perZone[m.Zone]++
+	if entry.zone != machine.Zone {
+		x.leaveZone(entry.zone)
+		entry.zone = machine.Zone
+		if machine.Zone != "" {
+			x.perZone[machine.Zone]++
 		}
 	}
-	open := m.Usable && m.QuarantineReason == "" && !m.Cordoned
-	l, w := level(m.RAM), width(m.Cores)
-	if at.open && (!open || at.oLevel != l || at.oWidth != w) {
-		x.shut(m)
+	x.putAvailable(machine)
+	x.putImages(machine)
+}
+
+// putAvailable lists a machine by what is free on it, if it may be given tasks.
+func (x *index) putAvailable(machine *Machine) {
+	entry := &machine.index.available
+	available := machine.available()
+	level, class := memoryLevel(machine.Free.RAM), coreClass(machine.Free.Cores)
+	if entry.listed && (!available || entry.level != level || entry.class != class) {
+		x.removeAvailable(machine)
 	}
-	if open && !at.open {
-		s := &x.open[at.kind][l]
-		at.open, at.oKind, at.oLevel, at.oWidth, at.oNth = true, at.kind, l, w, len(s.width[w])
-		s.width[w] = append(s.width[w], m)
-		s.some |= 1 << w
+	if available && !entry.listed {
+		kind := machine.index.kind
+		list := &x.available[kind][level]
+		*entry = availableEntry{listed: true, kind: kind, level: level, class: class, position: len(list.machines[class])}
+		list.machines[class] = append(list.machines[class], machine)
+		list.nonEmpty |= 1 << class
 	}
-	for b := range at.images {
-		if _, still := m.Images[b]; !still {
-			x.unpicture(m, b)
+}
+
+// putImages lists a machine by its images.
+func (x *index) putImages(machine *Machine) {
+	entry := &machine.index
+	for image := range entry.images {
+		if _, still := machine.Images[image]; !still {
+			x.removeImage(machine, image)
 		}
 	}
-	if len(at.images) != len(m.Images) {
-		for b := range m.Images {
-			if _, known := at.images[b]; !known {
-				at.images[b] = len(x.images[b])
-				x.images[b] = append(x.images[b], m)
-			}
+	if len(entry.images) == len(machine.Images) {
+		return
+	}
+	for image := range machine.Images {
+		if _, known := entry.images[image]; !known {
+			entry.images[image] = len(x.images[image])
+			x.images[image] = append(x.images[image], machine)
 		}
 	}
 }
 
-func (x *index) leave(zone string) {
+// leaveZone counts a machine less in a zone.
+func (x *index) leaveZone(zone string) {
 	if x.perZone[zone]--; x.perZone[zone] <= 0 {
 		delete(x.perZone, zone)
 	}
 }
 
-// shut takes a machine from those that may be given tasks.
-func (x *index) shut(m *Machine) {
-	at := &m.at
-	s := &x.open[at.oKind][at.oLevel]
-	list := s.width[at.oWidth]
-	last := list[len(list)-1]
-	list[at.oNth] = last
-	last.at.oNth = at.oNth
-	list[len(list)-1] = nil
-	if s.width[at.oWidth] = list[:len(list)-1]; len(list) == 1 {
-		s.some &^= 1 << at.oWidth
+// removeAvailable takes a machine from those that may be given tasks.
+func (x *index) removeAvailable(machine *Machine) {
+	entry := &machine.index.available
+	list := &x.available[entry.kind][entry.level]
+	machines, moved := removeAt(list.machines[entry.class], entry.position)
+	moved.index.available.position = entry.position
+	if list.machines[entry.class] = machines; len(machines) == 0 {
+		list.nonEmpty &^= 1 << entry.class
 	}
-	at.open = false
+	entry.listed = false
 }
 
-func (x *index) unpicture(m *Machine, bundle string) {
-	list, n := x.images[bundle], m.at.images[bundle]
-	last := list[len(list)-1]
-	list[n] = last
-	last.at.images[bundle] = n
-	list[len(list)-1] = nil
-	if x.images[bundle] = list[:len(list)-1]; len(list) == 1 {
-		delete(x.images, bundle)
+// removeImage takes a machine from those that have an image.
+func (x *index) removeImage(machine *Machine, image string) {
+	position := machine.index.images[image]
+	machines, moved := removeAt(x.images[image], position)
+	moved.index.images[image] = position
+	if x.images[image] = machines; len(machines) == 0 {
+		delete(x.images, image)
 	}
-	delete(m.at.images, bundle)
+	delete(machine.index.images, image)
 }
 
-func (x *index) drop(m *Machine) {
-	at := &m.at
-	if !at.known {
+// remove takes a machine out.
+func (x *index) remove(machine *Machine) {
+	entry := &machine.index
+	if !entry.known {
 		return
 	}
-	if at.open {
-		x.shut(m)
+	if entry.available.listed {
+		x.removeAvailable(machine)
 	}
-	for b := range at.images {
-		x.unpicture(m, b)
+	for image := range entry.images {
+		x.removeImage(machine, image)
 	}
-	list := x.all[at.kind]
-	last := list[len(list)-1]
-	list[at.nth] = last
-	last.at.nth = at.nth
-	list[len(list)-1] = nil
-	x.all[at.kind] = list[:len(list)-1]
-	x.leave(at.zone)
-	if x.byName[m.Name] == m {
-		delete(x.byName, m.Name)
+	machines, moved := removeAt(x.all[entry.kind], entry.position)
+	moved.index.position = entry.position
+	x.all[entry.kind] = machines
+	x.leaveZone(entry.zone)
+	if x.byName[machine.Name] == machine {
+		delete(x.byName, machine.Name)
 	}
-	m.at = place{}
+	machine.index = indexEntry{}
+}
+
+// removeAt takes a machine out of a list; the last one moves to its position.
+func removeAt(list []*Machine, position int) (shorter []*Machine, moved *Machine) {
+	last := len(list) - 1
+	moved = list[last]
+	list[position] = moved
+	list[last] = nil
+	return list[:last], moved
 }
--- a/plan/preempt.go
+++ b/plan/preempt.go
@@ -5,194 +5,196 @@
 	"cedardoor/quota"
 )
 
-// barelyBegun is how much progress may be lost to spare an urgent task the
-// fetch of its image.
-const barelyBegun = 6 * clock.Second
+const (
+	// maxWarmLoss is how much progress of a task may be lost to spare an urgent task the
+	// fetch of its image.
+	maxWarmLoss = 6 * clock.Second
+	// preemptionCost is what a preemption costs beside the progress that is lost.
+	preemptionCost = clock.Second
+)
 
-// preemption is a machine with the tasks to stop there so that one more fits.
+// preemption is a machine with the tasks to preempt there so that one more fits.
 type preemption struct {
 	machine *Machine
-	victims []int        // indexes in the machine's Lower
+	victims []int        // indexes in the machine's Victims
 	cost    clock.Micros // progress that is lost
 }
 
-// makeRoom finds a machine where stopping less important work lets one task
-// in, and claims the room. The task itself is launched when the stops are confirmed.
+// preemptFor finds a machine where preempting less important work lets one task
+// in, and claims what is freed. The task itself is launched when the stops are confirmed.
 //
 // With warm set, only machines that hold the image count, where no task of
 // the job is yet, and only work that has barely begun, or any for a replica.
-func (pl *planner) makeRoom(j *Job, warm bool) bool {
-	best, found := pl.cheapest(j, pl.sampled(pl.index.kinds(j)), warm)
+func (p *planner) preemptFor(job *Job, warm bool) bool {
+	best, found := p.cheapestPreemption(job, p.sampled(p.index.usableBy(job)), warm)
 	if found {
-		pl.preempt(j, best)
+		p.preempt(job, best)
 	}
 	return found
 }
 
-// makeRoomForAll makes room in one of the zones for a job that starts only whole, where its
-// team is owed all of it: what has no free room gets some by stops. Where not all of its
-// tasks would fit even so, nothing is stopped for it.
-func (pl *planner) makeRoomForAll(w *Waiting, zones []string) {
-	if !pl.withinGuarantee || !pl.Preempt || w.Job.OnTrial {
+// preemptForAll preempts in one of the zones for a job that starts only whole, where its
+// team is owed all of it: what has no free capacity gets some by preemption. Where not all of its
+// tasks would fit even so, nothing is preempted for it.
+func (p *planner) preemptForAll(w *Waiting, zones []string) {
+	if !p.withinGuarantee || !p.Preempt || w.Job.OnTrial {
 		return
 	}
 	for _, zone := range zones {
-		if pl.makeRoomIn(w, zone) {
+		if p.preemptInZone(w, zone) {
 			return
 		}
 	}
 }
 
-// makeRoomIn does so in one zone, or in all of them where none is named.
-func (pl *planner) makeRoomIn(w *Waiting, zone string) bool {
-	j := w.Job
+// preemptInZone does so in one zone, or in all of them where none is named.
+func (p *planner) preemptInZone(w *Waiting, zone string) bool {
+	job := w.Job
 	var machines []*Machine
-	for _, m := range pl.index.kinds(j) {
-		if zone == "" || m.Zone == zone {
-			machines = append(machines, m)
+	for _, machine := range p.index.usableBy(job) {
+		if zone == "" || machine.Zone == zone {
+			machines = append(machines, machine)
 		}
 	}
 	var undo []func()
 	for range w.Indexes {
-		if m := pl.target(j, zone, nil); m != nil {
-			pl.book(j, m)
-			undo = append(undo, func() { pl.unbook(j, m) })
+		if machine := p.target(job, zone, nil); machine != nil {
+			p.allocate(job, machine)
+			undo = append(undo, func() { p.release(job, machine) })
 			continue
 		}
-		next, found := pl.cheapest(j, pl.sampled(machines), false)
+		next, found := p.cheapestPreemption(job, p.sampled(machines), false)
 		if !found {
 			for i := len(undo) - 1; i >= 0; i-- {
 				undo[i]()
 			}
 			return false
 		}
-		undo = append(undo, pl.preempt(j, next))
+		undo = append(undo, p.preempt(job, next))
 	}
 	return true
 }
 
-// cheapest finds the machine where one more task of j fits for the least lost progress.
-func (pl *planner) cheapest(j *Job, machines []*Machine, warm bool) (best preemption, found bool) {
-	for _, m := range machines {
-		pl.out.Examined++
-		if !pl.allowed(j, m) || warm && (m.Images[j.Image] != ImageHeld || j.Service && j.Machines[m.Name] > 0) {
+// cheapestPreemption finds the machine where one more task of a job fits for the least lost progress.
+func (p *planner) cheapestPreemption(job *Job, machines []*Machine, warm bool) (best preemption, found bool) {
+	for _, machine := range machines {
+		p.result.Examined++
+		if !p.allowed(job, machine) || warm && (!machine.holds(job.Image) || job.Service && job.Machines[machine.Name] > 0) {
 			continue
 		}
-		if p, enough := pl.victims(j, m, warm); enough && (!found || p.cost < best.cost) {
-			best, found = p, true
+		if preemption, enough := p.victims(job, machine, warm); enough && (!found || preemption.cost < best.cost) {
+			best, found = preemption, true
 		}
 	}
 	return best, found
 }
 
-// victims lists the tasks on a machine to stop so that one more task of j fits; false
-// where too few may be stopped.
-func (pl *planner) victims(j *Job, m *Machine, warm bool) (p preemption, fits bool) {
-	p.machine = m
-	cores, accel, ram := m.Cores+m.StoppingCores, m.Accelerators+m.StoppingAccelerators, m.RAM+m.StoppingRAM
-	var stopped map[string]quota.Amount // by team, where there are guarantees
-	for i := range m.Victims {
-		if enough(j, cores, accel, ram) {
+// victims lists the tasks on a machine to preempt so that one more task of a job fits; false
+// where too few may be preempted.
+func (p *planner) victims(job *Job, machine *Machine, warm bool) (chosen preemption, enough bool) {
+	chosen.machine = machine
+	capacity := machine.Free.plus(machine.Stopping)
+	var preempted map[string]quota.Amount // by team, where there are guarantees
+	for i := range machine.Victims {
+		if capacity.covers(&job.Resources) {
 			break
 		}
-		v := &m.Victims[i]
-		if v.taken || warm && !j.Service && pl.lost(v) > barelyBegun || !pl.mayStop(j, v, stopped[v.team()]) {
+		victim := &machine.Victims[i]
+		if victim.preempted || warm && !job.Service && p.lostProgress(victim) > maxWarmLoss || !p.mayPreempt(job, victim, preempted[victim.team()]) {
 			continue
 		}
-		cores, accel, ram = cores+v.Cores, accel+v.Accelerators, ram+v.RAM
-		if pl.Quota.Guarantees() {
-			if stopped == nil {
-				stopped = map[string]quota.Amount{}
+		capacity.add(victim.Resources)
+		if p.Quota.Guarantees() {
+			if preempted == nil {
+				preempted = map[string]quota.Amount{}
 			}
-			stopped[v.team()] = stopped[v.team()].Plus(v.amount())
+			preempted[victim.team()] = preempted[victim.team()].Plus(victim.amount())
 		}
-		p.cost += pl.lost(v) + clock.Second
-		p.victims = append(p.victims, i)
+		chosen.cost += p.lostProgress(victim) + preemptionCost
+		chosen.victims = append(chosen.victims, i)
 	}
-	return p, enough(j, cores, accel, ram)
+	return chosen, capacity.covers(&job.Resources)
 }
 
-// lost is the progress that a task loses when it is stopped.
-func (pl *planner) lost(v *Victim) clock.Micros {
-	if v.RunningSince == 0 {
+// lostProgress is the progress that a task loses when it is preempted.
+func (p *planner) lostProgress(victim *Victim) clock.Micros {
+	if victim.RunningSince == 0 {
 		return 0
 	}
-	return pl.Now - v.RunningSince
+	return p.Now - victim.RunningSince
 }
 
-// preempt stops the victims and claims the room for one task of j. It gives what takes
+// preempt stops the victims and claims what they free for one task of a job. It gives what takes
 // that back.
-func (pl *planner) preempt(j *Job, p preemption) (undo func()) {
-	m := p.machine
-	pl.save(m)
-	before, stops := *m, len(pl.out.Preemptions)
-	for _, i := range p.victims {
-		v := &m.Victims[i]
-		v.taken = true
-		m.StoppingCores += v.Cores
-		m.StoppingAccelerators += v.Accelerators
-		m.StoppingRAM += v.RAM
-		pl.out.Preemptions = append(pl.out.Preemptions, v.Task)
-		if v.Job != nil {
-			pl.draft.Stop(v.Job.Team, v.amount())
+func (p *planner) preempt(job *Job, chosen preemption) (undo func()) {
+	machine := chosen.machine
+	p.save(machine)
+	free, stopping, preemptions := machine.Free, machine.Stopping, len(p.result.Preemptions)
+	for _, i := range chosen.victims {
+		victim := &machine.Victims[i]
+		victim.preempted = true
+		machine.Stopping.add(victim.Resources)
+		p.result.Preemptions = append(p.result.Preemptions, victim.Task)
+		if victim.Job != nil {
+			p.draft.Stop(victim.Job.Team, victim.amount())
 		}
 	}
-	// The claim goes against the room on its way first, so that free room that
-	// is too small here stays usable for others.
-	claim(&m.StoppingCores, &m.Cores, j.Cores)
-	claim(&m.StoppingAccelerators, &m.Accelerators, j.Accelerators)
-	claim(&m.StoppingRAM, &m.RAM, j.RAM)
-	pl.index.put(m)
-	pl.draft.Add(j.Team, j.amount())
-	pl.count(j, m.Zone, "", 1)
+	machine.claim(&job.Resources)
+	p.index.put(machine)
+	p.draft.Add(job.Team, job.amount())
+	p.count(job, machine.Zone, "", 1)
 	return func() {
-		m.Cores, m.Accelerators, m.RAM = before.Cores, before.Accelerators, before.RAM
-		m.StoppingCores, m.StoppingAccelerators, m.StoppingRAM = before.StoppingCores, before.StoppingAccelerators, before.StoppingRAM
-		for _, i := range p.victims {
-			v := &m.Victims[i]
-			v.taken = false
-			if v.Job != nil {
-				pl.draft.Resume(v.Job.Team, v.amount())
+		machine.Free, machine.Stopping = free, stopping
+		for _, i := range chosen.victims {
+			victim := &machine.Victims[i]
+			victim.preempted = false
+			if victim.Job != nil {
+				p.draft.Resume(victim.Job.Team, victim.amount())
 			}
 		}
-		pl.out.Preemptions = pl.out.Preemptions[:stops]
-		pl.index.put(m)
-		pl.draft.Remove(j.Team, j.amount())
-		pl.count(j, m.Zone, "", -1)
+		p.result.Preemptions = p.result.Preemptions[:preemptions]
+		p.index.put(machine)
+		p.draft.Remove(job.Team, job.amount())
+		p.count(job, machine.Zone, "", -1)
 	}
 }
 
-// mayStop tells whether a task may be stopped to make room for one of j, besides
+// mayPreempt tells whether a task may be preempted for one of a job, besides
 // others of its team that take so much. Work within its team's guarantee makes way only
 // for such work of higher priority, or either would take the other's place in turn. A
 // replica makes way only for a guarantee.
-func (pl *planner) mayStop(j *Job, v *Victim, besides quota.Amount) bool {
-	if !pl.Quota.Guarantees() {
-		return !v.Replica && v.Priority < j.Priority
+func (p *planner) mayPreempt(job *Job, victim *Victim, besides quota.Amount) bool {
+	if !p.Quota.Guarantees() {
+		return !victim.Replica && victim.Priority < job.Priority
 	}
-	others := v.Job != nil && v.Job.Team != j.Team
-	borrowed := pl.borrowed(v, besides)
+	otherTeam := victim.Job != nil && victim.Job.Team != job.Team
+	beyond := p.beyondGuarantee(victim, besides)
 	switch {
-	case v.Replica:
-		return others && pl.withinGuarantee && borrowed
-	case others && !pl.withinGuarantee && !borrowed && pl.Quota.Limits(v.Job.Team).Guaranteed():
+	case victim.Replica:
+		return otherTeam && p.withinGuarantee && beyond
+	case otherTeam && !p.withinGuarantee && !beyond && p.Quota.Limits(victim.Job.Team).Guaranteed():
 		return false
 	}
-	return v.Priority < j.Priority || pl.withinGuarantee && borrowed
+	return victim.Priority < job.Priority || p.withinGuarantee && beyond
 }
 
-// borrowed tells whether a task, with others of its team that take so much, runs
+// beyondGuarantee tells whether a task, with others of its team that take so much, runs
 // beyond its team's guarantee: all that a team without one runs does.
-func (pl *planner) borrowed(v *Victim, besides quota.Amount) bool {
-	if v.Borrowed || v.Job == nil {
-		return v.Borrowed
-	}
-	return pl.draft.Borrows(v.Job.Team, besides.Plus(v.amount()))
+func (p *planner) beyondGuarantee(victim *Victim, besides quota.Amount) bool {
+	return victim.Job != nil && p.draft.Borrows(victim.Job.Team, besides.Plus(victim.amount()))
+}
+
+// claim takes what one task needs: of what is being freed first, so that what is free
+// but too little for the task stays usable for others.
+func (m *Machine) claim(task *Resources) {
+	claim(&m.Stopping.Cores, &m.Free.Cores, task.Cores)
+	claim(&m.Stopping.Accelerators, &m.Free.Accelerators, task.Accelerators)
+	claim(&m.Stopping.RAM, &m.Free.RAM, task.RAM)
 }
 
-// claim takes room off what is coming free first, and off what is free for the rest.
-func claim(coming, free *float64, want float64) {
-	take := min(*coming, want)
-	*coming -= take
-	*free -= want - take
+// claim takes an amount off what is being freed first, and off what is free for the rest.
+func claim(stopping, free *float64, amount float64) {
+	taken := min(*stopping, amount)
+	*stopping -= taken
+	*free -= amount - taken
 }
--- a/plan/preempt_test.go
+++ b/plan/preempt_test.go
@@ -1,107 +1,211 @@
 package plan
 
 import (
-	"fmt"
 	"testing"
 
-	"cedardoor/quota"
 	"cedardoor/wire"
 
 	gocmp "github.com/google/go-cmp/cmp"
 )
 
-// guestMachine is full but for the free cores; a guest team runs tasks of two cores there,
+// preemptingSnapshot makes a snapshot in which tasks may be preempted; its time is 100.
+func preemptingSnapshot(machines []*Machine, jobs ...*Job) *Snapshot {
+	s := newSnapshot(machines, jobs...)
+	s.Preempt, s.Now = true, 100
+	return s
+}
+
+func TestPreemption(t *testing.T) {
+	size := Resources{Cores: 8, RAM: 8}
+	machine := newMachine("a", "x", 0, 10)
+	machine.Victims = []Victim{{Task: TaskID{"j-1", 0}, Priority: wire.PriorityStandard, Resources: size, RunningSince: 97},
+		{Task: TaskID{"j-1", 1}, Priority: wire.PriorityStandard, Resources: size, RunningSince: 91}}
+	urgent, equal := newJob("j-2", 2, 4, 4), newJob("j-3", 1, 4, 4)
+	urgent.Priority = wire.PriorityHigh
+	want := []TaskID{{"j-1", 0}}
+	if diff := gocmp.Diff(want, Make(preemptingSnapshot([]*Machine{machine}, urgent, equal)).Preemptions); diff != "" {
+		t.Error("one victim makes way for both, an equal priority stops nothing: ", diff)
+	}
+	// What is being freed already is waited for, not freed again.
+	machine = newMachine("a", "x", 0, 10)
+	machine.Stopping = size
+	machine.Victims = []Victim{{Task: TaskID{"j-1", 1}, Priority: wire.PriorityStandard, Resources: size}}
+	if result := Make(preemptingSnapshot([]*Machine{machine}, urgent)); len(result.Preemptions) != 0 {
+		t.Errorf("preempted %v again", result.Preemptions)
+	}
+}
+
+// What a team without a guarantee runs gives way to a team within its own,
+// whatever the priorities; a team is not preempted below its guarantee.
+func TestWorkBeyondGuaranteeGivesWay(t *testing.T) {
+	for _, tt := range []struct {
+		name            string
+		guarantee, used float64 // the guest's
+		entitled        bool
+		want            int
+	}{
+		{"a guest's", 0, 16, true, 2},
+		{"for a team beyond its own guarantee", 0, 16, false, 0},
+		{"of a team beyond its guarantee by one task", 8, 16, true, 1},
+		{"of a team within its guarantee", 16, 16, true, 0},
+	} {
+		guest := newGuestJob("j-1", 2, 8, 8)
+		guest.Priority = wire.PriorityHigh
+		machine := newMachine("a", "x", 0, 10)
+		for i := range 2 {
+			machine.Victims = append(machine.Victims, Victim{Task: TaskID{"j-1", i}, Job: guest, Priority: guest.Priority, Resources: guest.Resources, RunningSince: 50})
+		}
+		own := newJob("j-2", 2, 8, 8)
+		own.Entitled = tt.entitled
+		used := 16.0
+		if tt.entitled {
+			used = 0
+		}
+		s := preemptingSnapshot([]*Machine{machine}, own)
+		s.Quota = guaranteeLedger(16, used, tt.guarantee, tt.used)
+		if result := Make(s); len(result.Preemptions) != tt.want {
+			t.Errorf("%s: %d tasks preempted, want %d", tt.name, len(result.Preemptions), tt.want)
+		}
+	}
+}
+
+// What is within its team's guarantee is placed before work of any priority that is
+// beyond another team's: that would else take the capacity for which it has just been preempted.
+func TestGuaranteeGoesBeforePriority(t *testing.T) {
+	own := newJob("j-1", 1, 8, 8)
+	own.Entitled, own.Priority = true, wire.PriorityLow
+	guest, service := newGuestJob("j-2", 1, 8, 8), newGuestJob("j-3", 1, 8, 8)
+	guest.Priority, service.Priority, service.Service = wire.PriorityCritical, wire.PriorityCritical, true
+	machine := newMachine("a", "x", 8, 8)
+	machine.ReservedFor = "j-2" // not even capacity that is reserved for the other
+	s := preemptingSnapshot([]*Machine{machine}, guest, service, own)
+	s.Quota = guaranteeLedger(8, 0, 0, 0)
+	result := Make(s)
+	if diff := gocmp.Diff([]Placement{{TaskID{"j-1", 0}, "a"}}, result.Launches); diff != "" {
+		t.Error(diff)
+	}
+	if len(result.Preemptions) > 0 {
+		t.Errorf("preempted %v though there is capacity", result.Preemptions)
+	}
+}
+
+// Who makes way: work within its team's guarantee only for such work of higher
+// priority, a replica only for another team's guarantee.
+func TestWhoMakesWay(t *testing.T) {
+	for _, tt := range []struct {
+		name     string
+		entitled bool // the job that waits
+		priority wire.Priority
+		victim   Victim
+		within   bool // the victim's job is within its guarantee
+		want     bool
+	}{
+		{"lower priority", false, wire.PriorityHigh, Victim{Priority: wire.PriorityLow}, false, true},
+		{"lower priority, within its guarantee", false, wire.PriorityHigh, Victim{Priority: wire.PriorityLow}, true, false},
+		{"both within their guarantees, lower priority", true, wire.PriorityHigh, Victim{Priority: wire.PriorityLow}, true, true},
+		{"both within their guarantees, the same priority", true, wire.PriorityHigh, Victim{Priority: wire.PriorityHigh}, true, false},
+		{"higher priority, beyond its guarantee", true, wire.PriorityLow, Victim{Priority: wire.PriorityHigh}, false, true},
+		{"a replica for lower priority's sake", false, wire.PriorityCritical, Victim{Priority: wire.PriorityLow, Replica: true}, false, false},
+		{"a replica beyond its guarantee", true, wire.PriorityLow, Victim{Priority: wire.PriorityCritical, Replica: true}, false, true},
+		{"a replica within its guarantee", true, wire.PriorityCritical, Victim{Priority: wire.PriorityLow, Replica: true}, true, false},
+	} {
+		guest := newGuestJob("j-1", 1, 8, 8)
+		victim := tt.victim
+		victim.Task, victim.Job, victim.Resources, victim.RunningSince = TaskID{"j-1", 0}, guest, guest.Resources, 50
+		machine := newMachine("a", "x", 0, 0)
+		machine.Victims = []Victim{victim}
+		own := newJob("j-2", 1, 8, 8)
+		own.Entitled, own.Priority = tt.entitled, tt.priority
+		used, guestGuarantee := 8.0, 0.0
+		if tt.entitled {
+			used = 0
+		}
+		if tt.within {
+			guestGuarantee = 8
+		}
+		s := preemptingSnapshot([]*Machine{machine}, own)
+		s.Quota = guaranteeLedger(8, used, guestGuarantee, 8)
+		if got := len(Make(s).Preemptions) == 1; got != tt.want {
+			t.Errorf("%s: preempted %t, want %t", tt.name, got, tt.want)
+		}
+	}
+}
+
+// newGuestMachine is full but for the free cores; a guest team runs tasks of two cores there,
 // beyond its guarantee.
-func guestMachine(name, zone string, free float64, guests int) *Machine {
-	guest := newJob("j-9", 100, 2, 2)
-	guest.Team = "guest"
-	m := machine(name, zone, free, 64)
-	for i := range guests {
-		m.Victims = append(m.Victims, Victim{Task: TaskID{"j-9", int(name[0])*100 + i}, Job: guest, Priority: wire.PriorityHigh, Cores: 2, RAM: 2, RunningSince: 50})
+func newGuestMachine(name, zone string, freeCores float64, guestTasks int) *Machine {
+	guest := newGuestJob("j-9", 100, 2, 2)
+	machine := newMachine(name, zone, freeCores, 64)
+	for i := range guestTasks {
+		machine.Victims = append(machine.Victims, Victim{Task: TaskID{"j-9", int(name[0])*100 + i}, Job: guest, Priority: wire.PriorityHigh,
+			Resources: guest.Resources, RunningSince: 50})
 	}
-	return m
+	return machine
 }
 
-// What starts only whole gets its team's guarantee by stops, too: of work that others run
+// What starts only whole gets its team's guarantee by preemption, too: of work that others run
 // beyond theirs, as much as is needed, and none where it would not be whole even so.
 func TestWholeJobsGetTheirGuarantee(t *testing.T) {
-	group := func(j *Job) { j.Gang, j.Unfinished = true, j.Tasks }
-	together := func(j *Job) { j.SameZone = true }
+	gang := func(job *Job) { job.Gang, job.Unfinished = true, job.Tasks }
+	oneZone := func(job *Job) { job.SameZone = true }
 	for _, tt := range []struct {
 		name      string
-		mod       func(j *Job)
+		shape     func(job *Job)
 		guarantee float64
 		machines  []*Machine
-		want      int // stops
+		want      int // preemptions
 	}{
-		{"a group, half of it in free room", group, 8, []*Machine{guestMachine("a", "x", 4, 2), guestMachine("b", "y", 0, 4)}, 2},
-		{"a group, over two machines", group, 8, []*Machine{guestMachine("a", "x", 0, 2), guestMachine("b", "y", 0, 2)}, 4},
-		{"a group that would not be whole", group, 8, []*Machine{guestMachine("a", "x", 0, 2), guestMachine("b", "y", 0, 1)}, 0},
-		{"a group beyond its team's guarantee", group, 7, []*Machine{guestMachine("a", "x", 0, 4)}, 0},
-		{"one zone, where the other has too little", together, 8, []*Machine{guestMachine("a", "x", 0, 2), guestMachine("b", "y", 0, 4)}, 4},
-		{"one zone, where neither has enough", together, 8, []*Machine{guestMachine("a", "x", 0, 2), guestMachine("b", "y", 2, 1)}, 0},
+		{"a gang, half of it in free capacity", gang, 8, []*Machine{newGuestMachine("a", "x", 4, 2), newGuestMachine("b", "y", 0, 4)}, 2},
+		{"a gang, over two machines", gang, 8, []*Machine{newGuestMachine("a", "x", 0, 2), newGuestMachine("b", "y", 0, 2)}, 4},
+		{"a gang that would not be whole", gang, 8, []*Machine{newGuestMachine("a", "x", 0, 2), newGuestMachine("b", "y", 0, 1)}, 0},
+		{"a gang beyond its team's guarantee", gang, 7, []*Machine{newGuestMachine("a", "x", 0, 4)}, 0},
+		{"one zone, where the other has too little", oneZone, 8, []*Machine{newGuestMachine("a", "x", 0, 2), newGuestMachine("b", "y", 0, 4)}, 4},
+		{"one zone, where neither has enough", oneZone, 8, []*Machine{newGuestMachine("a", "x", 0, 2), newGuestMachine("b", "y", 2, 1)}, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			j := newJob("j-1", 4, 2, 2)
-			j.Priority = wire.PriorityLow
-			tt.mod(j)
-			ledger := quota.NewLedger(map[string]quota.Limits{"t": {Guarantee: quota.NewAmount(tt.guarantee, 0)}, "guest": {}})
-			ledger.Adopt("guest", quota.NewAmount(12, 0))
-			p := &Snapshot{Preempt: true, Quota: ledger, Now: 100, Waiting: []Waiting{{Job: j, Indexes: indexes(4)}}}
-			for _, m := range tt.machines {
-				p.Put(m)
-			}
-			before := pictureOf(p, j)
-			res := Make(p)
-			if len(res.Preemptions) != tt.want || len(res.Launches) != 0 {
-				t.Errorf("stops %v, launches %v, want %d stops", res.Preemptions, res.Launches, tt.want)
+			job := newJob("j-1", 4, 2, 2)
+			job.Priority = wire.PriorityLow
+			tt.shape(job)
+			s := preemptingSnapshot(tt.machines, job)
+			s.Quota = guaranteeLedger(tt.guarantee, 0, 0, 12)
+			s.ensureIndex()
+			before := planState(s, job)
+			result := Make(s)
+			if len(result.Preemptions) != tt.want || len(result.Launches) != 0 {
+				t.Errorf("preempts %v, launches %v, want %d preemptions", result.Preemptions, result.Launches, tt.want)
 			}
-			stopped := map[TaskID]bool{}
-			for _, id := range res.Preemptions {
-				if stopped[id] {
-					t.Errorf("%v is stopped twice", id)
+			preempted := map[TaskID]bool{}
+			for _, id := range result.Preemptions {
+				if preempted[id] {
+					t.Errorf("%v is preempted twice", id)
 				}
-				stopped[id] = true
+				preempted[id] = true
 			}
-			if diff := gocmp.Diff(before, pictureOf(p, j)); diff != "" {
-				t.Errorf("the plan left the picture changed: %s", diff)
+			if diff := gocmp.Diff(before, planState(s, job)); diff != "" {
+				t.Errorf("the plan left the snapshot changed: %s", diff)
 			}
 		})
 	}
 }
 
-// While the stops are under way the room stays claimed: the next plan stops nothing
+// While the stops are under way the capacity stays claimed: the next plan preempts nothing
 // more, and gives none of it to others.
-func TestRoomForAWholeJobStaysClaimed(t *testing.T) {
-	j := newJob("j-1", 4, 2, 2)
-	j.Gang, j.Unfinished, j.Priority = true, 4, wire.PriorityLow
-	other := newJob("j-2", 4, 2, 2)
-	other.Team, other.Priority = "guest", wire.PriorityHigh
-	ledger := quota.NewLedger(map[string]quota.Limits{"t": {Guarantee: quota.NewAmount(8, 0)}, "guest": {}})
-	ledger.Adopt("guest", quota.NewAmount(12, 0))
-	m := guestMachine("a", "x", 4, 2)
-	m.StoppingCores, m.StoppingRAM = 4, 4
-	p := &Snapshot{Preempt: true, Quota: ledger, Now: 100, Waiting: []Waiting{{Job: j, Indexes: indexes(4)}, {Job: other, Indexes: indexes(4)}}}
-	p.Put(m)
-	if res := Make(p); len(res.Preemptions) != 0 || len(res.Launches) != 0 {
-		t.Errorf("stops %v, launches %v, want neither", res.Preemptions, res.Launches)
+func TestCapacityForWholeJobStaysClaimed(t *testing.T) {
+	gang, other := newJob("j-1", 4, 2, 2), newGuestJob("j-2", 4, 2, 2)
+	gang.Gang, gang.Unfinished, gang.Priority = true, 4, wire.PriorityLow
+	other.Priority = wire.PriorityHigh
+	machine := newGuestMachine("a", "x", 4, 2)
+	machine.Stopping = Resources{Cores: 4, RAM: 4}
+	s := preemptingSnapshot([]*Machine{machine}, gang, other)
+	s.Quota = guaranteeLedger(8, 0, 0, 12)
+	if result := Make(s); len(result.Preemptions) != 0 || len(result.Launches) != 0 {
+		t.Errorf("preempts %v, launches %v, want neither", result.Preemptions, result.Launches)
 	}
-	m.Cores, m.StoppingCores, m.StoppingRAM = 8, 0, 0
-	p.Put(m)
-	for _, l := range Make(p).Launches {
-		if l.Task.Job != "j-1" {
-			t.Errorf("launched %v, want the whole group", l)
-		}
-	}
-}
-
-// pictureOf prints what a plan may change and has to put back.
-func pictureOf(p *Snapshot, j *Job) (out []string) {
-	for _, m := range p.Machines {
-		out = append(out, fmt.Sprint(m.Name, m.Cores, m.Accelerators, m.RAM, m.StoppingCores, m.StoppingAccelerators, m.StoppingRAM, m.ReservedFor, m.leaving))
-		for _, v := range m.Victims {
-			out = append(out, fmt.Sprint(v.Task, v.taken))
+	machine.Free.Cores, machine.Stopping = 8, Resources{}
+	s.Put(machine)
+	for _, launch := range Make(s).Launches {
+		if launch.Task.Job != "j-1" {
+			t.Errorf("launched %v, want the whole gang", launch)
 		}
 	}
-	return append(out, fmt.Sprint(j.Zones, j.Machines, j.InUnknownZone), fmt.Sprint(p.Quota.Usage("t"), p.Quota.Usage("guest")))
 }
--- a/plan/rules.go
+++ b/plan/rules.go
@@ -6,31 +6,28 @@
 const (
 	ReasonQuarantine = "ban"
 	ReasonSpread     = "spread"
-	// ReasonDrain is a machine that is to be returned because there are too many:
+	// ReasonDrain is a cordoned machine that is to be returned because there are too many:
 	// nothing is wrong with it, so a task leaves only for a machine that has its image.
 	ReasonDrain = "drain"
 )
 
-// slop absorbs rounding of decimal amounts.
-const slop = 1e-6
-
-// Rule says whether one more task of a job may be on a machine, given the picture.
+// Rule says whether one more task of a job may be on a machine, given the snapshot.
 type Rule interface {
-	// Allows tells whether one more task of j may be on m.
-	Allows(p *Snapshot, j *Job, m *Machine) bool
+	// Allows tells whether one more task of the job may be on the machine.
+	Allows(snapshot *Snapshot, job *Job, machine *Machine) bool
 }
 
 // Rules is every hard rule that a placement must keep.
 func Rules() []Rule {
-	return []Rule{NotQuarantined{}, AvoidedMachines{}, RoomReserved{}, AllowedType{}, AllowedZone{}, AllowedKind{}, ZoneCap{}, OneZone{}, TeamLimit{}}
+	return []Rule{AvailableMachine{}, AvoidedMachines{}, Unreserved{}, AllowedType{}, AllowedZone{}, AllowedKind{}, ZoneCap{}, OneZone{}, TeamLimit{}}
 }
 
-// NotQuarantined bars tasks from machines that do not report, are sick or are to be emptied.
-type NotQuarantined struct{}
+// AvailableMachine bars tasks from machines that do not report, are quarantined or are cordoned.
+type AvailableMachine struct{}
 
 // Allows implements Rule.
-func (NotQuarantined) Allows(_ *Snapshot, _ *Job, m *Machine) bool {
-	return m.Usable && m.QuarantineReason == "" && !m.Cordoned
+func (AvailableMachine) Allows(_ *Snapshot, _ *Job, machine *Machine) bool {
+	return machine.available()
 }
 
 // AvoidedMachines keeps a job's tasks off the machines on which one of them has failed, and
@@ -38,65 +35,65 @@
 type AvoidedMachines struct{}
 
 // Allows implements Rule.
-func (AvoidedMachines) Allows(p *Snapshot, j *Job, m *Machine) bool {
-	return !j.Avoid[m.Name] && !(j.OnTrial && m.HasFailures && p.AvoidFailures)
+func (AvoidedMachines) Allows(snapshot *Snapshot, job *Job, machine *Machine) bool {
+	return !job.Avoid[machine.Name] && !(job.OnTrial && machine.HasFailures && snapshot.AvoidFailures)
 }
 
-// RoomReserved keeps the room of a machine for the job that has waited too long for it. What
-// is within its team's guarantee need not wait for it.
-type RoomReserved struct{}
+// Unreserved keeps the capacity of a machine for the job that it is reserved for. What
+// is within its team's guarantee need not wait for that.
+type Unreserved struct{}
 
 // Allows implements Rule.
-func (RoomReserved) Allows(p *Snapshot, j *Job, m *Machine) bool {
-	return m.ReservedFor == "" || m.ReservedFor == j.UID || p.withinGuarantee
+func (Unreserved) Allows(snapshot *Snapshot, job *Job, machine *Machine) bool {
+	return machine.ReservedFor == "" || machine.ReservedFor == job.UID || snapshot.withinGuarantee
 }
 
 // AllowedType keeps a job to its machine types.
 type AllowedType struct{}
 
 // Allows implements Rule.
-func (AllowedType) Allows(_ *Snapshot, j *Job, m *Machine) bool {
-	return j.MachineTypes == nil || slices.Contains(j.MachineTypes, m.Type)
+func (AllowedType) Allows(_ *Snapshot, job *Job, machine *Machine) bool {
+	return job.MachineTypes == nil || slices.Contains(job.MachineTypes, machine.Type)
 }
 
 // AllowedZone keeps a job to its zone.
 type AllowedZone struct{}
 
 // Allows implements Rule.
-func (AllowedZone) Allows(_ *Snapshot, j *Job, m *Machine) bool {
-	return j.Zone == "" || j.Zone == m.Zone
+func (AllowedZone) Allows(_ *Snapshot, job *Job, machine *Machine) bool {
+	return job.Zone == "" || job.Zone == machine.Zone
 }
 
-// AllowedKind keeps jobs that are not loaned off spot machines.
+// AllowedKind keeps jobs that are not preemptible off spot machines.
 type AllowedKind struct{}
 
 // Allows implements Rule.
-func (AllowedKind) Allows(_ *Snapshot, j *Job, m *Machine) bool {
-	return j.Preemptible || !m.Preemptible
+func (AllowedKind) Allows(_ *Snapshot, job *Job, machine *Machine) bool {
+	return job.Preemptible || !machine.Preemptible
 }
 
-// ZoneCap keeps at most half of an apart job, rounded up, in one zone. Tasks
+// ZoneCap keeps at most half of a job that is spread, rounded up, in one zone. Tasks
 // that may still exist count, wherever they may be.
 type ZoneCap struct{}
 
 // Allows implements Rule.
-func (ZoneCap) Allows(_ *Snapshot, j *Job, m *Machine) bool {
-	return !j.Spread || j.Zones[m.Zone]+j.InUnknownZone < (j.Tasks+1)/2
+func (ZoneCap) Allows(_ *Snapshot, job *Job, machine *Machine) bool {
+	return !job.Spread || job.Zones[machine.Zone]+job.InUnknownZone < (job.Tasks+1)/2
 }
 
-// OneZone keeps a same_place job in the zone where any of it may be.
+// OneZone keeps a job whose tasks are to be in one zone in the zone where any of them may be.
 type OneZone struct{}
 
 // Allows implements Rule.
-func (OneZone) Allows(_ *Snapshot, j *Job, m *Machine) bool {
-	if !j.SameZone {
+func (OneZone) Allows(_ *Snapshot, job *Job, machine *Machine) bool {
+	if !job.SameZone {
 		return true
 	}
-	if j.InUnknownZone > 0 {
+	if job.InUnknownZone > 0 {
 		return false
 	}
-	for z, n := range j.Zones {
-		if n > 0 && z != m.Zone {
+	for zone, tasks := range job.Zones {
+		if tasks > 0 && zone != machine.Zone {
 			return false
 		}
 	}
@@ -108,13 +105,6 @@
 type TeamLimit struct{}
 
 // Allows implements Rule.
-func (TeamLimit) Allows(p *Snapshot, j *Job, _ *Machine) bool {
-	return !p.binding || p.draft.Fits(j.Team, j.amount())
-}
-
-// room is the capacity rule: what is booked on a machine fits it.
-func room(j *Job, m *Machine) bool { return enough(j, m.Cores, m.Accelerators, m.RAM) }
-
-func enough(j *Job, cores, accel, ram float64) bool {
-	return j.Cores <= cores+slop && j.Accelerators <= accel+slop && j.RAM <= ram+slop
+func (TeamLimit) Allows(snapshot *Snapshot, job *Job, _ *Machine) bool {
+	return !snapshot.quotaBinding || snapshot.draft.Fits(job.Team, job.amount())
 }
--- /dev/null
+++ b/plan/target.go
@@ -0,0 +1,151 @@
+package plan
+
+import (
+	"math/bits"
+	"slices"
+
+	"cedardoor/wire"
+)
+
+// target picks a machine for a task: among those that the rules allow and that
+// have capacity, soft spreading first, then a machine that has the image, then the
+// kind that costs least, then worst fit: most free memory, ties by free cores.
+//
+// It looks at a sample of the machines that hold the image and at a sample of
+// those with memory and cores enough, the emptiest first. A sample in which
+// nothing fits is no answer: the search then goes on over all of them.
+func (p *planner) target(job *Job, zone string, exclude *Machine) *Machine {
+	s := search{planner: p, job: job, zone: zone, exclude: exclude}
+	if job.Image != "" {
+		for _, machine := range p.sampled(p.index.images[job.Image]) {
+			s.consider(machine)
+		}
+	}
+	lowest, minCores := memoryLevel(job.RAM), coreClass(job.Cores)
+	for level := memoryLevels - 1; level >= lowest; level-- {
+		s.examined, s.fitting = 0, 0
+		for kind := range p.index.available {
+			if kind != kindSpot || job.Preemptible {
+				s.scan(&p.index.available[kind][level], minCores)
+			}
+		}
+		// Emptier machines go first; fuller ones only matter while none was found,
+		// or for what is preferred to worst fit.
+		if s.best != nil && (s.fitting >= p.SampleSize && p.SampleSize > 0 || level < memoryLevels-1 && s.bestPreferred()) {
+			break
+		}
+	}
+	return s.best
+}
+
+// search is the state of one call of target.
+type search struct {
+	*planner
+	job     *Job
+	zone    string   // the only zone; empty for any
+	exclude *Machine // may be nil
+
+	best              *Machine
+	examined, fitting int // machines of the current memory level
+}
+
+// consider looks at a machine; false where the task does not fit there.
+func (s *search) consider(machine *Machine) bool {
+	s.result.Examined++
+	if machine == s.exclude || s.zone != "" && machine.Zone != s.zone || !machine.Free.covers(&s.job.Resources) || !s.allowed(s.job, machine) {
+		return false
+	}
+	if s.best == nil || preferred(s.job, machine, s.best) {
+		s.best = machine
+	}
+	return true
+}
+
+// scan looks at the machines of a memory level that have cores enough, until the sample is full
+// and a fit is found.
+func (s *search) scan(level *coreClassList, minCores int) {
+	for classes := level.nonEmpty >> minCores << minCores; classes != 0; {
+		class := bits.Len32(classes) - 1
+		classes &^= 1 << class
+		machines := level.machines[class]
+		start := 0
+		if s.SampleSize > 0 && len(machines) > s.SampleSize {
+			start = s.rng.IntN(len(machines))
+		}
+		for i := range machines {
+			s.examined++
+			if s.consider(machines[(start+i)%len(machines)]) {
+				s.fitting++
+			}
+			if s.SampleSize > 0 && s.examined >= s.SampleSize && s.best != nil {
+				return
+			}
+		}
+	}
+}
+
+// bestPreferred tells whether no fuller machine could be preferred to the best one.
+func (s *search) bestPreferred() bool {
+	job, best := s.job, s.best
+	return (job.Image == "" || best.holds(job.Image)) && (!job.Service || job.Machines[best.Name] == 0 && !job.Spread) && (best.Preemptible || !job.Preemptible)
+}
+
+// sampled is a sample of the given machines in a random order of neighbours: all
+// of them when there are not more than the sample.
+func (p *planner) sampled(machines []*Machine) []*Machine {
+	if p.SampleSize <= 0 || len(machines) <= p.SampleSize {
+		return machines
+	}
+	start := p.rng.IntN(len(machines))
+	if start+p.SampleSize <= len(machines) {
+		return machines[start : start+p.SampleSize]
+	}
+	return append(slices.Clone(machines[start:]), machines[:start+p.SampleSize-len(machines)]...)
+}
+
+// preferred tells whether a machine is a better target for a task than another.
+func preferred(job *Job, a, b *Machine) bool {
+	if job.Service {
+		// Replicas go to distinct machines while there are enough of them; but
+		// a machine that has the image and one replica goes before one that would
+		// have to fetch it, for users wait meanwhile.
+		if x, y := crowding(job, a), crowding(job, b); x != y {
+			return x < y
+		}
+	}
+	if x, y := a.Images[job.Image], b.Images[job.Image]; x != y {
+		return x > y
+	}
+	if a.FetchGBs != b.FetchGBs && job.Priority >= wire.PriorityHigh && a.Images[job.Image] == ImageAbsent {
+		return a.FetchGBs > b.FetchGBs // where an urgent task has to wait for its image
+	}
+	if x, y := job.Zones[a.Zone], job.Zones[b.Zone]; job.Service && x != y {
+		return x < y
+	}
+	if a.Preemptible != b.Preemptible {
+		return a.Preemptible
+	}
+	if a.Free.RAM != b.Free.RAM {
+		return a.Free.RAM > b.Free.RAM
+	}
+	if a.Free.Cores != b.Free.Cores {
+		return a.Free.Cores > b.Free.Cores
+	}
+	return a.Name < b.Name
+}
+
+// How crowded a machine is for one more replica: to have no image counts like one and a half
+// replicas of the job.
+const (
+	replicaCrowding   = 2
+	coldImageCrowding = 3
+)
+
+// crowding is how crowded a machine is for one more replica of a job.
+func crowding(job *Job, machine *Machine) int {
+	crowding := replicaCrowding * job.Machines[machine.Name]
+	if !machine.holds(job.Image) {
+		crowding += coldImageCrowding
+	}
+	return crowding
+}
--- a/planinput/input.go
+++ b/planinput/input.go
@@ -55,7 +55,7 @@
 func New(settings Settings) *Input {
 	return &Input{Settings: settings, changedMachines: map[*fleet.Machine]bool{}, reservedRoom: map[string]string{},
 		snapshot: &plan.Snapshot{Quota: settings.Quota, MaxMoves: settings.Operator.Repair.Restarts, SampleSize: settings.Operator.Plan.Sample,
-			Preempt: true, StarvedTurns: plan.MaxStarvedTurns}}
+			Preempt: true, StarvationCredits: plan.MaxStarvationCredits}}
 }
 
 // MachineChanged notes that the snapshot is behind on a machine.
@@ -94,7 +94,7 @@
 // Planned takes in what a plan says of the ones to come, and logs a lack of room now and then. It
 // gives how many tasks found none.
 func (in *Input) Planned(table *jobs.Table, result *plan.Result, now clock.Micros) (unplaced int) {
-	in.snapshot.StarvedTurns = result.StarvedTurns
+	in.snapshot.StarvationCredits = result.StarvationCredits
 	in.reserveRoom(table, result.Reservations)
 	for _, tasks := range result.Unplaced {
 		unplaced += tasks
--- a/planinput/machines.go
+++ b/planinput/machines.go
@@ -37,7 +37,7 @@
 		planned = &plan.Machine{Name: machine.Name, Images: map[string]plan.ImageState{}}
 	}
 	planned.Type, planned.Zone, planned.Preemptible = machine.Type, machine.Zone, machine.Preemptible
-	planned.Cores, planned.Accelerators, planned.RAM = machine.Free()
+	planned.Free.Cores, planned.Free.Accelerators, planned.Free.RAM = machine.Free()
 	planned.Usable, planned.QuarantineReason, planned.Cordoned = Usable(machine, now), string(machine.QuarantineReason), machine.Cordoned
 	planned.ReservedFor = in.reservedRoom[machine.Name]
 	planned.HasFailures = hasFailures
@@ -68,7 +68,7 @@
 // refreshTasks brings up to date which of a machine's tasks may be preempted, and the room that
 // stops under way will free. It tells whether there are such stops.
 func (in *Input) refreshTasks(planned *plan.Machine, machine *fleet.Machine, now clock.Micros) (stopping bool) {
-	planned.StoppingCores, planned.StoppingAccelerators, planned.StoppingRAM = 0, 0, 0
+	planned.Stopping = plan.Resources{}
 	planned.Victims = planned.Victims[:0]
 	guarantees := in.Quota.Guarantees()
 	machine.EachAllocation(func(allocation *fleet.Allocation) {
@@ -77,9 +77,9 @@
 		case allocation.Stopping:
 			if now-allocation.StopRequestedAt <= stopGrace {
 				stopping = true
-				planned.StoppingCores += allocation.Cores
-				planned.StoppingAccelerators += allocation.Accelerators
-				planned.StoppingRAM += allocation.RAM
+				planned.Stopping.Cores += allocation.Cores
+				planned.Stopping.Accelerators += allocation.Accelerators
+				planned.Stopping.RAM += allocation.RAM
 			}
 		default:
 			if job, known := allocation.Owner.(*jobs.Job); known && mayPreempt(job, allocation, guarantees) {
@@ -106,7 +106,7 @@
 // newVictim is a task as the planner weighs it.
 func newVictim(job *jobs.Job, allocation *fleet.Allocation) plan.Victim {
 	return plan.Victim{Task: plan.TaskID{Job: job.UID, Index: allocation.Task.Index}, Job: job.Plan, Priority: job.Priority,
-		Cores: allocation.Cores, Accelerators: allocation.Accelerators, RAM: allocation.RAM,
+		Resources:    plan.Resources{Cores: allocation.Cores, Accelerators: allocation.Accelerators, RAM: allocation.RAM},
 		RunningSince: allocation.RunningSince, Replica: job.IsService()}
 }
 
