--- a/cloud/constraints.go
+++ b/cloud/constraints.go
@@ -122,7 +122,7 @@
 	return allowed
 }
 
-// unblockTasks makes sure that tasks that wait find capacity in one piece where enough is held in
+// unblockTasks makes sure that tasks that wait find capacity on one machine where enough is held in
 // sum: what is left on many machines may be too little on each, or not where a task may go. One
 // task is helped at a time.
 func (r *resizer) unblockTasks() {
