--- a/planinput/input_test.go
+++ b/planinput/input_test.go
@@ -164,12 +164,12 @@
 		t.Error("looked at again though nothing is under way")
 	}
 	planned := in.snapshot.Machine("n-1")
-	if !planned.Usable || planned.Cores != 7 || len(planned.Victims) != 1 {
-		t.Errorf("usable %t with %v cores free and %d tasks that may be preempted; want 7 and 1", planned.Usable, planned.Cores, len(planned.Victims))
+	if !planned.Usable || planned.Free.Cores != 7 || len(planned.Victims) != 1 {
+		t.Errorf("usable %t with %v cores free and %d tasks that may be preempted; want 7 and 1", planned.Usable, planned.Free.Cores, len(planned.Victims))
 	}
 	allocation.Stopping, allocation.StopRequestedAt = true, clock.Second
-	if again := in.Refresh(machine, false, clock.Second); !again || planned.StoppingCores != 1 || len(planned.Victims) != 0 {
-		t.Errorf("looked at again %t, %v cores to come, %d victims; want true, 1 and none", again, planned.StoppingCores, len(planned.Victims))
+	if again := in.Refresh(machine, false, clock.Second); !again || planned.Stopping.Cores != 1 || len(planned.Victims) != 0 {
+		t.Errorf("looked at again %t, %v cores to come, %d victims; want true, 1 and none", again, planned.Stopping.Cores, len(planned.Victims))
 	}
 	in.Remove("n-1")
 	if in.snapshot.Machine("n-1") != nil {
