--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -237,13 +237,13 @@
 	l[i], l[k] = l[k], l[i]
 	l[i].leaseIndex, l[k].leaseIndex = i+1, k+1
 }
-func (l *leaseHeap) Push(x any) { m := x.(*Machine); *l = append(*l, m); m.leaseIndex = len(*l) }
+func (l *leaseHeap) Push(x any) { machine := x.(*Machine); *l = append(*l, machine); machine.leaseIndex = len(*l) }
 func (l *leaseHeap) Pop() any {
 	old := *l
-	m := old[len(old)-1]
+	machine := old[len(old)-1]
 	old[len(old)-1] = nil
-	*l, m.leaseIndex = old[:len(old)-1], 0
-	return m
+	*l, machine.leaseIndex = old[:len(old)-1], 0
+	return machine
 }
 
 // leaseMargin covers timer steps and the state service's slack in ending a lease.
@@ -258,9 +258,9 @@
 }
 
 // MachineChanged tells OnMachineChange of a machine of which something changed that matters for placing.
-func (f *Fleet) MachineChanged(m *Machine) {
+func (f *Fleet) MachineChanged(machine *Machine) {
 	if f.OnMachineChange != nil {
-		f.OnMachineChange(m)
+		f.OnMachineChange(machine)
 	}
 }
 
@@ -279,46 +279,46 @@
 
 // SetCatalog tells the machine types, and gives machines seen before their size.
 func (f *Fleet) SetCatalog(c wire.Catalog) {
-	for _, b := range c.MachineTypes {
-		f.machineTypes[b.SKU] = b
+	for _, machineType := range c.MachineTypes {
+		f.machineTypes[machineType.SKU] = machineType
 	}
-	for _, m := range f.machines {
-		f.setCapacity(m)
+	for _, machine := range f.machines {
+		f.setCapacity(machine)
 	}
 }
 
-func (f *Fleet) setCapacity(m *Machine) {
-	if b, ok := f.machineTypes[m.Type]; ok && (m.Cores != b.Cores || m.Accelerators != b.Accelerators || m.RAM != b.RAM) {
-		m.Cores, m.Accelerators, m.RAM = b.Cores, b.Accelerators, b.RAM
-		f.MachineChanged(m)
+func (f *Fleet) setCapacity(machine *Machine) {
+	if machineType, ok := f.machineTypes[machine.Type]; ok && (machine.Cores != machineType.Cores || machine.Accelerators != machineType.Accelerators || machine.RAM != machineType.RAM) {
+		machine.Cores, machine.Accelerators, machine.RAM = machineType.Cores, machineType.Accelerators, machineType.RAM
+		f.MachineChanged(machine)
 	}
 }
 
 // Describe notes what a machine is and where. What is booked on it counted for
 // every zone while that was unknown.
-func (f *Fleet) Describe(m *Machine, endpoint, build, zone string, loaned bool) {
-	if m.Endpoint == endpoint && m.Type == build && m.Zone == zone && m.Preemptible == loaned {
+func (f *Fleet) Describe(machine *Machine, endpoint, build, zone string, loaned bool) {
+	if machine.Endpoint == endpoint && machine.Type == build && machine.Zone == zone && machine.Preemptible == loaned {
 		return
 	}
-	m.EachAllocation(func(allocation *Allocation) {
+	machine.EachAllocation(func(allocation *Allocation) {
 		if allocation.Live() {
 			f.capacityChanged(allocation, -1)
 		}
 	})
-	m.Endpoint, m.Type, m.Zone, m.Preemptible = endpoint, build, zone, loaned
-	m.EachAllocation(func(allocation *Allocation) {
+	machine.Endpoint, machine.Type, machine.Zone, machine.Preemptible = endpoint, build, zone, loaned
+	machine.EachAllocation(func(allocation *Allocation) {
 		if allocation.Live() {
 			f.capacityChanged(allocation, 1)
 		}
 	})
-	f.setCapacity(m)
-	f.MachineChanged(m)
+	f.setCapacity(machine)
+	f.MachineChanged(machine)
 }
 
 // MachineType looks a machine type up.
 func (f *Fleet) MachineType(sku string) (wire.MachineType, bool) {
-	b, ok := f.machineTypes[sku]
-	return b, ok
+	machineType, ok := f.machineTypes[sku]
+	return machineType, ok
 }
 
 // Machine looks a machine up.
@@ -327,95 +327,95 @@
 // Machines lists all machines by name.
 func (f *Fleet) Machines() []*Machine {
 	out := make([]*Machine, 0, len(f.machines))
-	for _, m := range f.machines {
-		out = append(out, m)
+	for _, machine := range f.machines {
+		out = append(out, machine)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
 }
 
 // EachMachine calls f for every machine, in no order.
-func (f *Fleet) EachMachine(do func(m *Machine)) {
-	for _, m := range f.machines {
-		do(m)
+func (f *Fleet) EachMachine(do func(machine *Machine)) {
+	for _, machine := range f.machines {
+		do(machine)
 	}
 }
 
 // Ensure gives the machine of this name, made now if it was unknown.
 func (f *Fleet) Ensure(name string, now clock.Micros) *Machine {
-	m := f.machines[name]
-	if m == nil {
-		m = &Machine{Name: name, FirstSeen: now, IdleSince: now, Slowness: 1, LeaseEnd: now + f.lease,
+	machine := f.machines[name]
+	if machine == nil {
+		machine = &Machine{Name: name, FirstSeen: now, IdleSince: now, Slowness: 1, LeaseEnd: now + f.lease,
 			byKey: map[attemptKey]*Allocation{}, Images: map[string]bool{}, orphans: map[attemptKey]orphan{}}
-		f.machines[name] = m
+		f.machines[name] = machine
 	}
-	return m
+	return machine
 }
 
 // Drop forgets a machine on which nothing can be any more.
 func (f *Fleet) Drop(name string) {
-	m := f.machines[name]
-	if m == nil {
+	machine := f.machines[name]
+	if machine == nil {
 		return
 	}
 	delete(f.machines, name)
-	f.clearOrphans(m)
-	if m.heartbeat != nil {
-		f.heartbeats.Remove(m.heartbeat)
-		m.heartbeat = nil
+	f.clearOrphans(machine)
+	if machine.heartbeat != nil {
+		f.heartbeats.Remove(machine.heartbeat)
+		machine.heartbeat = nil
 	}
-	if m.leaseIndex > 0 {
-		heap.Remove(&f.leases, m.leaseIndex-1)
+	if machine.leaseIndex > 0 {
+		heap.Remove(&f.leases, machine.leaseIndex-1)
 	}
-	f.MachineChanged(m)
+	f.MachineChanged(machine)
 }
 
 // watchLease puts a machine that holds bookings among those whose lease is watched.
-func (f *Fleet) watchLease(m *Machine) {
-	if m.leaseIndex == 0 {
-		m.leaseCheckAt = m.LeaseEnd
-		heap.Push(&f.leases, m)
+func (f *Fleet) watchLease(machine *Machine) {
+	if machine.leaseIndex == 0 {
+		machine.leaseCheckAt = machine.LeaseEnd
+		heap.Push(&f.leases, machine)
 	}
 }
 
 // Reserve books room for an attempt, unless its team has none left: no task is started
 // without a booking, and there is no booking beyond the limit. It is not yet Recorded.
-func (f *Fleet) Reserve(m *Machine, allocation *Allocation, now clock.Micros) error {
+func (f *Fleet) Reserve(machine *Machine, allocation *Allocation, now clock.Micros) error {
 	reservation, err := f.quota.Reserve(allocation.Team, allocation.amount())
 	if err != nil {
 		return fmt.Errorf("book %s: %w", allocation.Task, err)
 	}
-	f.allocate(m, allocation, reservation, now)
+	f.allocate(machine, allocation, reservation, now)
 	return nil
 }
 
 // allocate puts an attempt on the machine's books.
-func (f *Fleet) allocate(m *Machine, allocation *Allocation, reservation *quota.Reservation, now clock.Micros) {
+func (f *Fleet) allocate(machine *Machine, allocation *Allocation, reservation *quota.Reservation, now clock.Micros) {
 	allocation.reservation = reservation
-	allocation.Machine = m
+	allocation.Machine = machine
 	allocation.ReservedAt = now
-	allocation.index, allocation.removed = len(m.allocations), false
-	m.allocations = append(m.allocations, allocation)
-	m.byKey[attemptKey{allocation.Task, allocation.Attempt}] = allocation
-	m.UsedCores += allocation.Cores
-	m.UsedAccelerators += allocation.Accelerators
-	m.UsedRAM += allocation.RAM
-	m.IdleSince = 0
-	m.unchanged = false
+	allocation.index, allocation.removed = len(machine.allocations), false
+	machine.allocations = append(machine.allocations, allocation)
+	machine.byKey[attemptKey{allocation.Task, allocation.Attempt}] = allocation
+	machine.UsedCores += allocation.Cores
+	machine.UsedAccelerators += allocation.Accelerators
+	machine.UsedRAM += allocation.RAM
+	machine.IdleSince = 0
+	machine.unchanged = false
 	f.capacityChanged(allocation, 1)
-	f.watchLease(m)
-	f.MachineChanged(m)
+	f.watchLease(machine)
+	f.MachineChanged(machine)
 }
 
 // Adopt books an attempt that a predecessor recorded. Any token below this
 // term's may still be on its way in a /do, so absence proves nothing until
 // the worker has seen this term's.
-func (f *Fleet) Adopt(m *Machine, allocation *Allocation, now clock.Micros) {
-	f.allocate(m, allocation, f.quota.Adopt(allocation.Team, allocation.amount()), now)
+func (f *Fleet) Adopt(machine *Machine, allocation *Allocation, now clock.Micros) {
+	f.allocate(machine, allocation, f.quota.Adopt(allocation.Team, allocation.amount()), now)
 	allocation.Durable, allocation.Adopted = true, true
 	f.setUnfenced(allocation, f.firstToken-1, true)
-	m.mixedIncarnations = m.mixedIncarnations || m.Incarnation > 0 && m.Incarnation != allocation.Incarnation
-	m.Incarnation = max(m.Incarnation, allocation.Incarnation)
+	machine.mixedIncarnations = machine.mixedIncarnations || machine.Incarnation > 0 && machine.Incarnation != allocation.Incarnation
+	machine.Incarnation = max(machine.Incarnation, allocation.Incarnation)
 	allocation.firstSent = now
 }
 
@@ -442,27 +442,27 @@
 // Remove frees a booking's room, if it still takes any, and forgets it.
 func (f *Fleet) Remove(allocation *Allocation, now clock.Micros) {
 	f.release(allocation, now)
-	m := allocation.Machine
+	machine := allocation.Machine
 	if allocation.removed {
 		return
 	}
 	allocation.removed = true
 	delete(f.unfenced, allocation)
 	delete(f.repeatable, allocation)
-	if k := (attemptKey{allocation.Task, allocation.Attempt}); m.byKey[k] == allocation {
-		delete(m.byKey, k)
-	}
-	copy(m.allocations[allocation.index:], m.allocations[allocation.index+1:])
-	m.allocations[len(m.allocations)-1] = nil
-	m.allocations = m.allocations[:len(m.allocations)-1]
-	for i := allocation.index; i < len(m.allocations); i++ {
-		m.allocations[i].index = i
-	}
-	m.unchanged = false
-	if len(m.allocations) == 0 {
-		m.allocations = nil
-		if m.IdleSince == 0 {
-			m.IdleSince = now
+	if key := (attemptKey{allocation.Task, allocation.Attempt}); machine.byKey[key] == allocation {
+		delete(machine.byKey, key)
+	}
+	copy(machine.allocations[allocation.index:], machine.allocations[allocation.index+1:])
+	machine.allocations[len(machine.allocations)-1] = nil
+	machine.allocations = machine.allocations[:len(machine.allocations)-1]
+	for i := allocation.index; i < len(machine.allocations); i++ {
+		machine.allocations[i].index = i
+	}
+	machine.unchanged = false
+	if len(machine.allocations) == 0 {
+		machine.allocations = nil
+		if machine.IdleSince == 0 {
+			machine.IdleSince = now
 		}
 	}
 }
@@ -473,21 +473,21 @@
 	}
 	allocation.Ended = true
 	allocation.reservation.Release()
-	m := allocation.Machine
-	m.UsedCores = max(0, m.UsedCores-allocation.Cores)
-	m.UsedAccelerators = max(0, m.UsedAccelerators-allocation.Accelerators)
-	m.UsedRAM = max(0, m.UsedRAM-allocation.RAM)
-	m.unchanged = false
+	machine := allocation.Machine
+	machine.UsedCores = max(0, machine.UsedCores-allocation.Cores)
+	machine.UsedAccelerators = max(0, machine.UsedAccelerators-allocation.Accelerators)
+	machine.UsedRAM = max(0, machine.UsedRAM-allocation.RAM)
+	machine.unchanged = false
 	f.capacityChanged(allocation, -1)
-	f.reportOverloaded = f.reportOverloaded || len(m.allocations)-m.liveCount > maxUnforgottenResults
-	if m.liveCount == 0 {
+	f.reportOverloaded = f.reportOverloaded || len(machine.allocations)-machine.liveCount > maxUnforgottenResults
+	if machine.liveCount == 0 {
 		// Sums of decimals drift; an empty machine is exactly empty.
-		m.UsedCores, m.UsedAccelerators, m.UsedRAM = 0, 0, 0
-		if m.IdleSince == 0 {
-			m.IdleSince = now
+		machine.UsedCores, machine.UsedAccelerators, machine.UsedRAM = 0, 0, 0
+		if machine.IdleSince == 0 {
+			machine.IdleSince = now
 		}
 	}
-	f.MachineChanged(m)
+	f.MachineChanged(machine)
 }
 
 // Event is what a report, an expiry or a return taught about a booking.
@@ -524,93 +524,93 @@
 // true however late it is: an end, a newer session, and an absence only under
 // the conditions below. That the machine is there now, it cannot prove: see Trusted.
 func (f *Fleet) Report(now clock.Micros, report *wire.Heartbeat, viaHeartbeat bool) (events []Event, fresh bool) {
-	m := f.Ensure(report.Machine, now)
-	if !m.IsNewer(report.Incarnation, report.Sequence) || viaHeartbeat && m.ambiguous(report) {
+	machine := f.Ensure(report.Machine, now)
+	if !machine.IsNewer(report.Incarnation, report.Sequence) || viaHeartbeat && machine.ambiguous(report) {
 		return nil, false
 	}
 	f.Examined++
-	f.Describe(m, report.Endpoint, report.MachineType, report.Zone, report.Preemptible)
-	if report.Incarnation > m.Incarnation {
+	f.Describe(machine, report.Endpoint, report.MachineType, report.Zone, report.Preemptible)
+	if report.Incarnation > machine.Incarnation {
 		// A new session: the worker has killed all that ran in the ones before.
 		// One that ended although it went on reporting, and was answered, either
 		// began anew or did not hear the answers: that alone does not tell which.
-		if m.Reported && !m.Suspect && viaHeartbeat && m.Incarnation > 0 && now-m.LastHeartbeat < 2*f.reportInterval {
-			m.Unacknowledged = max(m.Unacknowledged, maxUnacknowledged-1)
+		if machine.Reported && !machine.Suspect && viaHeartbeat && machine.Incarnation > 0 && now-machine.LastHeartbeat < 2*f.reportInterval {
+			machine.Unacknowledged = max(machine.Unacknowledged, maxUnacknowledged-1)
 		}
-		events = append(events, f.endIncarnationsBefore(m, report.Incarnation, now)...)
-		m.LeaseEnd = max(m.LeaseEnd, now+f.lease)
-		m.Images = map[string]bool{}
-		m.unchanged = false
+		events = append(events, f.endIncarnationsBefore(machine, report.Incarnation, now)...)
+		machine.LeaseEnd = max(machine.LeaseEnd, now+f.lease)
+		machine.Images = map[string]bool{}
+		machine.unchanged = false
 	}
-	if m.mixedIncarnations && report.Token >= f.firstToken {
+	if machine.mixedIncarnations && report.Token >= f.firstToken {
 		// What a predecessor recorded in sessions before this one is gone, too. No
 		// copy from before the term shows its token.
-		m.mixedIncarnations = false
-		events = append(events, f.endIncarnationsBefore(m, report.Incarnation, now)...)
+		machine.mixedIncarnations = false
+		events = append(events, f.endIncarnationsBefore(machine, report.Incarnation, now)...)
 	}
-	m.Incarnation, m.Sequence = report.Incarnation, report.Sequence
+	machine.Incarnation, machine.Sequence = report.Incarnation, report.Sequence
 	// A report made after an answer shows its token, if the answer was heard.
-	unheard := viaHeartbeat && (report.Token < m.answeredToken || m.commandFailed)
+	unheard := viaHeartbeat && (report.Token < machine.answeredToken || machine.commandFailed)
 	if viaHeartbeat {
-		m.commandFailed = false
+		machine.commandFailed = false
 	}
-	if report.Token > m.Token {
-		m.Token = report.Token
-		f.Acknowledged(m)
+	if report.Token > machine.Token {
+		machine.Token = report.Token
+		f.Acknowledged(machine)
 	}
 	warned := clock.Micros(0)
 	if report.WarningS != nil {
 		warned = now + clock.FromSeconds(*report.WarningS)
 	}
-	if (warned > 0) != (m.PreemptionAt > 0) {
-		f.MachineChanged(m)
+	if (warned > 0) != (machine.PreemptionAt > 0) {
+		f.MachineChanged(machine)
 	}
-	m.PreemptionAt = warned
+	machine.PreemptionAt = warned
 	if viaHeartbeat {
-		f.heartbeatReceived(m, now)
+		f.heartbeatReceived(machine, now)
 	}
-	if m.unchanged && !unheard && report.Token == m.lastTasksToken && bytes.Equal(m.lastTasks, report.RawTasks) && len(report.RawTasks) > 0 {
+	if machine.unchanged && !unheard && report.Token == machine.lastTasksToken && bytes.Equal(machine.lastTasks, report.RawTasks) && len(report.RawTasks) > 0 {
 		return events, true
 	}
 	if err := report.DecodeTasks(); err != nil {
 		return events, true // its task list is not readable: it proves nothing
 	}
 	shown := make(map[*Allocation]bool, len(report.Tasks))
-	before := m.runningOrphans
-	f.clearOrphans(m)
-	held := len(m.Images)
+	before := machine.runningOrphans
+	f.clearOrphans(machine)
+	held := len(machine.Images)
 	for i := range report.Tasks {
 		f.Examined++
 		p := &report.Tasks[i]
 		id, ok := ParseTask(p.Task)
-		k := attemptKey{id, p.Attempt}
+		key := attemptKey{id, p.Attempt}
 		var allocation *Allocation
 		if ok {
-			allocation = m.byKey[k]
+			allocation = machine.byKey[key]
 		}
 		if allocation == nil || allocation.Incarnation != report.Incarnation {
 			if ok {
-				f.addOrphan(m, k, p.Status)
+				f.addOrphan(machine, key, p.Status)
 			}
 			continue
 		}
 		shown[allocation] = true
 		if allocation.Status == "" && allocation.firstSent > 0 {
-			f.Acknowledged(m)
+			f.Acknowledged(machine)
 		}
 		allocation.Status = p.Status
 		if p.Status != wire.TaskEnded {
 			allocation.reservation.Shown()
 		}
-		if p.Status == wire.TaskRunning && !m.Images[allocation.Image] {
-			m.Images[allocation.Image] = true
-			f.MachineChanged(m)
-		} else if _, known := m.Images[allocation.Image]; !known {
-			m.Images[allocation.Image] = false
+		if p.Status == wire.TaskRunning && !machine.Images[allocation.Image] {
+			machine.Images[allocation.Image] = true
+			f.MachineChanged(machine)
+		} else if _, known := machine.Images[allocation.Image]; !known {
+			machine.Images[allocation.Image] = false
 		}
 		if p.Status == wire.TaskRunning && allocation.RunningSince == 0 {
 			allocation.RunningSince = now
-			f.MachineChanged(m)
+			f.MachineChanged(machine)
 			events = append(events, Event{Allocation: allocation, Started: true})
 		}
 		if p.Status == wire.TaskEnded && !allocation.Ended {
@@ -619,11 +619,11 @@
 			events = append(events, Event{Allocation: allocation})
 		}
 	}
-	if len(m.Images) != held || m.runningOrphans != before {
-		f.MachineChanged(m)
+	if len(machine.Images) != held || machine.runningOrphans != before {
+		f.MachineChanged(machine)
 	}
-	steady := len(m.orphans) == 0
-	m.EachAllocation(func(allocation *Allocation) {
+	steady := len(machine.orphans) == 0
+	machine.EachAllocation(func(allocation *Allocation) {
 		f.Examined++
 		// A higher token voids the copies of a /do that are on their way, of
 		// attempts that are shown as well.
@@ -657,11 +657,11 @@
 		f.release(allocation, now)
 		events = append(events, Event{Allocation: allocation, Gone: true})
 	})
-	m.unchanged = steady
-	m.lastTasks, m.lastTasksToken = append(m.lastTasks[:0], report.RawTasks...), report.Token
+	machine.unchanged = steady
+	machine.lastTasks, machine.lastTasksToken = append(machine.lastTasks[:0], report.RawTasks...), report.Token
 	if unheard {
-		m.Unacknowledged++
-		f.MachineChanged(m)
+		machine.Unacknowledged++
+		f.MachineChanged(machine)
 	}
 	return events, true
 }
@@ -670,16 +670,16 @@
 const maxUnacknowledged = 3
 
 // Acknowledged notes that something told to the worker took effect.
-func (f *Fleet) Acknowledged(m *Machine) {
-	if m.Unacknowledged > 0 {
-		f.MachineChanged(m)
+func (f *Fleet) Acknowledged(machine *Machine) {
+	if machine.Unacknowledged > 0 {
+		f.MachineChanged(machine)
 	}
-	m.Unacknowledged, m.commandFailed = 0, false
+	machine.Unacknowledged, machine.commandFailed = 0, false
 }
 
 // CommandFailed notes that a direct command did not get through. It is a sign only
 // once the worker reports again: a silent machine is not a deaf one.
-func (f *Fleet) CommandFailed(m *Machine) { m.commandFailed = true }
+func (f *Fleet) CommandFailed(machine *Machine) { machine.commandFailed = true }
 
 // NotAcknowledging tells whether nothing told to the machine takes effect although it reports.
 func (m *Machine) NotAcknowledging() bool { return m.Unacknowledged >= maxUnacknowledged }
@@ -690,39 +690,39 @@
 // after a long silence. So a machine is trusted only once it has shown a
 // token of this term, which no copy made before it can, or has answered a
 // question (see Answers); after a silence, only the latter will do.
-func (f *Fleet) heartbeatReceived(m *Machine, now clock.Micros) {
-	if m.Reported && now-m.LastHeartbeat > 2*f.reportInterval && !m.Suspect {
-		m.Suspect = true
-		f.MachineChanged(m)
+func (f *Fleet) heartbeatReceived(machine *Machine, now clock.Micros) {
+	if machine.Reported && now-machine.LastHeartbeat > 2*f.reportInterval && !machine.Suspect {
+		machine.Suspect = true
+		f.MachineChanged(machine)
 	}
-	if m.Suspect || m.Token < f.firstToken {
+	if machine.Suspect || machine.Token < f.firstToken {
 		return
 	}
-	f.trust(m, now)
+	f.trust(machine, now)
 }
 
 // trust notes that a machine is there now: it has shown a token of this
 // term, or answered a question of it.
-func (f *Fleet) trust(m *Machine, now clock.Micros) {
-	if !m.Reported {
-		m.Reported = true
-		f.MachineChanged(m)
-	}
-	m.UnansweredProbes = 0
-	if m.Unresponsive {
-		m.Unresponsive = false
-		m.EachAllocation(func(allocation *Allocation) {
+func (f *Fleet) trust(machine *Machine, now clock.Micros) {
+	if !machine.Reported {
+		machine.Reported = true
+		f.MachineChanged(machine)
+	}
+	machine.UnansweredProbes = 0
+	if machine.Unresponsive {
+		machine.Unresponsive = false
+		machine.EachAllocation(func(allocation *Allocation) {
 			if allocation.Status != "" {
 				allocation.reservation.Shown()
 			}
 		})
-		f.MachineChanged(m)
+		f.MachineChanged(machine)
 	}
-	m.LastHeartbeat = now
-	if m.heartbeat == nil {
-		m.heartbeat = f.heartbeats.PushBack(m)
+	machine.LastHeartbeat = now
+	if machine.heartbeat == nil {
+		machine.heartbeat = f.heartbeats.PushBack(machine)
 	} else {
-		f.heartbeats.MoveToBack(m.heartbeat)
+		f.heartbeats.MoveToBack(machine.heartbeat)
 	}
 }
 
@@ -732,13 +732,13 @@
 // its predecessor's tasks are gone with it, except those that a copy of a run,
 // still on its way, might start in the new one.
 func (f *Fleet) ProbeAnswered(now clock.Micros, known wire.ReportVersion, report *wire.Heartbeat) (events []Event) {
-	m := f.machines[report.Machine]
-	if m == nil {
+	machine := f.machines[report.Machine]
+	if machine == nil {
 		return nil
 	}
 	anew := report.Incarnation < known.Incarnation || report.Incarnation == known.Incarnation && report.Sequence <= known.Sequence
 	if anew {
-		m.EachAllocation(func(allocation *Allocation) {
+		machine.EachAllocation(func(allocation *Allocation) {
 			if allocation.mayArrive() {
 				return
 			}
@@ -748,30 +748,30 @@
 			}
 			f.Remove(allocation, now)
 		})
-		if reached := (wire.ReportVersion{Incarnation: m.Incarnation, Sequence: m.Sequence + f.maxUnseenReports()}); reached.Incarnation >= m.supersededReports.Incarnation {
-			m.supersededReports = reached
+		if reached := (wire.ReportVersion{Incarnation: machine.Incarnation, Sequence: machine.Sequence + f.maxUnseenReports()}); reached.Incarnation >= machine.supersededReports.Incarnation {
+			machine.supersededReports = reached
 		}
-		m.Incarnation, m.Sequence, m.Token = report.Incarnation, 0, report.Token
-		m.Images, m.unchanged = map[string]bool{}, false
-		m.Reported = m.Reported && report.Token >= f.firstToken
-		m.LeaseEnd = max(m.LeaseEnd, now+f.lease)
+		machine.Incarnation, machine.Sequence, machine.Token = report.Incarnation, 0, report.Token
+		machine.Images, machine.unchanged = map[string]bool{}, false
+		machine.Reported = machine.Reported && report.Token >= f.firstToken
+		machine.LeaseEnd = max(machine.LeaseEnd, now+f.lease)
 		// What is in doubt may yet be started by the new process, under its session.
-		m.EachAllocation(func(allocation *Allocation) {
+		machine.EachAllocation(func(allocation *Allocation) {
 			allocation.Incarnation, allocation.Status = report.Incarnation, ""
 			allocation.reservation.Doubt()
 		})
-		f.MachineChanged(m)
+		f.MachineChanged(machine)
 	}
 	more, _ := f.Report(now, report, false)
-	m.LastHeartbeat = now
-	if m.Suspect {
-		m.Suspect = false
-		f.MachineChanged(m)
+	machine.LastHeartbeat = now
+	if machine.Suspect {
+		machine.Suspect = false
+		f.MachineChanged(machine)
 	}
 	if anew {
-		f.heartbeatReceived(m, now) // trusted once it knows the token, so that old commands are void
+		f.heartbeatReceived(machine, now) // trusted once it knows the token, so that old commands are void
 	} else {
-		f.trust(m, now)
+		f.trust(machine, now)
 	}
 	return append(events, more...)
 }
@@ -789,30 +789,30 @@
 // SilentMachines lists the machines whose last heartbeat is older than after, longest silent first.
 func (f *Fleet) SilentMachines(now, after clock.Micros) (silent []*Machine) {
 	for e := f.heartbeats.Front(); e != nil; e = e.Next() {
-		m := e.Value.(*Machine)
+		machine := e.Value.(*Machine)
 		f.Examined++
-		if now-m.LastHeartbeat <= after {
+		if now-machine.LastHeartbeat <= after {
 			break
 		}
-		silent = append(silent, m)
+		silent = append(silent, machine)
 	}
 	return silent
 }
 
 // MarkUnresponsive notes that a machine has fallen silent: nothing is placed on it, and what is
 // on it may be gone.
-func (f *Fleet) MarkUnresponsive(m *Machine) {
-	if m.Unresponsive {
+func (f *Fleet) MarkUnresponsive(machine *Machine) {
+	if machine.Unresponsive {
 		return
 	}
-	m.Unresponsive = true
-	m.EachAllocation(func(allocation *Allocation) { allocation.reservation.Doubt() })
-	f.MachineChanged(m)
+	machine.Unresponsive = true
+	machine.EachAllocation(func(allocation *Allocation) { allocation.reservation.Doubt() })
+	f.MachineChanged(machine)
 }
 
 // endIncarnationsBefore frees what was booked in sessions before the given one.
-func (f *Fleet) endIncarnationsBefore(m *Machine, session uint64, now clock.Micros) (events []Event) {
-	m.EachAllocation(func(allocation *Allocation) {
+func (f *Fleet) endIncarnationsBefore(machine *Machine, session uint64, now clock.Micros) (events []Event) {
+	machine.EachAllocation(func(allocation *Allocation) {
 		if allocation.Incarnation >= session {
 			return
 		}
@@ -829,23 +829,23 @@
 // ExpireLeases frees the bookings of machines whose lease must have run out.
 func (f *Fleet) ExpireLeases(now clock.Micros) (events []Event) {
 	for len(f.leases) > 0 && f.leases[0].leaseCheckAt < now {
-		m := heap.Pop(&f.leases).(*Machine)
+		machine := heap.Pop(&f.leases).(*Machine)
 		f.Examined++
-		if len(m.allocations) == 0 {
+		if len(machine.allocations) == 0 {
 			continue
 		}
-		if now <= m.LeaseEnd {
-			f.watchLease(m)
+		if now <= machine.LeaseEnd {
+			f.watchLease(machine)
 			continue
 		}
-		events = append(events, f.endIncarnationsBefore(m, m.Incarnation+1, now)...)
+		events = append(events, f.endIncarnationsBefore(machine, machine.Incarnation+1, now)...)
 		// Its next report may be a copy of one from before.
-		m.Reported, m.Suspect = false, m.Suspect || m.Reported
-		if m.heartbeat != nil {
-			f.heartbeats.Remove(m.heartbeat)
-			m.heartbeat = nil
+		machine.Reported, machine.Suspect = false, machine.Suspect || machine.Reported
+		if machine.heartbeat != nil {
+			f.heartbeats.Remove(machine.heartbeat)
+			machine.heartbeat = nil
 		}
-		f.MachineChanged(m)
+		f.MachineChanged(machine)
 	}
 	return events
 }
@@ -856,13 +856,13 @@
 
 // MachineReturned takes in that the cloud has deleted a machine with all that was on it.
 func (f *Fleet) MachineReturned(name string, now clock.Micros) (events []Event) {
-	m := f.machines[name]
-	if m == nil {
+	machine := f.machines[name]
+	if machine == nil {
 		return nil
 	}
-	events = f.endIncarnationsBefore(m, m.Incarnation+1, now)
+	events = f.endIncarnationsBefore(machine, machine.Incarnation+1, now)
 	// A recorded booking of a session not reported yet is gone as well.
-	m.EachAllocation(func(allocation *Allocation) {
+	machine.EachAllocation(func(allocation *Allocation) {
 		if allocation.Live() {
 			f.release(allocation, now)
 			events = append(events, Event{Allocation: allocation, Gone: true})
@@ -875,9 +875,9 @@
 
 // HeartbeatAnswered notes that a heartbeat of m is being answered, which extends its lease
 // if the answer is heard. That counts even for a copy that comes late.
-func (f *Fleet) HeartbeatAnswered(m *Machine, now clock.Micros, token uint64) {
-	m.LeaseEnd = max(m.LeaseEnd, now+f.lease)
-	m.answeredToken, m.AnsweredAt = token, now
+func (f *Fleet) HeartbeatAnswered(machine *Machine, now clock.Micros, token uint64) {
+	machine.LeaseEnd = max(machine.LeaseEnd, now+f.lease)
+	machine.answeredToken, machine.AnsweredAt = token, now
 }
 
 // maxCommands keeps an answer to a worker, and a direct command, under 64 KiB.
@@ -898,36 +898,36 @@
 
 // Commands lists what a worker should be told. For a heartbeat, the runs in it are
 // noted as carried by the answer to the heartbeat of this tally.
-func (f *Fleet) Commands(m *Machine, now clock.Micros, viaHeartbeat bool, scope Scope) []wire.Command {
+func (f *Fleet) Commands(machine *Machine, now clock.Micros, viaHeartbeat bool, scope Scope) []wire.Command {
 	orders := []wire.Command{}
-	if m.unchanged {
+	if machine.unchanged {
 		return orders
 	}
 	if scope == StopsOnly {
-		return f.stopCommands(m, now)
+		return f.stopCommands(machine, now)
 	}
 	var runs []wire.Command
-	for _, k := range sortedKeys(m.orphans) {
+	for _, key := range sortedKeys(machine.orphans) {
 		if len(orders) >= maxCommands {
 			break
 		}
-		switch f.decideOrphan(k, m.orphans[k].sign()) {
+		switch f.decideOrphan(key, machine.orphans[key].sign()) {
 		case recovery.Stop:
 			// It is stopped, then forgotten.
 			zero := 0.0
-			orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: k.task.String(), Attempt: k.attempt, GraceS: &zero})
+			orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: key.task.String(), Attempt: key.attempt, GraceS: &zero})
 		case recovery.Release:
-			if viaHeartbeat && m.Token >= f.firstToken {
-				orders = append(orders, wire.Command{Verb: wire.VerbForget, Task: k.task.String(), Attempt: k.attempt})
+			if viaHeartbeat && machine.Token >= f.firstToken {
+				orders = append(orders, wire.Command{Verb: wire.VerbForget, Task: key.task.String(), Attempt: key.attempt})
 			}
 		}
 	}
-	for _, allocation := range m.allocations {
+	for _, allocation := range machine.allocations {
 		f.Examined++
 		if len(orders)+len(runs) >= maxCommands {
 			break // the next answer goes on from here
 		}
-		if allocation.Incarnation != m.Incarnation {
+		if allocation.Incarnation != machine.Incarnation {
 			continue
 		}
 		switch {
@@ -943,10 +943,10 @@
 			if allocation.Status != "" && allocation.Status != wire.TaskEnded {
 				orders = append(orders, allocation.stopCommand(now))
 			}
-		case allocation.Durable && scope == AllCommands && allocation.Status == "" && allocation.inFlight == 0 && (viaHeartbeat || !allocation.HeartbeatOnly || m.Restarted()):
+		case allocation.Durable && scope == AllCommands && allocation.Status == "" && allocation.inFlight == 0 && (viaHeartbeat || !allocation.HeartbeatOnly || machine.Restarted()):
 			runs = append(runs, wire.Command{Verb: wire.VerbRun, Task: allocation.Task.String(), Attempt: allocation.Attempt})
 			if viaHeartbeat {
-				allocation.heartbeatSequence = m.Sequence
+				allocation.heartbeatSequence = machine.Sequence
 			}
 			if allocation.firstSent == 0 {
 				allocation.firstSent = now
@@ -958,11 +958,11 @@
 }
 
 // stopCommands lists the stops of attempts that are on the machine.
-func (f *Fleet) stopCommands(m *Machine, now clock.Micros) []wire.Command {
+func (f *Fleet) stopCommands(machine *Machine, now clock.Micros) []wire.Command {
 	orders := []wire.Command{}
-	for _, allocation := range m.allocations {
+	for _, allocation := range machine.allocations {
 		f.Examined++
-		if allocation.Stopping && allocation.Live() && allocation.Incarnation == m.Incarnation && allocation.Status != "" && allocation.Status != wire.TaskEnded && len(orders) < maxCommands {
+		if allocation.Stopping && allocation.Live() && allocation.Incarnation == machine.Incarnation && allocation.Status != "" && allocation.Status != wire.TaskEnded && len(orders) < maxCommands {
 			orders = append(orders, allocation.stopCommand(now))
 		}
 	}
@@ -977,8 +977,8 @@
 
 func sortedKeys(in map[attemptKey]orphan) []attemptKey {
 	keys := make([]attemptKey, 0, len(in))
-	for k := range in {
-		keys = append(keys, k)
+	for key := range in {
+		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b attemptKey) int {
 		return cmp.Or(strings.Compare(a.task.Job, b.task.Job), cmp.Compare(a.task.Index, b.task.Index), cmp.Compare(a.attempt, b.attempt))
@@ -1022,25 +1022,25 @@
 func (fl *InFlightCommand) HasRuns() bool { return len(fl.runs) > 0 }
 
 // PrepareCommand collects the orders for a /do; nil when there is nothing to say.
-func (f *Fleet) PrepareCommand(m *Machine, now clock.Micros, token uint64, scope Scope) *InFlightCommand {
-	if m.Endpoint == "" || m.LeaseExpired(now) {
+func (f *Fleet) PrepareCommand(machine *Machine, now clock.Micros, token uint64, scope Scope) *InFlightCommand {
+	if machine.Endpoint == "" || machine.LeaseExpired(now) {
 		return nil
 	}
-	fl := &InFlightCommand{Machine: m, Incarnation: m.Incarnation, Token: token, Commands: f.Commands(m, now, false, scope)}
-	if len(fl.Commands) == 0 {
+	command := &InFlightCommand{Machine: machine, Incarnation: machine.Incarnation, Token: token, Commands: f.Commands(machine, now, false, scope)}
+	if len(command.Commands) == 0 {
 		return nil
 	}
-	for _, o := range fl.Commands {
+	for _, o := range command.Commands {
 		if o.Verb != wire.VerbRun {
 			continue
 		}
 		if id, ok := ParseTask(o.Task); ok {
-			allocation := m.byKey[attemptKey{id, o.Attempt}]
+			allocation := machine.byKey[attemptKey{id, o.Attempt}]
 			allocation.inFlight++
-			fl.runs = append(fl.runs, allocation)
+			command.runs = append(command.runs, allocation)
 		}
 	}
-	return fl
+	return command
 }
 
 // Outcome is what is known of a direct command.
@@ -1059,11 +1059,11 @@
 
 // CommandCompleted takes in the outcome of a /do. Unless it is void, its runs may arrive
 // until the worker has seen a higher token or is in a newer session.
-func (f *Fleet) CommandCompleted(fl *InFlightCommand, out Outcome) {
-	for _, allocation := range fl.runs {
+func (f *Fleet) CommandCompleted(command *InFlightCommand, out Outcome) {
+	for _, allocation := range command.runs {
 		allocation.inFlight--
 		if out != OutcomeNotExecuted && !allocation.removed {
-			f.setUnfenced(allocation, max(allocation.unfencedToken, fl.Token), out == OutcomeUnknown)
+			f.setUnfenced(allocation, max(allocation.unfencedToken, command.Token), out == OutcomeUnknown)
 		}
 	}
 }
@@ -1096,7 +1096,7 @@
 	n := 0
 	for allocation := range f.unfenced {
 		f.Examined++
-		if m := allocation.Machine; allocation.unfencedToken >= token && m.Reported && now-m.LastHeartbeat <= 3*f.reportInterval {
+		if machine := allocation.Machine; allocation.unfencedToken >= token && machine.Reported && now-machine.LastHeartbeat <= 3*f.reportInterval {
 			n++
 		}
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -18,9 +18,9 @@
 var task0 = TaskID{Job: "j-1", Index: 0}
 
 // reserve books an attempt of a team without limits.
-func reserve(t testing.TB, f *Fleet, m *Machine, allocation *Allocation, now clock.Micros) {
+func reserve(t testing.TB, f *Fleet, machine *Machine, allocation *Allocation, now clock.Micros) {
 	t.Helper()
-	if err := f.Reserve(m, allocation, now); err != nil {
+	if err := f.Reserve(machine, allocation, now); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -39,12 +39,12 @@
 	f := New(lease, report, 5, quota.NewLedger(nil))
 	f.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8, RAM: 32}}})
 	f.Report(1, rep(1, 1, 0), true)
-	m := f.Machine("n-1")
-	f.HeartbeatAnswered(m, 1, 5)
+	machine := f.Machine("n-1")
+	f.HeartbeatAnswered(machine, 1, 5)
 	allocation := &Allocation{Task: task0, Attempt: 1, Incarnation: 1, Cores: 2, RAM: 4}
-	reserve(t, f, m, allocation, 1)
+	reserve(t, f, machine, allocation, 1)
 	allocation.Durable = true
-	return f, m, allocation
+	return f, machine, allocation
 }
 
 func gone(events []Event) bool {
@@ -59,8 +59,8 @@
 // The answer to a heartbeat is dead once a later heartbeat has come, not before: the
 // body of a /do made in between proves nothing.
 func TestAbsenceAfterBeatAnswer(t *testing.T) {
-	f, m, allocation := booked(t)
-	if o := f.Commands(m, 2, true, AllCommands); len(o) != 1 || o[0].Verb != wire.VerbRun {
+	f, machine, allocation := booked(t)
+	if o := f.Commands(machine, 2, true, AllCommands); len(o) != 1 || o[0].Verb != wire.VerbRun {
 		t.Fatalf("orders %v", o)
 	}
 	f.Stop(allocation, 0, 3)
@@ -70,15 +70,15 @@
 	if events, _ := f.Report(5, rep(1, 3, 5), true); !gone(events) {
 		t.Fatal("not freed by a later heartbeat that does not show it")
 	}
-	if c, _, _ := m.Free(); c != 8 {
+	if c, _, _ := machine.Free(); c != 8 {
 		t.Errorf("free cores %v", c)
 	}
 }
 
 func TestDoubtEndsWithHigherToken(t *testing.T) {
-	f, m, allocation := booked(t)
-	fl := f.PrepareCommand(m, 2, 5, AllCommands)
-	f.CommandCompleted(fl, OutcomeUnknown)
+	f, machine, allocation := booked(t)
+	command := f.PrepareCommand(machine, 2, 5, AllCommands)
+	f.CommandCompleted(command, OutcomeUnknown)
 	f.Stop(allocation, 0, 3)
 	if events, _ := f.Report(4, rep(1, 2, 5), true); gone(events) {
 		t.Fatal("absence believed under the token of the lost run")
@@ -99,21 +99,21 @@
 		out    Outcome
 		forget bool
 	}{{OutcomeUnknown, false}, {OutcomeExecuted, false}, {OutcomeNotExecuted, true}} {
-		f, m, allocation := booked(t)
-		f.CommandCompleted(f.PrepareCommand(m, 2, 5, AllCommands), tt.out)
+		f, machine, allocation := booked(t)
+		f.CommandCompleted(f.PrepareCommand(machine, 2, 5, AllCommands), tt.out)
 		f.Report(3, rep(1, 2, 5, shown(wire.TaskEnded, wire.CauseDone)), false)
-		if !allocation.Ended || m.LiveCount() != 0 {
+		if !allocation.Ended || machine.LiveCount() != 0 {
 			t.Fatal("end not taken in")
 		}
 		allocation.ResultDurable = true
-		if o := f.Commands(m, 4, true, AllCommands); (len(o) == 1 && o[0].Verb == wire.VerbForget) != tt.forget {
+		if o := f.Commands(machine, 4, true, AllCommands); (len(o) == 1 && o[0].Verb == wire.VerbForget) != tt.forget {
 			t.Errorf("outcome %v: orders %v, forget: %t", tt.out, o, tt.forget)
 		}
 		if waits := f.ResultsAwaitFencing(5); waits != (tt.out == OutcomeExecuted) {
 			t.Errorf("outcome %v: waits for a higher token: %t", tt.out, waits)
 		}
 		f.Report(5, rep(1, 3, 6, shown(wire.TaskEnded, wire.CauseDone)), true)
-		if o := f.Commands(m, 6, true, AllCommands); len(o) != 1 || o[0].Verb != wire.VerbForget {
+		if o := f.Commands(machine, 6, true, AllCommands); len(o) != 1 || o[0].Verb != wire.VerbForget {
 			t.Errorf("outcome %v: orders %v under a higher token, want forget", tt.out, o)
 		}
 	}
@@ -121,13 +121,13 @@
 
 // Results that wait on a worker to be forgotten must not outgrow its reports.
 func TestManyResultsPress(t *testing.T) {
-	f, m, _ := booked(t)
+	f, machine, _ := booked(t)
 	for i := range maxUnforgottenResults + 1 {
 		if f.TakeReportOverloaded() {
 			t.Fatalf("presses after %d results", i)
 		}
 		allocation := &Allocation{Task: TaskID{Job: "j-2", Index: i}, Attempt: 1, Incarnation: 1}
-		reserve(t, f, m, allocation, 2)
+		reserve(t, f, machine, allocation, 2)
 		f.release(allocation, 3)
 	}
 	if !f.TakeReportOverloaded() || f.TakeReportOverloaded() {
@@ -137,16 +137,16 @@
 
 // An answer to a worker stays within 64 KiB; the next one goes on.
 func TestAnswersStaySmall(t *testing.T) {
-	f, m, _ := booked(t)
+	f, machine, _ := booked(t)
 	const n = 3 * maxCommands / 2
 	for i := range n {
 		allocation := &Allocation{Task: TaskID{Job: "j-123456789", Index: 10000 + i}, Attempt: 123456, Incarnation: 1, Cores: 0.001}
-		reserve(t, f, m, allocation, 2)
+		reserve(t, f, machine, allocation, 2)
 		allocation.Durable = true
 	}
 	seen := 0
 	for tally := uint64(2); tally < 4; tally++ {
-		o := f.Commands(m, 3, true, AllCommands)
+		o := f.Commands(machine, 3, true, AllCommands)
 		if raw, err := wire.Marshal(wire.HeartbeatResponse{Token: 5, Commands: o}); err != nil || len(raw) > wire.MaxBody {
 			t.Fatalf("%d orders take %d bytes", len(o), len(raw))
 		}
@@ -164,8 +164,8 @@
 
 // A stale or reordered report never overwrites a newer one.
 func TestOldReportsChangeNothing(t *testing.T) {
-	f, m, allocation := booked(t)
-	f.Commands(m, 2, true, AllCommands)
+	f, machine, allocation := booked(t)
+	f.Commands(machine, 2, true, AllCommands)
 	f.Report(3, rep(1, 9, 5, shown(wire.TaskRunning, "")), true)
 	for _, old := range []*wire.Heartbeat{rep(1, 8, 5), rep(1, 9, 5)} {
 		if events, fresh := f.Report(4, old, true); fresh || len(events) > 0 {
@@ -185,15 +185,15 @@
 }
 
 func TestLeaseCountsFromLastAnswer(t *testing.T) {
-	f, m, _ := booked(t)
-	f.HeartbeatAnswered(m, 10*clock.Second, 5)
+	f, machine, _ := booked(t)
+	f.HeartbeatAnswered(machine, 10*clock.Second, 5)
 	if gone(f.ExpireLeases(10*clock.Second + lease)) {
 		t.Fatal("freed at the lease without its drift")
 	}
 	if !gone(f.ExpireLeases(10*clock.Second + lease + clock.Second)) {
 		t.Fatal("never freed")
 	}
-	if f.PrepareCommand(m, 40*clock.Second, 5, AllCommands) != nil {
+	if f.PrepareCommand(machine, 40*clock.Second, 5, AllCommands) != nil {
 		t.Error("ordered into a session that must be over")
 	}
 }
@@ -206,20 +206,20 @@
 }
 
 func TestStrangers(t *testing.T) {
-	f, m, _ := booked(t)
+	f, machine, _ := booked(t)
 	other := wire.TaskReport{Task: "j-9/4", Attempt: 3, Status: wire.TaskRunning}
 	f.Report(2, rep(1, 2, 0, other), true)
-	if o := f.Commands(m, 2, true, NoRuns); len(o) != 1 || o[0].Verb != wire.VerbStop {
+	if o := f.Commands(machine, 2, true, NoRuns); len(o) != 1 || o[0].Verb != wire.VerbStop {
 		t.Fatalf("orders %v, want a halt", o)
 	}
 	other.Status = wire.TaskEnded
 	// Ended, but a predecessor's run may still be out until this term's token was seen.
 	f.Report(3, rep(1, 3, 4, other), true)
-	if o := f.Commands(m, 3, true, NoRuns); len(o) != 0 {
+	if o := f.Commands(machine, 3, true, NoRuns); len(o) != 0 {
 		t.Fatalf("orders %v before the token was seen", o)
 	}
 	f.Report(4, rep(1, 4, 5, other), true)
-	if o := f.Commands(m, 4, true, NoRuns); len(o) != 1 || o[0].Verb != wire.VerbForget {
+	if o := f.Commands(machine, 4, true, NoRuns); len(o) != 1 || o[0].Verb != wire.VerbForget {
 		t.Fatalf("orders %v, want forget", o)
 	}
 }
@@ -228,13 +228,13 @@
 // recorded, not elsewhere.
 func TestAdoptedRunIsRepeated(t *testing.T) {
 	f := New(lease, report, 5, quota.NewLedger(nil))
-	m := f.Ensure("n-1", 1)
+	machine := f.Ensure("n-1", 1)
 	allocation := &Allocation{Task: task0, Attempt: 1, Incarnation: 1, Cores: 2}
-	f.Adopt(m, allocation, 1)
+	f.Adopt(machine, allocation, 1)
 	f.Report(2, rep(1, 7, 4), true)
-	f.HeartbeatAnswered(m, 2, 5)
+	f.HeartbeatAnswered(machine, 2, 5)
 	f.Report(3, rep(1, 8, 5), true)
-	if o := f.Commands(m, 3, true, AllCommands); len(o) != 1 || o[0].Verb != wire.VerbRun || allocation.Ended {
+	if o := f.Commands(machine, 3, true, AllCommands); len(o) != 1 || o[0].Verb != wire.VerbRun || allocation.Ended {
 		t.Errorf("orders %v, ended %t", o, allocation.Ended)
 	}
 }
@@ -246,12 +246,12 @@
 	for name, sessions := range map[string][]uint64{"earlier first": {1, 2}, "later first": {2, 1}, "reported before": {1}} {
 		t.Run(name, func(t *testing.T) {
 			f := New(lease, report, 5, quota.NewLedger(nil))
-			m := f.Ensure("n-1", 1)
+			machine := f.Ensure("n-1", 1)
 			if len(sessions) == 1 {
 				f.Report(1, rep(2, 6, 4), true)
 			}
 			for _, session := range sessions {
-				f.Adopt(m, &Allocation{Task: TaskID{Job: "j-1", Index: int(session)}, Attempt: 1, Incarnation: session, Cores: 2}, 1)
+				f.Adopt(machine, &Allocation{Task: TaskID{Job: "j-1", Index: int(session)}, Attempt: 1, Incarnation: session, Cores: 2}, 1)
 			}
 			if events, _ := f.Report(2, rep(2, 7, 4), true); len(events) > 0 {
 				t.Errorf("news %+v of what may be a copy from before the term", events)
@@ -260,7 +260,7 @@
 			if len(events) != 1 || !events[0].Gone || events[0].Allocation.Incarnation != 1 {
 				t.Errorf("news %+v, want that the attempt of the earlier session is gone", events)
 			}
-			if n := m.AllocationCount(); n != len(sessions)-1 {
+			if n := machine.AllocationCount(); n != len(sessions)-1 {
 				t.Errorf("%d attempts are left, want %d", n, len(sessions)-1)
 			}
 		})
@@ -277,51 +277,51 @@
 	tests := []struct {
 		name string
 		copy *wire.Heartbeat
-		run  func(f *Fleet, m *Machine, allocation *Allocation)
+		run  func(f *Fleet, machine *Machine, allocation *Allocation)
 	}{
-		{"run in a heartbeat's answer, then shown", rep(1, 3, 5), func(f *Fleet, m *Machine, _ *Allocation) {
+		{"run in a heartbeat's answer, then shown", rep(1, 3, 5), func(f *Fleet, machine *Machine, _ *Allocation) {
 			heard(f, 4)
-			f.Commands(m, 3, true, AllCommands)
+			f.Commands(machine, 3, true, AllCommands)
 			f.Report(4, rep(1, 5, 5, shown(wire.TaskRunning, "")), true)
 		}},
-		{"run in a heartbeat's answer, stopped before it was shown", rep(1, 3, 5), func(f *Fleet, m *Machine, allocation *Allocation) {
+		{"run in a heartbeat's answer, stopped before it was shown", rep(1, 3, 5), func(f *Fleet, machine *Machine, allocation *Allocation) {
 			heard(f, 4)
-			f.Commands(m, 3, true, AllCommands)
+			f.Commands(machine, 3, true, AllCommands)
 			f.Stop(allocation, 0, 4)
 		}},
-		{"run in a /do that is under way", rep(1, 3, 5), func(f *Fleet, m *Machine, allocation *Allocation) {
+		{"run in a /do that is under way", rep(1, 3, 5), func(f *Fleet, machine *Machine, allocation *Allocation) {
 			heard(f, 2)
-			f.PrepareCommand(m, 3, 5, AllCommands)
+			f.PrepareCommand(machine, 3, 5, AllCommands)
 			f.Stop(allocation, 0, 4)
 		}},
-		{"run in a /do without an answer", rep(1, 3, 5), func(f *Fleet, m *Machine, allocation *Allocation) {
+		{"run in a /do without an answer", rep(1, 3, 5), func(f *Fleet, machine *Machine, allocation *Allocation) {
 			heard(f, 2)
-			f.CommandCompleted(f.PrepareCommand(m, 3, 5, AllCommands), OutcomeUnknown)
+			f.CommandCompleted(f.PrepareCommand(machine, 3, 5, AllCommands), OutcomeUnknown)
 			f.Stop(allocation, 0, 4)
 		}},
-		{"run in a /do that was answered", rep(1, 3, 5), func(f *Fleet, m *Machine, _ *Allocation) {
+		{"run in a /do that was answered", rep(1, 3, 5), func(f *Fleet, machine *Machine, _ *Allocation) {
 			heard(f, 2)
-			fl := f.PrepareCommand(m, 3, 5, AllCommands)
-			f.CommandCompleted(fl, OutcomeExecuted)
+			command := f.PrepareCommand(machine, 3, 5, AllCommands)
+			f.CommandCompleted(command, OutcomeExecuted)
 			f.Report(4, rep(1, 4, 5, shown(wire.TaskRunning, "")), false)
 		}},
-		{"an older session", rep(1, 9, 5), func(f *Fleet, m *Machine, _ *Allocation) {
+		{"an older session", rep(1, 9, 5), func(f *Fleet, machine *Machine, _ *Allocation) {
 			f.Report(3, rep(2, 1, 5), true)
 			b2 := &Allocation{Task: task0, Attempt: 2, Incarnation: 2, Cores: 2}
-			reserve(t, f, m, b2, 3)
+			reserve(t, f, machine, b2, 3)
 			b2.Durable = true
-			f.Commands(m, 3, true, AllCommands)
+			f.Commands(machine, 3, true, AllCommands)
 		}},
 	}
 	for _, tt := range tests {
-		f, m, allocation := booked(t)
-		tt.run(f, m, allocation)
-		live, session, tally := m.LiveCount(), m.Incarnation, m.Sequence
-		if events, _ := f.Report(6, tt.copy, true); gone(events) || m.LiveCount() != live {
+		f, machine, allocation := booked(t)
+		tt.run(f, machine, allocation)
+		live, session, tally := machine.LiveCount(), machine.Incarnation, machine.Sequence
+		if events, _ := f.Report(6, tt.copy, true); gone(events) || machine.LiveCount() != live {
 			t.Errorf("%s: freed by the copy", tt.name)
 		}
-		if m.Incarnation < session || m.Incarnation == session && m.Sequence < tally {
-			t.Errorf("%s: reports went back from %d/%d to %d/%d", tt.name, session, tally, m.Incarnation, m.Sequence)
+		if machine.Incarnation < session || machine.Incarnation == session && machine.Sequence < tally {
+			t.Errorf("%s: reports went back from %d/%d to %d/%d", tt.name, session, tally, machine.Incarnation, machine.Sequence)
 		}
 	}
 }
@@ -331,17 +331,17 @@
 func TestCopyAtNewLeader(t *testing.T) {
 	f := New(lease, report, 5, quota.NewLedger(nil))
 	f.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8, RAM: 32}}})
-	m := f.Ensure("n-1", 1)
+	machine := f.Ensure("n-1", 1)
 	allocation := &Allocation{Task: task0, Attempt: 1, Incarnation: 1, Cores: 2}
-	f.Adopt(m, allocation, 1)
+	f.Adopt(machine, allocation, 1)
 	if events, _ := f.Report(2, rep(1, 3, 4), true); gone(events) || !allocation.Live() {
 		t.Fatal("a copy from before the run proved it absent")
 	}
-	if m.Reported {
+	if machine.Reported {
 		t.Error("a copy from before the term made the machine trusted")
 	}
 	f.Report(3, rep(1, 8, 5, shown(wire.TaskRunning, "")), true)
-	if !m.Reported || allocation.Status != wire.TaskRunning {
+	if !machine.Reported || allocation.Status != wire.TaskRunning {
 		t.Error("a report under this term's token was not believed")
 	}
 }
@@ -349,21 +349,21 @@
 // A copy that was held while its machine was silent says nothing of now: the
 // machine stays silent until it answers a question.
 func TestCopyDoesNotEndSilence(t *testing.T) {
-	f, m, _ := booked(t)
+	f, machine, _ := booked(t)
 	f.Report(2, rep(1, 2, 5), true)
-	if !m.Reported {
+	if !machine.Reported {
 		t.Fatal("not trusted at the start")
 	}
 	late := 2*report + 2*clock.Second
 	f.Report(late, rep(1, 3, 5), true)
-	if !m.Suspect || m.LastHeartbeat != 2 {
-		t.Fatalf("suspect %t, last heartbeat at %d after a report that may be late", m.Suspect, m.LastHeartbeat)
+	if !machine.Suspect || machine.LastHeartbeat != 2 {
+		t.Fatalf("suspect %t, last heartbeat at %d after a report that may be late", machine.Suspect, machine.LastHeartbeat)
 	}
 	if got := f.SilentMachines(late, 2*report); len(got) != 1 {
 		t.Errorf("silent: %d machines, want 1", len(got))
 	}
-	f.ProbeAnswered(late+1, m.ReportVersion(), rep(1, 4, 5))
-	if m.Suspect || m.LastHeartbeat != late+1 {
+	f.ProbeAnswered(late+1, machine.ReportVersion(), rep(1, 4, 5))
+	if machine.Suspect || machine.LastHeartbeat != late+1 {
 		t.Error("still suspect after it answered a question")
 	}
 }
@@ -372,28 +372,28 @@
 // heartbeats, tells it from late copies; what its predecessor ran is gone, except
 // what a copy of a run still under way might start.
 func TestNewProcessCountsAgain(t *testing.T) {
-	f, m, allocation := booked(t)
+	f, machine, allocation := booked(t)
 	f.Report(2, rep(3, 40, 5), true)
 	sure := &Allocation{Task: TaskID{Job: "j-2"}, Attempt: 1, Incarnation: 3, Cores: 1}
 	doubtful := &Allocation{Task: TaskID{Job: "j-3"}, Attempt: 1, Incarnation: 3, Cores: 1}
-	reserve(t, f, m, sure, 3)
+	reserve(t, f, machine, sure, 3)
 	sure.Durable = true
-	f.Commands(m, 3, true, AllCommands)
-	reserve(t, f, m, doubtful, 3)
+	f.Commands(machine, 3, true, AllCommands)
+	reserve(t, f, machine, doubtful, 3)
 	doubtful.Durable = true
-	f.CommandCompleted(f.PrepareCommand(m, 3, 5, AllCommands), OutcomeUnknown)
+	f.CommandCompleted(f.PrepareCommand(machine, 3, 5, AllCommands), OutcomeUnknown)
 	f.setUnfenced(sure, 0, false)
 	if _, fresh := f.Report(4, rep(1, 1, 0), true); fresh {
 		t.Fatal("a report that counts lower was taken in as it came")
 	}
-	events := f.ProbeAnswered(5, m.ReportVersion(), rep(1, 2, 0))
+	events := f.ProbeAnswered(5, machine.ReportVersion(), rep(1, 2, 0))
 	if !gone(events) || sure.Live() || !doubtful.Live() {
 		t.Fatalf("sure live %t, doubtful live %t", sure.Live(), doubtful.Live())
 	}
-	if m.Reported {
+	if machine.Reported {
 		t.Error("the new process is trusted before it knows the token")
 	}
-	if _, fresh := f.Report(6, rep(1, 3, 5), true); !fresh || !m.Reported {
+	if _, fresh := f.Report(6, rep(1, 3, 5), true); !fresh || !machine.Reported {
 		t.Error("the new process is ignored")
 	}
 	// The doubt ends only under a higher token, as ever.
@@ -425,27 +425,27 @@
 		{"the same session, and never seen before", 1, 40, 1, 43},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			f, m, _ := booked(t)
+			f, machine, _ := booked(t)
 			f.Report(2, rep(tt.session, tt.tally, 5), true)
-			f.ProbeAnswered(3, m.ReportVersion(), rep(1, 2, 5))
+			f.ProbeAnswered(3, machine.ReportVersion(), rep(1, 2, 5))
 			allocation := &Allocation{Task: TaskID{Job: "j-2"}, Attempt: 1, Incarnation: 1, Cores: 1, HeartbeatOnly: true}
-			reserve(t, f, m, allocation, 4)
+			reserve(t, f, machine, allocation, 4)
 			allocation.Durable = true
-			if fl := f.PrepareCommand(m, 4, 5, AllCommands); fl == nil || !fl.HasRuns() {
+			if command := f.PrepareCommand(machine, 4, 5, AllCommands); command == nil || !command.HasRuns() {
 				t.Fatal("its run waits for a heartbeat that may not be believed")
 			} else {
-				f.CommandCompleted(fl, OutcomeNotExecuted)
+				f.CommandCompleted(command, OutcomeNotExecuted)
 			}
 			runs := wire.TaskReport{Task: "j-2/0", Attempt: 1, Status: wire.TaskRunning}
-			f.ProbeAnswered(5, m.ReportVersion(), rep(1, 3, 5, runs))
+			f.ProbeAnswered(5, machine.ReportVersion(), rep(1, 3, 5, runs))
 			if allocation.RunningSince == 0 {
 				t.Fatal("the answer of the new process is not believed")
 			}
 			if events, fresh := f.Report(6, rep(tt.copied, tt.copiedAt, 5), true); fresh || gone(events) || !allocation.Live() {
 				t.Fatalf("the copy was believed: fresh %t, live %t", fresh, allocation.Live())
 			}
-			if f.ProbeAnswered(7, m.ReportVersion(), rep(1, 5, 5, runs)); !allocation.Live() || m.Incarnation != 1 {
-				t.Fatalf("after a question: live %t, session %d", allocation.Live(), m.Incarnation)
+			if f.ProbeAnswered(7, machine.ReportVersion(), rep(1, 5, 5, runs)); !allocation.Live() || machine.Incarnation != 1 {
+				t.Fatalf("after a question: live %t, session %d", allocation.Live(), machine.Incarnation)
 			}
 			beyond := uint64(6)
 			if tt.session == 1 {
@@ -455,7 +455,7 @@
 				t.Error("beats of the new process are never believed again")
 			}
 			// Its next session is told by an answer.
-			if events := f.ProbeAnswered(9, m.ReportVersion(), rep(2, beyond+1, 5)); !gone(events) || allocation.Live() {
+			if events := f.ProbeAnswered(9, machine.ReportVersion(), rep(2, beyond+1, 5)); !gone(events) || allocation.Live() {
 				t.Error("a later session of the new process does not free what ran before")
 			}
 		})
@@ -464,23 +464,23 @@
 
 // What is told to a deaf machine takes no effect although it reports.
 func TestDeaf(t *testing.T) {
-	f, m, allocation := booked(t)
+	f, machine, allocation := booked(t)
 	f.Report(2, rep(1, 2, 5), true)
 	for tally := uint64(3); tally < 3+maxUnacknowledged; tally++ {
-		if m.NotAcknowledging() {
+		if machine.NotAcknowledging() {
 			t.Fatalf("deaf after %d answers", tally-3)
 		}
-		f.Commands(m, 3, true, AllCommands)
+		f.Commands(machine, 3, true, AllCommands)
 		f.Report(4, rep(1, tally, 5), true)
 	}
-	if !m.NotAcknowledging() {
+	if !machine.NotAcknowledging() {
 		t.Fatal("not deaf though each answer had no effect")
 	}
 	if !allocation.Live() {
 		t.Error("its task was freed without proof")
 	}
 	f.Report(5, rep(1, 20, 5, shown(wire.TaskRunning, "")), true)
-	if m.NotAcknowledging() {
+	if machine.NotAcknowledging() {
 		t.Error("still deaf after it obeyed")
 	}
 }
@@ -504,8 +504,8 @@
 				}
 			}
 		}
-		m := f.Machine("n-0")
-		f.Commands(m, 2, true, AllCommands)
+		machine := f.Machine("n-0")
+		f.Commands(machine, 2, true, AllCommands)
 		raw, err := wire.Marshal(list)
 		if err != nil {
 			t.Fatal(err)
@@ -513,7 +513,7 @@
 		f.Report(2, &wire.Heartbeat{Machine: "n-0", Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 2, Token: 5, RawTasks: raw}, true)
 		f.Examined = 0
 		f.Report(3, &wire.Heartbeat{Machine: "n-0", Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 3, Token: 5, RawTasks: raw}, true)
-		f.Commands(m, 3, true, AllCommands)
+		f.Commands(machine, 3, true, AllCommands)
 		plain = f.Examined
 		f.Examined = 0
 		f.ExpireLeases(4)
@@ -534,30 +534,30 @@
 // Signs of deafness besides lost runs: a token that is told and never shown,
 // and direct commands that fail while reports come. Silence alone is no sign.
 func TestSignsOfDeafness(t *testing.T) {
-	f, m, _ := booked(t)
+	f, machine, _ := booked(t)
 	f.Report(2, rep(1, 2, 5, shown(wire.TaskRunning, "")), true)
 	for tally := uint64(3); tally < 3+maxUnacknowledged; tally++ {
-		f.HeartbeatAnswered(m, 2, 6)
+		f.HeartbeatAnswered(machine, 2, 6)
 		f.Report(3, rep(1, tally, 5, shown(wire.TaskRunning, "")), true)
 	}
-	if !m.NotAcknowledging() {
+	if !machine.NotAcknowledging() {
 		t.Error("not deaf though it never showed the token it was told")
 	}
 	f.Report(4, rep(1, 20, 6, shown(wire.TaskRunning, "")), true)
-	if m.NotAcknowledging() {
+	if machine.NotAcknowledging() {
 		t.Error("still deaf after it showed the token")
 	}
 	for range 2 * maxUnacknowledged {
-		f.CommandFailed(m)
+		f.CommandFailed(machine)
 	}
-	if m.NotAcknowledging() {
+	if machine.NotAcknowledging() {
 		t.Error("deaf on failed commands alone, though it may just be silent")
 	}
 	for tally := uint64(21); tally < 21+maxUnacknowledged; tally++ {
-		f.CommandFailed(m)
+		f.CommandFailed(machine)
 		f.Report(5, rep(1, tally, 6, shown(wire.TaskRunning, "")), true)
 	}
-	if !m.NotAcknowledging() {
+	if !machine.NotAcknowledging() {
 		t.Error("not deaf though commands fail while its reports come")
 	}
 }
@@ -567,18 +567,18 @@
 func TestNoBookingBeyondTheLimit(t *testing.T) {
 	ledger := quota.NewLedger(map[string]quota.Limits{"team": {Limit: quota.NewAmount(4, 0)}})
 	f := New(lease, report, 5, ledger)
-	m := f.Ensure("n-1", 0)
+	machine := f.Ensure("n-1", 0)
 	attempt := func(index int) *Allocation {
 		return &Allocation{Task: TaskID{Job: "j-1", Index: index}, Attempt: 1, Incarnation: 1, Team: "team", Cores: 2}
 	}
 	first, second := attempt(0), attempt(1)
-	reserve(t, f, m, first, 1)
-	f.Adopt(m, second, 1)
-	if err := f.Reserve(m, attempt(2), 1); !errors.Is(err, quota.ErrOverLimit) {
+	reserve(t, f, machine, first, 1)
+	f.Adopt(machine, second, 1)
+	if err := f.Reserve(machine, attempt(2), 1); !errors.Is(err, quota.ErrOverLimit) {
 		t.Fatalf("a third task of 2 cores under a limit of 4: %v", err)
 	}
-	if m.AllocationCount() != 2 {
-		t.Fatalf("%d bookings, want 2", m.AllocationCount())
+	if machine.AllocationCount() != 2 {
+		t.Fatalf("%d bookings, want 2", machine.AllocationCount())
 	}
 	f.MarkDurable(first)
 	if got := first.Reservation().State(); got != quota.InDoubt {
@@ -588,11 +588,11 @@
 	if got := ledger.Usage("team").Of(quota.Stopping).Tasks; got != 1 {
 		t.Errorf("%d tasks are stopping, want 1", got)
 	}
-	if err := f.Reserve(m, attempt(3), 2); !errors.Is(err, quota.ErrOverLimit) {
+	if err := f.Reserve(machine, attempt(3), 2); !errors.Is(err, quota.ErrOverLimit) {
 		t.Fatalf("before the stopped task is proved gone: %v", err)
 	}
-	f.ExpireLeases(m.LeaseEnd + 1)
-	f.Remove(second, m.LeaseEnd+2) // proved gone a second time
+	f.ExpireLeases(machine.LeaseEnd + 1)
+	f.Remove(second, machine.LeaseEnd+2) // proved gone a second time
 	if got := ledger.Usage("team").Total; got != (quota.Amount{}) {
 		t.Errorf("all is proved gone, and %+v is in use", got)
 	}
--- a/fleet/order_test.go
+++ b/fleet/order_test.go
@@ -78,11 +78,11 @@
 	f.DecideOrphan = func(_ TaskID, sign recovery.Sign) recovery.Decision {
 		return recovery.Decide(recovery.Case{Job: recovery.JobUnrecorded, Attempt: recovery.AttemptOther, Sign: sign})
 	}
-	m := f.Ensure("n-1", 1)
+	machine := f.Ensure("n-1", 1)
 	var bookings []*Allocation
 	for i := range h.recorded {
 		allocation := &Allocation{Task: TaskID{Job: "j-1", Index: i}, Attempt: 1, Incarnation: 1, Cores: 1, RAM: 1}
-		f.Adopt(m, allocation, 1)
+		f.Adopt(machine, allocation, 1)
 		bookings = append(bookings, allocation)
 	}
 	now := clock.Micros(1)
@@ -90,8 +90,8 @@
 		now += 100 * clock.Millisecond
 		copied := *h.reports[r]
 		f.Report(now, &copied, true)
-		f.HeartbeatAnswered(m, now, termToken)
-		for _, order := range f.Commands(m, now, true, AllCommands) {
+		f.HeartbeatAnswered(machine, now, termToken)
+		for _, order := range f.Commands(machine, now, true, AllCommands) {
 			if order.Verb == wire.VerbStop {
 				o.Stopped = append(o.Stopped, order.Task)
 			}
@@ -100,7 +100,7 @@
 	for _, allocation := range bookings {
 		o.Live = append(o.Live, allocation.Live())
 	}
-	o.Strange, o.Trusted = m.RunningOrphans(), m.Reported
+	o.Strange, o.Trusted = machine.RunningOrphans(), machine.Reported
 	return o
 }
 
--- a/fleet/unbooked.go
+++ b/fleet/unbooked.go
@@ -15,41 +15,41 @@
 // takes is not known, and the task is started nowhere else.
 
 // addOrphan notes a task that a report shows and that is not on the books.
-func (f *Fleet) addOrphan(m *Machine, k attemptKey, status string) {
-	m.orphans[k] = orphan{status: status}
-	if m.orphans[k].sign() != recovery.SignRunning {
+func (f *Fleet) addOrphan(machine *Machine, key attemptKey, status string) {
+	machine.orphans[key] = orphan{status: status}
+	if machine.orphans[key].sign() != recovery.SignRunning {
 		return
 	}
-	m.runningOrphans++
-	if f.orphans[k.task] == nil {
-		f.orphans[k.task] = map[*Machine]bool{}
+	machine.runningOrphans++
+	if f.orphans[key.task] == nil {
+		f.orphans[key.task] = map[*Machine]bool{}
 	}
-	f.orphans[k.task][m] = true
+	f.orphans[key.task][machine] = true
 }
 
 // clearOrphans forgets what the last report showed.
-func (f *Fleet) clearOrphans(m *Machine) {
-	for k := range m.orphans {
-		f.removeOrphan(m, k.task)
+func (f *Fleet) clearOrphans(machine *Machine) {
+	for key := range machine.orphans {
+		f.removeOrphan(machine, key.task)
 	}
-	clear(m.orphans)
-	m.runningOrphans = 0
+	clear(machine.orphans)
+	machine.runningOrphans = 0
 }
 
 // removeOrphan notes that a machine shows a task no longer.
-func (f *Fleet) removeOrphan(m *Machine, task TaskID) {
+func (f *Fleet) removeOrphan(machine *Machine, task TaskID) {
 	on := f.orphans[task]
-	delete(on, m)
+	delete(on, machine)
 	if len(on) == 0 {
 		delete(f.orphans, task)
 	}
 }
 
 // decideOrphan tells what follows for a task that is not on the books.
-func (f *Fleet) decideOrphan(k attemptKey, sign recovery.Sign) recovery.Decision {
+func (f *Fleet) decideOrphan(key attemptKey, sign recovery.Sign) recovery.Decision {
 	switch {
 	case f.DecideOrphan != nil:
-		return f.DecideOrphan(k.task, sign)
+		return f.DecideOrphan(key.task, sign)
 	case sign == recovery.SignRunning:
 		return recovery.Stop
 	}
@@ -62,8 +62,8 @@
 // MayRunAsOrphan tells whether a machine shows a task that is not on the books: it may
 // be there still, so it is started nowhere.
 func (f *Fleet) MayRunAsOrphan(task TaskID, now clock.Micros) bool {
-	for m := range f.orphans[task] {
-		if !m.LeaseExpired(now) {
+	for machine := range f.orphans[task] {
+		if !machine.LeaseExpired(now) {
 			return true
 		}
 	}
@@ -72,9 +72,9 @@
 
 // EachOrphan calls do for every task that a machine shows and that is not on the books, in a
 // fixed order.
-func (f *Fleet) EachOrphan(m *Machine, do func(task TaskID, attempt uint64, sign recovery.Sign)) {
-	for _, k := range sortedKeys(m.orphans) {
-		do(k.task, k.attempt, m.orphans[k].sign())
+func (f *Fleet) EachOrphan(machine *Machine, do func(task TaskID, attempt uint64, sign recovery.Sign)) {
+	for _, key := range sortedKeys(machine.orphans) {
+		do(key.task, key.attempt, machine.orphans[key].sign())
 	}
 }
 
@@ -87,8 +87,8 @@
 		if task.Job != job {
 			continue
 		}
-		for m := range on {
-			out = append(out, m)
+		for machine := range on {
+			out = append(out, machine)
 		}
 	}
 	return out
@@ -96,18 +96,18 @@
 
 // EachRunningOrphan calls do for every task that runs on a machine and is not on the books, in
 // a fixed order.
-func (f *Fleet) EachRunningOrphan(do func(m *Machine, task TaskID, attempt uint64)) {
+func (f *Fleet) EachRunningOrphan(do func(machine *Machine, task TaskID, attempt uint64)) {
 	on := map[string]*Machine{}
 	for _, machines := range f.orphans {
-		for m := range machines {
-			on[m.Name] = m
+		for machine := range machines {
+			on[machine.Name] = machine
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(on)) {
-		m := on[name]
-		f.EachOrphan(m, func(task TaskID, attempt uint64, sign recovery.Sign) {
+		machine := on[name]
+		f.EachOrphan(machine, func(task TaskID, attempt uint64, sign recovery.Sign) {
 			if sign == recovery.SignRunning {
-				do(m, task, attempt)
+				do(machine, task, attempt)
 			}
 		})
 	}
@@ -115,10 +115,10 @@
 
 // AdoptOrphan takes a task that a worker shows onto the books, as recorded. If it has ended, its
 // next report brings that as news.
-func (f *Fleet) AdoptOrphan(m *Machine, allocation *Allocation, now clock.Micros) {
-	f.Adopt(m, allocation, now)
-	k := attemptKey{allocation.Task, allocation.Attempt}
-	shown, there := m.orphans[k]
+func (f *Fleet) AdoptOrphan(machine *Machine, allocation *Allocation, now clock.Micros) {
+	f.Adopt(machine, allocation, now)
+	key := attemptKey{allocation.Task, allocation.Attempt}
+	shown, there := machine.orphans[key]
 	if !there {
 		return
 	}
@@ -126,11 +126,11 @@
 	if allocation.Status == wire.TaskRunning {
 		allocation.RunningSince = now
 	}
-	delete(m.orphans, k)
+	delete(machine.orphans, key)
 	if shown.sign() != recovery.SignRunning {
 		return
 	}
 	allocation.reservation.Shown()
-	m.runningOrphans--
-	f.removeOrphan(m, allocation.Task)
+	machine.runningOrphans--
+	f.removeOrphan(machine, allocation.Task)
 }
