--- a/fleet/unbooked.go
+++ b/fleet/orphans.go
@@ -1,8 +1,10 @@
 package fleet
 
 import (
+	"cmp"
 	"maps"
 	"slices"
+	"strings"
 
 	"cedardoor/clock"
 	"cedardoor/recovery"
@@ -134,3 +136,24 @@
 	machine.runningOrphans--
 	f.removeOrphan(machine, allocation.Task)
 }
+
+// orphan is what a report shows of a task that is not on the books.
+type orphan struct{ status string }
+
+func (u orphan) sign() recovery.Sign {
+	if u.status == wire.TaskEnded {
+		return recovery.SignEnded
+	}
+	return recovery.SignRunning
+}
+
+func sortedKeys(in map[attemptKey]orphan) []attemptKey {
+	keys := make([]attemptKey, 0, len(in))
+	for key := range in {
+		keys = append(keys, key)
+	}
+	slices.SortFunc(keys, func(a, b attemptKey) int {
+		return cmp.Or(strings.Compare(a.task.Job, b.task.Job), cmp.Compare(a.task.Index, b.task.Index), cmp.Compare(a.attempt, b.attempt))
+	})
+	return keys
+}
