--- a/autoscaler/catalog.go
+++ b/autoscaler/catalog.go
@@ -85,7 +85,7 @@
 		machine.FirstSeen = now - clock.FromSeconds(entry.HeldS)
 	}
 	if machine.Zone == "" {
-		a.Fleet.Describe(machine, entry.Endpoint, entry.Type, entry.Zone, entry.Preemptible)
+		a.Fleet.Describe(machine, fleet.Description{Endpoint: entry.Endpoint, Type: entry.Type, Zone: entry.Zone, Preemptible: entry.Preemptible})
 	}
 	machine.CloudStatus, machine.ListedAt = entry.Status, now
 }
--- a/boots_test.go
+++ b/boots_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"cedardoor/clock"
+	"cedardoor/fleet"
 	"cedardoor/wire"
 )
 
@@ -25,7 +26,7 @@
 	now := l.clock.Now()
 	for i := from; i < from+n; i++ {
 		machine := l.fleet.Ensure(fmt.Sprintf("n-%02d", i), now)
-		l.fleet.Describe(machine, "e", "b", "x", true)
+		l.fleet.Describe(machine, fleet.Description{Endpoint: "e", Type: "b", Zone: "x", Preemptible: true})
 		machine.CloudStatus, machine.ListedAt = wire.MachineBooting, now
 		l.autoscaler.Rented(wire.RentRequest{RequestID: machine.Name}, []string{machine.Name}, now, now)
 	}
--- a/fleet/acknowledgements.go
+++ b/fleet/acknowledgements.go
@@ -1,9 +1,34 @@
 package fleet
 
-// maxUnacknowledged is how many answers in a row without effect make a machine deaf.
+import "cedardoor/wire"
+
+// maxUnacknowledged is how many signs in a row make a machine one that does not
+// acknowledge.
 const maxUnacknowledged = 3
 
-// Acknowledged notes that something told to the worker took effect.
+// Acknowledgement is whether what a machine is told takes effect. Signs that it
+// does not are heartbeats that show neither the token nor the runs of an earlier
+// answer, and direct commands that fail while heartbeats come.
+type Acknowledgement struct {
+	Unacknowledged int // such signs in a row
+
+	answeredToken uint64 // the token in the last answer to a heartbeat
+	commandFailed bool   // a direct command failed since the last heartbeat
+}
+
+// NotAcknowledging tells whether nothing that the machine is told takes effect,
+// although it reports.
+func (a *Acknowledgement) NotAcknowledging() bool { return a.Unacknowledged >= maxUnacknowledged }
+
+// missedBy tells whether a heartbeat is a sign that the machine was not reached,
+// apart from the tasks that it lists. It uses up a failed command.
+func (a *Acknowledgement) missedBy(heartbeat *wire.Heartbeat) bool {
+	missed := heartbeat.Token < a.answeredToken || a.commandFailed
+	a.commandFailed = false
+	return missed
+}
+
+// Acknowledged notes that something that the worker was told took effect.
 func (f *Fleet) Acknowledged(machine *Machine) {
 	if machine.Unacknowledged > 0 {
 		f.MachineChanged(machine)
@@ -11,9 +36,12 @@
 	machine.Unacknowledged, machine.commandFailed = 0, false
 }
 
-// CommandFailed notes that a direct command did not get through. It is a sign only
-// once the worker reports again: a silent machine is not a deaf one.
+// CommandFailed notes that a direct command did not get through. That is a sign
+// only once the worker reports again: a machine may just be silent.
 func (f *Fleet) CommandFailed(machine *Machine) { machine.commandFailed = true }
 
-// NotAcknowledging tells whether nothing told to the machine takes effect although it reports.
-func (m *Machine) NotAcknowledging() bool { return m.Unacknowledged >= maxUnacknowledged }
+// notAcknowledged notes a sign that what the machine was told took no effect.
+func (f *Fleet) notAcknowledged(machine *Machine) {
+	machine.Unacknowledged++
+	f.MachineChanged(machine)
+}
--- a/fleet/commands.go
+++ b/fleet/commands.go
@@ -9,94 +9,121 @@
 // maxCommands keeps an answer to a worker, and a direct command, under 64 KiB.
 const maxCommands = 600
 
-// Scope is what a leader may tell workers right now.
+// Scope is what a leader may tell workers now.
 type Scope int
 
 // The scopes, each with all of those before it.
 const (
-	// StopsOnly: it may not order anything new. A stop breaks no rule.
+	// StopsOnly: it may not command anything new. A stop breaks no rule.
 	StopsOnly Scope = iota
-	// NoRuns: it may order, but may not know all that was cancelled.
+	// NoRuns: it may command, but may not know of all cancellations.
 	NoRuns
-	// AllCommands.
+	// AllCommands: it may start tasks as well.
 	AllCommands
 )
 
-// Commands lists what a worker should be told. For a heartbeat, the runs in it are
-// noted as carried by the answer to the heartbeat of this tally.
+// Commands lists what a worker is to be told. Runs in the answer to a heartbeat
+// are noted as sent with that heartbeat's sequence. Where there is more than a
+// message holds, the next one goes on.
 func (f *Fleet) Commands(machine *Machine, now clock.Micros, viaHeartbeat bool, scope Scope) []wire.Command {
-	orders := []wire.Command{}
+	commands := []wire.Command{}
 	if machine.unchanged {
-		return orders
+		return commands
 	}
 	if scope == StopsOnly {
-		return f.stopCommands(machine, now)
+		return f.appendStops(commands, machine, now)
 	}
+	commands = f.appendOrphanCommands(commands, machine, viaHeartbeat)
 	var runs []wire.Command
-	for _, key := range sortedKeys(machine.orphans) {
-		if len(orders) >= maxCommands {
-			break
-		}
-		switch f.decideOrphan(key, machine.orphans[key].sign()) {
-		case recovery.Stop:
-			// It is stopped, then forgotten.
-			zero := 0.0
-			orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: key.task.String(), Attempt: key.attempt, GraceS: &zero})
-		case recovery.Release:
-			if viaHeartbeat && machine.Token >= f.firstToken {
-				orders = append(orders, wire.Command{Verb: wire.VerbForget, Task: key.task.String(), Attempt: key.attempt})
-			}
-		}
-	}
 	for _, allocation := range machine.allocations {
 		f.Examined++
-		if len(orders)+len(runs) >= maxCommands {
-			break // the next answer goes on from here
+		if len(commands)+len(runs) >= maxCommands {
+			break
 		}
 		if allocation.Incarnation != machine.Incarnation {
 			continue
 		}
 		switch {
 		case allocation.Ended:
-			if allocation.ResultDurable && !allocation.mayArrive() && allocation.Status == wire.TaskEnded {
-				orders = append(orders, wire.Command{Verb: wire.VerbForget, Task: allocation.Task.String(), Attempt: allocation.Attempt})
-			} else if allocation.Status != "" && allocation.Status != wire.TaskEnded {
-				// Started once more by a copy, in a new process.
-				zero := 0.0
-				orders = append(orders, wire.Command{Verb: wire.VerbStop, Task: allocation.Task.String(), Attempt: allocation.Attempt, GraceS: &zero})
-			}
+			commands = allocation.appendEndCommand(commands)
 		case allocation.Stopping:
-			if allocation.Status != "" && allocation.Status != wire.TaskEnded {
-				orders = append(orders, allocation.stopCommand(now))
+			if allocation.reportedLive() {
+				commands = append(commands, allocation.stopCommand(now))
 			}
-		case allocation.Durable && scope == AllCommands && allocation.Status == "" && allocation.inFlight == 0 && (viaHeartbeat || !allocation.HeartbeatOnly || machine.Restarted()):
+		case scope == AllCommands && allocation.awaitsRun(viaHeartbeat):
 			runs = append(runs, wire.Command{Verb: wire.VerbRun, Task: allocation.Task.String(), Attempt: allocation.Attempt})
 			if viaHeartbeat {
 				allocation.heartbeatSequence = machine.Sequence
 			}
-			if allocation.firstSent == 0 {
-				allocation.firstSent = now
-			}
+			allocation.noteSent(now)
 		}
 	}
 	// Stops come first: they make the room that runs need.
-	return append(orders, runs...)
+	return append(commands, runs...)
 }
 
-// stopCommands lists the stops of attempts that are on the machine.
-func (f *Fleet) stopCommands(machine *Machine, now clock.Micros) []wire.Command {
-	orders := []wire.Command{}
+// appendStops appends the stops of attempts that the machine shows.
+func (f *Fleet) appendStops(commands []wire.Command, machine *Machine, now clock.Micros) []wire.Command {
 	for _, allocation := range machine.allocations {
 		f.Examined++
-		if allocation.Stopping && allocation.Live() && allocation.Incarnation == machine.Incarnation && allocation.Status != "" && allocation.Status != wire.TaskEnded && len(orders) < maxCommands {
-			orders = append(orders, allocation.stopCommand(now))
+		current := allocation.Live() && allocation.Incarnation == machine.Incarnation
+		if allocation.Stopping && current && allocation.reportedLive() && len(commands) < maxCommands {
+			commands = append(commands, allocation.stopCommand(now))
 		}
 	}
-	return orders
+	return commands
+}
+
+// appendOrphanCommands appends what ends the machine's orphans: each is stopped,
+// then forgotten. A run of an earlier term may start one again until the worker
+// has seen a token of this term; only then is it forgotten.
+func (f *Fleet) appendOrphanCommands(commands []wire.Command, machine *Machine, viaHeartbeat bool) []wire.Command {
+	for _, key := range sortedKeys(machine.orphans) {
+		if len(commands) >= maxCommands {
+			break
+		}
+		switch f.decideOrphan(key.task, machine.orphans[key].sign()) {
+		case recovery.Stop:
+			commands = append(commands, key.stopAtOnce())
+		case recovery.Release:
+			if viaHeartbeat && machine.Token >= f.firstToken {
+				commands = append(commands, key.forgetCommand())
+			}
+		}
+	}
+	return commands
+}
+
+// appendEndCommand appends what an ended attempt calls for, if anything.
+func (a *Allocation) appendEndCommand(commands []wire.Command) []wire.Command {
+	switch {
+	case a.ResultDurable && !a.mayArrive() && a.Status == wire.TaskEnded:
+		return append(commands, a.key().forgetCommand())
+	case a.reportedLive(): // started once more, by a copy of the command
+		return append(commands, a.key().stopAtOnce())
+	}
+	return commands
+}
+
+// awaitsRun tells whether the attempt is to be started.
+func (a *Allocation) awaitsRun(viaHeartbeat bool) bool {
+	return a.Durable && a.Status == "" && a.inFlight == 0 &&
+		(viaHeartbeat || !a.HeartbeatOnly || a.Machine.Restarted())
+}
+
+// stopCommand stops the attempt, with what is left of its grace.
+func (a *Allocation) stopCommand(now clock.Micros) wire.Command {
+	return a.key().stopCommand(a.remainingGrace(now))
+}
+
+// stopAtOnce stops the attempt without grace.
+func (k attemptKey) stopAtOnce() wire.Command { return k.stopCommand(0) }
+
+func (k attemptKey) stopCommand(grace float64) wire.Command {
+	return wire.Command{Verb: wire.VerbStop, Task: k.task.String(), Attempt: k.attempt, GraceS: &grace}
 }
 
-// stopCommand is the command that stops an attempt, with what is left of its leeway.
-func (b *Allocation) stopCommand(now clock.Micros) wire.Command {
-	left := max(0, b.Grace-(now-b.StopRequestedAt).Seconds())
-	return wire.Command{Verb: wire.VerbStop, Task: b.Task.String(), Attempt: b.Attempt, GraceS: &left}
+// forgetCommand lets the worker forget the attempt's result.
+func (k attemptKey) forgetCommand() wire.Command {
+	return wire.Command{Verb: wire.VerbForget, Task: k.task.String(), Attempt: k.attempt}
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -41,7 +41,7 @@
 	f.Report(1, rep(1, 1, 0), true)
 	machine := f.Machine("n-1")
 	f.HeartbeatAnswered(machine, 1, 5)
-	allocation := &Allocation{Task: task0, Attempt: 1, Incarnation: 1, Cores: 2, RAM: 4}
+	allocation := &Allocation{Task: task0, Attempt: 1, Incarnation: 1, Requirements: Requirements{Resources: Resources{Cores: 2, RAM: 4}}}
 	reserve(t, f, machine, allocation, 1)
 	allocation.Durable = true
 	return f, machine, allocation
@@ -140,7 +140,7 @@
 	f, machine, _ := booked(t)
 	const n = 3 * maxCommands / 2
 	for i := range n {
-		allocation := &Allocation{Task: TaskID{Job: "j-123456789", Index: 10000 + i}, Attempt: 123456, Incarnation: 1, Cores: 0.001}
+		allocation := &Allocation{Task: TaskID{Job: "j-123456789", Index: 10000 + i}, Attempt: 123456, Incarnation: 1, Requirements: Requirements{Resources: Resources{Cores: 0.001}}}
 		reserve(t, f, machine, allocation, 2)
 		allocation.Durable = true
 	}
@@ -229,7 +229,7 @@
 func TestAdoptedRunIsRepeated(t *testing.T) {
 	f := New(lease, report, 5, quota.NewLedger(nil))
 	machine := f.Ensure("n-1", 1)
-	allocation := &Allocation{Task: task0, Attempt: 1, Incarnation: 1, Cores: 2}
+	allocation := &Allocation{Task: task0, Attempt: 1, Incarnation: 1, Requirements: Requirements{Resources: Resources{Cores: 2}}}
 	f.Adopt(machine, allocation, 1)
 	f.Report(2, rep(1, 7, 4), true)
 	f.HeartbeatAnswered(machine, 2, 5)
@@ -251,7 +251,7 @@
 				f.Report(1, rep(2, 6, 4), true)
 			}
 			for _, session := range sessions {
-				f.Adopt(machine, &Allocation{Task: TaskID{Job: "j-1", Index: int(session)}, Attempt: 1, Incarnation: session, Cores: 2}, 1)
+				f.Adopt(machine, &Allocation{Task: TaskID{Job: "j-1", Index: int(session)}, Attempt: 1, Incarnation: session, Requirements: Requirements{Resources: Resources{Cores: 2}}}, 1)
 			}
 			if events, _ := f.Report(2, rep(2, 7, 4), true); len(events) > 0 {
 				t.Errorf("news %+v of what may be a copy from before the term", events)
@@ -307,7 +307,7 @@
 		}},
 		{"an older session", rep(1, 9, 5), func(f *Fleet, machine *Machine, _ *Allocation) {
 			f.Report(3, rep(2, 1, 5), true)
-			b2 := &Allocation{Task: task0, Attempt: 2, Incarnation: 2, Cores: 2}
+			b2 := &Allocation{Task: task0, Attempt: 2, Incarnation: 2, Requirements: Requirements{Resources: Resources{Cores: 2}}}
 			reserve(t, f, machine, b2, 3)
 			b2.Durable = true
 			f.Commands(machine, 3, true, AllCommands)
@@ -332,7 +332,7 @@
 	f := New(lease, report, 5, quota.NewLedger(nil))
 	f.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8, RAM: 32}}})
 	machine := f.Ensure("n-1", 1)
-	allocation := &Allocation{Task: task0, Attempt: 1, Incarnation: 1, Cores: 2}
+	allocation := &Allocation{Task: task0, Attempt: 1, Incarnation: 1, Requirements: Requirements{Resources: Resources{Cores: 2}}}
 	f.Adopt(machine, allocation, 1)
 	if events, _ := f.Report(2, rep(1, 3, 4), true); gone(events) || !allocation.Live() {
 		t.Fatal("a copy from before the run proved it absent")
@@ -374,15 +374,15 @@
 func TestNewProcessCountsAgain(t *testing.T) {
 	f, machine, allocation := booked(t)
 	f.Report(2, rep(3, 40, 5), true)
-	sure := &Allocation{Task: TaskID{Job: "j-2"}, Attempt: 1, Incarnation: 3, Cores: 1}
-	doubtful := &Allocation{Task: TaskID{Job: "j-3"}, Attempt: 1, Incarnation: 3, Cores: 1}
+	sure := &Allocation{Task: TaskID{Job: "j-2"}, Attempt: 1, Incarnation: 3, Requirements: Requirements{Resources: Resources{Cores: 1}}}
+	doubtful := &Allocation{Task: TaskID{Job: "j-3"}, Attempt: 1, Incarnation: 3, Requirements: Requirements{Resources: Resources{Cores: 1}}}
 	reserve(t, f, machine, sure, 3)
 	sure.Durable = true
 	f.Commands(machine, 3, true, AllCommands)
 	reserve(t, f, machine, doubtful, 3)
 	doubtful.Durable = true
 	f.CommandCompleted(f.PrepareCommand(machine, 3, 5, AllCommands), OutcomeUnknown)
-	f.setUnfenced(sure, 0, false)
+	f.unfenced.fence(sure)
 	if _, fresh := f.Report(4, rep(1, 1, 0), true); fresh {
 		t.Fatal("a report that counts lower was taken in as it came")
 	}
@@ -428,7 +428,7 @@
 			f, machine, _ := booked(t)
 			f.Report(2, rep(tt.session, tt.tally, 5), true)
 			f.ProbeAnswered(3, machine.ReportVersion(), rep(1, 2, 5))
-			allocation := &Allocation{Task: TaskID{Job: "j-2"}, Attempt: 1, Incarnation: 1, Cores: 1, HeartbeatOnly: true}
+			allocation := &Allocation{Task: TaskID{Job: "j-2"}, Attempt: 1, Incarnation: 1, Requirements: Requirements{Resources: Resources{Cores: 1}, HeartbeatOnly: true}}
 			reserve(t, f, machine, allocation, 4)
 			allocation.Durable = true
 			if command := f.PrepareCommand(machine, 4, 5, AllCommands); command == nil || !command.HasRuns() {
@@ -496,7 +496,7 @@
 			name := fmt.Sprintf("n-%d", i)
 			f.Report(1, &wire.Heartbeat{Machine: name, Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 1, Token: 5}, true)
 			for k := range tasks {
-				allocation := &Allocation{Task: TaskID{Job: "j-1", Index: i*tasks + k}, Attempt: 1, Incarnation: 1, Cores: 1}
+				allocation := &Allocation{Task: TaskID{Job: "j-1", Index: i*tasks + k}, Attempt: 1, Incarnation: 1, Requirements: Requirements{Resources: Resources{Cores: 1}}}
 				reserve(t, f, f.Machine(name), allocation, 1)
 				allocation.Durable = true
 				if i == 0 {
@@ -569,7 +569,7 @@
 	f := New(lease, report, 5, ledger)
 	machine := f.Ensure("n-1", 0)
 	attempt := func(index int) *Allocation {
-		return &Allocation{Task: TaskID{Job: "j-1", Index: index}, Attempt: 1, Incarnation: 1, Team: "team", Cores: 2}
+		return &Allocation{Task: TaskID{Job: "j-1", Index: index}, Attempt: 1, Incarnation: 1, Team: "team", Requirements: Requirements{Resources: Resources{Cores: 2}}}
 	}
 	first, second := attempt(0), attempt(1)
 	reserve(t, f, machine, first, 1)
--- a/fleet/inflight.go
+++ b/fleet/inflight.go
@@ -7,7 +7,7 @@
 	"cedardoor/wire"
 )
 
-// InFlightCommand is a /do on its way with the runs it carries.
+// InFlightCommand is a direct command to a worker, with the runs that it carries.
 type InFlightCommand struct {
 	Machine     *Machine
 	Incarnation uint64
@@ -16,57 +16,65 @@
 	runs        []*Allocation
 }
 
-// OnlyStops tells whether a flight carries nothing but stops.
-func (fl *InFlightCommand) OnlyStops() bool {
-	return !slices.ContainsFunc(fl.Commands, func(o wire.Command) bool { return o.Verb != wire.VerbStop })
+// OnlyStops tells whether the command carries nothing but stops.
+func (c *InFlightCommand) OnlyStops() bool {
+	return !slices.ContainsFunc(c.Commands, func(command wire.Command) bool { return command.Verb != wire.VerbStop })
 }
 
-// HasRuns tells whether a flight carries runs.
-func (fl *InFlightCommand) HasRuns() bool { return len(fl.runs) > 0 }
+// HasRuns tells whether the command carries runs.
+func (c *InFlightCommand) HasRuns() bool { return len(c.runs) > 0 }
 
-// PrepareCommand collects the orders for a /do; nil when there is nothing to say.
+// PrepareCommand makes the direct command to a worker; nil when there is nothing
+// to tell it, or no way to. The caller tells CommandCompleted of its outcome.
 func (f *Fleet) PrepareCommand(machine *Machine, now clock.Micros, token uint64, scope Scope) *InFlightCommand {
 	if machine.Endpoint == "" || machine.LeaseExpired(now) {
 		return nil
 	}
-	command := &InFlightCommand{Machine: machine, Incarnation: machine.Incarnation, Token: token, Commands: f.Commands(machine, now, false, scope)}
-	if len(command.Commands) == 0 {
+	request := &InFlightCommand{
+		Machine:     machine,
+		Incarnation: machine.Incarnation,
+		Token:       token,
+		Commands:    f.Commands(machine, now, false, scope),
+	}
+	if len(request.Commands) == 0 {
 		return nil
 	}
-	for _, o := range command.Commands {
-		if o.Verb != wire.VerbRun {
+	for _, command := range request.Commands {
+		if command.Verb != wire.VerbRun {
 			continue
 		}
-		if id, ok := ParseTask(o.Task); ok {
-			allocation := machine.byKey[attemptKey{id, o.Attempt}]
+		if id, ok := ParseTask(command.Task); ok {
+			allocation := machine.byKey[attemptKey{id, command.Attempt}]
 			allocation.inFlight++
-			command.runs = append(command.runs, allocation)
+			request.runs = append(request.runs, allocation)
 		}
 	}
-	return command
+	return request
 }
 
-// Outcome is what is known of a direct command.
+// Outcome is what is known of a direct command after it was sent.
 type Outcome int
 
 // The outcomes of a direct command.
 const (
 	// OutcomeUnknown: no definite answer. It may have been executed, or may yet be.
 	OutcomeUnknown Outcome = iota
-	// OutcomeExecuted: answered. A copy of it may still come, minutes later: after a
-	// forget, the worker would take it for a new run under the same token and session.
+	// OutcomeExecuted: answered. A copy of it may still come, minutes later. After a
+	// forget, the worker would take it for a new run under the same token.
 	OutcomeExecuted
 	// OutcomeNotExecuted: it was not executed, and no copy of it can be.
 	OutcomeNotExecuted
 )
 
-// CommandCompleted takes in the outcome of a /do. Unless it is void, its runs may arrive
-// until the worker has seen a higher token or is in a newer session.
-func (f *Fleet) CommandCompleted(command *InFlightCommand, out Outcome) {
-	for _, allocation := range command.runs {
+// CommandCompleted takes in the outcome of a direct command. Unless it was not
+// executed, its runs may arrive until the worker has seen a higher token or is in
+// a newer incarnation.
+func (f *Fleet) CommandCompleted(request *InFlightCommand, outcome Outcome) {
+	for _, allocation := range request.runs {
 		allocation.inFlight--
-		if out != OutcomeNotExecuted && !allocation.removed {
-			f.setUnfenced(allocation, max(allocation.unfencedToken, command.Token), out == OutcomeUnknown)
+		if outcome != OutcomeNotExecuted && !allocation.removed {
+			token := max(allocation.unfencedToken, request.Token)
+			f.unfenced.mark(allocation, token, outcome == OutcomeExecuted)
 		}
 	}
 }
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -9,24 +9,36 @@
 // leaseMargin covers timer steps and the state service's slack in ending a lease.
 const leaseMargin = 400 * clock.Millisecond
 
-// leaseHeap is a heap of machines by when their lease may run out.
-type leaseHeap []*Machine
+// Lease is until when a worker goes on without an answer to its heartbeats.
+// After that it has killed all tasks of its incarnation.
+type Lease struct {
+	LeaseEnd   clock.Micros
+	AnsweredAt clock.Micros // when a heartbeat was last answered, late copies included
 
-func (l leaseHeap) Len() int { return len(l) }
+	leaseCheckAt clock.Micros // when ExpireLeases looks at the machine, at the latest at LeaseEnd
+	leaseIndex   int          // position in the fleet's leaseHeap, plus one; zero when not in it
+}
 
-func (l leaseHeap) Less(i, k int) bool { return l[i].leaseCheckAt < l[k].leaseCheckAt }
+// extend lets the lease last at least until the given time.
+func (l *Lease) extend(until clock.Micros) { l.LeaseEnd = max(l.LeaseEnd, until) }
+
+// LeaseExpired tells whether the worker's incarnation must be over.
+func (l *Lease) LeaseExpired(now clock.Micros) bool { return now > l.LeaseEnd }
+
+// leaseHeap is a heap of machines by when their lease may expire.
+type leaseHeap []*Machine
 
+func (l leaseHeap) Len() int           { return len(l) }
+func (l leaseHeap) Less(i, k int) bool { return l[i].leaseCheckAt < l[k].leaseCheckAt }
 func (l leaseHeap) Swap(i, k int) {
 	l[i], l[k] = l[k], l[i]
 	l[i].leaseIndex, l[k].leaseIndex = i+1, k+1
 }
-
 func (l *leaseHeap) Push(x any) {
 	machine := x.(*Machine)
 	*l = append(*l, machine)
 	machine.leaseIndex = len(*l)
 }
-
 func (l *leaseHeap) Pop() any {
 	old := *l
 	machine := old[len(old)-1]
@@ -35,7 +47,7 @@
 	return machine
 }
 
-// watchLease puts a machine that holds bookings among those whose lease is watched.
+// watchLease puts a machine with allocations among those whose lease is checked.
 func (f *Fleet) watchLease(machine *Machine) {
 	if machine.leaseIndex == 0 {
 		machine.leaseCheckAt = machine.LeaseEnd
@@ -43,55 +55,47 @@
 	}
 }
 
-// HeartbeatAnswered notes that a heartbeat of m is being answered, which extends its lease
-// if the answer is heard. That counts even for a copy that comes late.
+// HeartbeatAnswered notes that a heartbeat is answered with this token. The
+// answer extends the lease if it arrives, even that to a late copy.
 func (f *Fleet) HeartbeatAnswered(machine *Machine, now clock.Micros, token uint64) {
-	machine.LeaseEnd = max(machine.LeaseEnd, now+f.lease)
-	machine.answeredToken, machine.AnsweredAt = token, now
+	machine.extend(now + f.lease)
+	machine.AnsweredAt = now
+	machine.answeredToken = token
 }
 
-// LeaseExpired tells whether a machine's last known session must be over: nothing
-// may be booked in it any more.
-func (m *Machine) LeaseExpired(now clock.Micros) bool { return now > m.LeaseEnd }
-
-// ExpireLeases frees the bookings of machines whose lease must have run out.
+// ExpireLeases removes the allocations of machines whose lease has expired. Such
+// a machine counts as one that has not reported yet.
 func (f *Fleet) ExpireLeases(now clock.Micros) (events []Event) {
 	for len(f.leases) > 0 && f.leases[0].leaseCheckAt < now {
 		machine := heap.Pop(&f.leases).(*Machine)
 		f.Examined++
-		if len(machine.allocations) == 0 {
+		if machine.AllocationCount() == 0 {
 			continue
 		}
-		if now <= machine.LeaseEnd {
+		if !machine.LeaseExpired(now) {
 			f.watchLease(machine)
 			continue
 		}
-		events = append(events, f.endIncarnationsBefore(machine, machine.Incarnation+1, now)...)
-		// Its next report may be a copy of one from before.
-		machine.Reported, machine.Suspect = false, machine.Suspect || machine.Reported
-		if machine.heartbeat != nil {
-			f.heartbeats.Remove(machine.heartbeat)
-			machine.heartbeat = nil
-		}
+		events = f.endIncarnationsBefore(events, machine, machine.Incarnation+1, now)
+		// The next report may be a copy of one from before.
+		machine.Suspect = machine.Suspect || machine.Reported
+		machine.Reported = false
+		f.unwatchHeartbeat(machine)
 		f.MachineChanged(machine)
 	}
 	return events
 }
 
-// MachineReturned takes in that the cloud has deleted a machine with all that was on it.
+// MachineReturned takes in that the cloud has deleted a machine: all that was
+// on it is gone, and so are allocations of an incarnation not reported yet.
 func (f *Fleet) MachineReturned(name string, now clock.Micros) (events []Event) {
 	machine := f.machines[name]
 	if machine == nil {
 		return nil
 	}
-	events = f.endIncarnationsBefore(machine, machine.Incarnation+1, now)
-	// A recorded booking of a session not reported yet is gone as well.
+	events = f.endIncarnationsBefore(nil, machine, machine.Incarnation+1, now)
 	machine.EachAllocation(func(allocation *Allocation) {
-		if allocation.Live() {
-			f.release(allocation, now)
-			events = append(events, Event{Allocation: allocation, Gone: true})
-		}
-		f.Remove(allocation, now)
+		events = f.removeGone(events, allocation, now)
 	})
 	f.Drop(name)
 	return events
--- a/fleet/liveness.go
+++ b/fleet/liveness.go
@@ -1,20 +1,38 @@
 package fleet
 
 import (
+	"container/list"
+
 	"cedardoor/clock"
 )
 
-// ReportingCount is how many machines have reported under this term and whose lease has not run out.
+// suspectReports is how many report intervals without a heartbeat make the next
+// one untrustworthy: it may be a copy that was held up.
+const suspectReports = 2
+
+// Liveness is whether a machine is there. A late copy of a heartbeat can be the
+// first that a new leader receives, or the first after a long silence. So a
+// machine is trusted once it has shown a token of this term, which no earlier
+// copy can, or has answered a probe; after a silence, only the latter will do.
+type Liveness struct {
+	Reported         bool         // was trusted under this term, and its lease has not expired since
+	Suspect          bool         // was silent, and has not answered a probe since
+	Unresponsive     bool         // is silent
+	LastHeartbeat    clock.Micros // the last one that it was trusted on
+	Probing          bool         // a probe is under way
+	UnansweredProbes int          // in a row
+
+	heartbeat *list.Element // in the fleet's list of heartbeats; nil when not in it
+}
+
+// ReportingCount is how many machines have reported under this term and hold
+// their lease.
 func (f *Fleet) ReportingCount() int { return f.heartbeats.Len() }
 
-// heartbeatReceived notes a heartbeat: when, and whether the machine may be trusted on it.
-//
-// A late copy can be the first report that a new leader sees, or the first
-// after a long silence. So a machine is trusted only once it has shown a
-// token of this term, which no copy made before it can, or has answered a
-// question (see Answers); after a silence, only the latter will do.
+// heartbeatReceived takes in that a heartbeat came, and trusts the machine where
+// that shows that it is there.
 func (f *Fleet) heartbeatReceived(machine *Machine, now clock.Micros) {
-	if machine.Reported && now-machine.LastHeartbeat > 2*f.reportInterval && !machine.Suspect {
+	if machine.Reported && now-machine.LastHeartbeat > suspectReports*f.reportInterval && !machine.Suspect {
 		machine.Suspect = true
 		f.MachineChanged(machine)
 	}
@@ -24,8 +42,7 @@
 	f.trust(machine, now)
 }
 
-// trust notes that a machine is there now: it has shown a token of this
-// term, or answered a question of it.
+// trust notes that a machine is there now.
 func (f *Fleet) trust(machine *Machine, now clock.Micros) {
 	if !machine.Reported {
 		machine.Reported = true
@@ -42,6 +59,11 @@
 		f.MachineChanged(machine)
 	}
 	machine.LastHeartbeat = now
+	f.watchHeartbeat(machine)
+}
+
+// watchHeartbeat puts a machine at the end of the list of heartbeats.
+func (f *Fleet) watchHeartbeat(machine *Machine) {
 	if machine.heartbeat == nil {
 		machine.heartbeat = f.heartbeats.PushBack(machine)
 	} else {
@@ -49,10 +71,19 @@
 	}
 }
 
-// SilentMachines lists the machines whose last heartbeat is older than after, longest silent first.
+// unwatchHeartbeat takes a machine off the list of heartbeats.
+func (f *Fleet) unwatchHeartbeat(machine *Machine) {
+	if machine.heartbeat != nil {
+		f.heartbeats.Remove(machine.heartbeat)
+		machine.heartbeat = nil
+	}
+}
+
+// SilentMachines lists the machines whose last heartbeat is longer ago than
+// after, the longest first.
 func (f *Fleet) SilentMachines(now, after clock.Micros) (silent []*Machine) {
-	for e := f.heartbeats.Front(); e != nil; e = e.Next() {
-		machine := e.Value.(*Machine)
+	for element := f.heartbeats.Front(); element != nil; element = element.Next() {
+		machine := element.Value.(*Machine)
 		f.Examined++
 		if now-machine.LastHeartbeat <= after {
 			break
@@ -62,8 +93,7 @@
 	return silent
 }
 
-// MarkUnresponsive notes that a machine has fallen silent: nothing is placed on it, and what is
-// on it may be gone.
+// MarkUnresponsive notes that a machine has fallen silent: what is on it may be gone.
 func (f *Fleet) MarkUnresponsive(machine *Machine) {
 	if machine.Unresponsive {
 		return
--- a/fleet/machine.go
+++ b/fleet/machine.go
@@ -1,89 +1,132 @@
 package fleet
 
 import (
-	"container/list"
-
 	"cedardoor/clock"
 	"cedardoor/wire"
 )
 
-// Machine is a worker's machine.
+// Machine is what the leader knows of a worker's machine. Its state is divided
+// into groups of fields that change together; each is embedded, so that
+// callers select the fields directly.
 type Machine struct {
-	Name         string
-	Endpoint     string
-	Type         string
-	Zone         string
-	Preemptible  bool
-	Cores        float64 // zero until the catalogue tells
+	Name      string
+	FirstSeen clock.Micros
+	// Images are the images that allocations on the machine were shown with; true
+	// once one was fetched whole.
+	Images map[string]bool
+
+	Description
+	Resources // its size; zero until the catalog tells
+	Usage
+	CloudState
+	Restrictions
+	RunTimes
+
+	ReportProgress
+	Liveness
+	Acknowledgement
+	Lease
+
+	allocationTable
+	orphanTable
+	taskListCache
+}
+
+// newMachine makes a machine of which only the name is known.
+func newMachine(name string, now clock.Micros) *Machine {
+	return &Machine{
+		Name:            name,
+		FirstSeen:       now,
+		Images:          map[string]bool{},
+		Usage:           Usage{IdleSince: now},
+		RunTimes:        RunTimes{Slowness: 1},
+		allocationTable: allocationTable{byKey: map[attemptKey]*Allocation{}},
+		orphanTable:     orphanTable{orphans: map[attemptKey]orphan{}},
+	}
+}
+
+// Description is what a machine is and where.
+type Description struct {
+	Endpoint    string
+	Type        string
+	Zone        string
+	Preemptible bool
+}
+
+// describe takes a machine's description from its report.
+func describe(report *wire.Heartbeat) Description {
+	return Description{
+		Endpoint:    report.Endpoint,
+		Type:        report.MachineType,
+		Zone:        report.Zone,
+		Preemptible: report.Preemptible,
+	}
+}
+
+// Resources is the size of a machine or what an attempt takes of it.
+type Resources struct {
+	Cores        float64
 	Accelerators float64
 	RAM          float64
+}
 
-	Incarnation      uint64
-	Sequence         uint64
-	Token            uint64       // highest the worker has reported
-	Reported         bool         // has reported under this term
-	LastHeartbeat    clock.Micros // received
-	AnsweredAt       clock.Micros // when a heartbeat of it was last answered, copies included
-	LeaseEnd         clock.Micros // its tasks of Session are dead after this without another answer
-	PreemptionAt     clock.Micros // spot notice: gone by then; zero when none
-	CloudStatus      string       // status in the cloud's list; empty when not listed
-	ListedAt         clock.Micros
-	FirstSeen        clock.Micros
-	IdleSince        clock.Micros     // since when nothing is booked; zero when something is
-	Returning        bool             // a return was asked for
-	QuarantineReason QuarantineReason // why repair must empty it; empty when not banned
-	Cordoned         bool             // gets nothing new, is to be returned when empty
-	SuspendedUntil   clock.Micros     // gets nothing new before: several jobs failed on it, and it is not clear yet which is at fault
-	Probing          bool             // is being asked why it is silent
-	UnansweredProbes int              // such questions in a row without an answer
-	Unacknowledged   int              // signs in a row that what it is told takes no effect
-	Suspect          bool             // was silent: one report does not make it trusted again
-	Unresponsive     bool             // among the silent ones
-	Slowness         float64          // observed run time against other machines'; 1 is usual
-	SlownessSamples  int
-
+// Usage is what live allocations take of a machine.
+type Usage struct {
 	UsedCores        float64
 	UsedAccelerators float64
 	UsedRAM          float64
+	IdleSince        clock.Micros // zero while the machine has an allocation
+}
 
-	Images map[string]bool // bundles seen here; true once one was fetched whole
-
-	allocations       []*Allocation // in the order of their reservation
-	byKey             map[attemptKey]*Allocation
-	liveCount         int                   // bookings that may be on it
-	orphans           map[attemptKey]orphan // tasks that the last report shows and that are not on the books
-	runningOrphans    int                   // of those, tasks that have not ended
-	supersededReports wire.ReportVersion    // as far as copies of an earlier process's reports may go, where the worker began to count anew
-	mixedIncarnations bool                  // it adopted bookings of several sessions: those before the one that reports are over
-	commandFailed     bool                  // a direct command did not get through since the last heartbeat
-	answeredToken     uint64                // the token in the last answer
-	lastTasks         []byte                // the task list of the last report, as it came
-	lastTasksToken    uint64                // the token that it came with
-	unchanged         bool                  // that list holds no news and asks for no orders
-	leaseCheckAt      clock.Micros
-	leaseIndex        int // its index in the fleet's order of lease ends, plus one
-	heartbeat         *list.Element
+// add takes room for an attempt.
+func (u *Usage) add(resources Resources) {
+	u.UsedCores += resources.Cores
+	u.UsedAccelerators += resources.Accelerators
+	u.UsedRAM += resources.RAM
+	u.IdleSince = 0
 }
 
-// Free is the room that nothing is booked on.
-func (m *Machine) Free() (cores, accel, ram float64) {
-	return m.Cores - m.UsedCores, m.Accelerators - m.UsedAccelerators, m.RAM - m.UsedRAM
+// subtract gives the room of an attempt back.
+func (u *Usage) subtract(resources Resources) {
+	u.UsedCores = max(0, u.UsedCores-resources.Cores)
+	u.UsedAccelerators = max(0, u.UsedAccelerators-resources.Accelerators)
+	u.UsedRAM = max(0, u.UsedRAM-resources.RAM)
 }
 
-// EachAllocation calls f for every booking on the machine, oldest first. f may remove
-// the booking that it is given.
-func (m *Machine) EachAllocation(f func(allocation *Allocation)) {
-	for i := 0; i < len(m.allocations); {
-		allocation := m.allocations[i]
-		f(allocation)
-		if i < len(m.allocations) && m.allocations[i] == allocation {
-			i++
-		}
+// clear makes the use exactly zero, since sums of decimals drift.
+func (u *Usage) clear() { u.UsedCores, u.UsedAccelerators, u.UsedRAM = 0, 0, 0 }
+
+// markIdle notes that nothing takes room any more.
+func (u *Usage) markIdle(now clock.Micros) {
+	if u.IdleSince == 0 {
+		u.IdleSince = now
 	}
 }
 
-// AllocationCount is how many attempts are on the books, ended ones included.
-func (m *Machine) AllocationCount() int { return len(m.allocations) }
+// Free is the room that no live allocation takes.
+func (m *Machine) Free() (cores, accelerators, ram float64) {
+	return m.Cores - m.UsedCores, m.Accelerators - m.UsedAccelerators, m.RAM - m.UsedRAM
+}
+
+// CloudState is a machine's state in the cloud, and what the cloud was asked for.
+type CloudState struct {
+	CloudStatus  string // in the cloud's list; empty when not listed
+	ListedAt     clock.Micros
+	Returning    bool         // the cloud was asked to take the machine back
+	PreemptionAt clock.Micros // the cloud takes the machine back by then; zero without a notice
+}
 
-// LiveCount is how many bookings may be on the machine.
-func (m *Machine) LiveCount() int { return m.liveCount }
+// Restrictions are the leader's own reasons to place nothing on a machine.
+type Restrictions struct {
+	QuarantineReason QuarantineReason // empty when not quarantined
+	Cordoned         bool             // is to be returned once empty
+	// SuspendedUntil is set while it is not clear whether the machine or the jobs
+	// that failed on it are at fault.
+	SuspendedUntil clock.Micros
+}
+
+// RunTimes compares the run times of tasks on a machine with those elsewhere.
+type RunTimes struct {
+	Slowness        float64 // against other machines; 1 is usual
+	SlownessSamples int
+}
--- a/fleet/order_test.go
+++ b/fleet/order_test.go
@@ -81,7 +81,7 @@
 	machine := f.Ensure("n-1", 1)
 	var bookings []*Allocation
 	for i := range h.recorded {
-		allocation := &Allocation{Task: TaskID{Job: "j-1", Index: i}, Attempt: 1, Incarnation: 1, Cores: 1, RAM: 1}
+		allocation := &Allocation{Task: TaskID{Job: "j-1", Index: i}, Attempt: 1, Incarnation: 1, Requirements: Requirements{Resources: Resources{Cores: 1, RAM: 1}}}
 		f.Adopt(machine, allocation, 1)
 		bookings = append(bookings, allocation)
 	}
--- a/fleet/orphans.go
+++ b/fleet/orphans.go
@@ -11,15 +11,37 @@
 	"cedardoor/wire"
 )
 
-// Tasks that workers show and that are not on the books: attempts that were superseded, of
-// jobs that are over, or that the records never knew. Until a machine reports without it,
-// such a task counts as being there: its machine gets nothing new, since what the task
-// takes is not known, and the task is started nowhere else.
+// Orphans are tasks that workers show and that have no allocation: attempts that
+// were superseded, of jobs that are over, or that the records never knew. Until
+// its machine reports without it, an orphan counts as being there: the machine
+// gets no tasks, since what the orphan takes is not known, and the task is
+// started nowhere else.
 
-// addOrphan notes a task that a report shows and that is not on the books.
+// orphan is what a report shows of a task without an allocation.
+type orphan struct{ status string }
+
+// sign is what the orphan's status tells the recovery rules.
+func (o orphan) sign() recovery.Sign {
+	if o.status == wire.TaskEnded {
+		return recovery.SignEnded
+	}
+	return recovery.SignRunning
+}
+
+// orphanTable holds the orphans that a machine's last report shows.
+type orphanTable struct {
+	orphans        map[attemptKey]orphan
+	runningOrphans int // those that have not ended
+}
+
+// RunningOrphans is how many orphans run on the machine.
+func (t *orphanTable) RunningOrphans() int { return t.runningOrphans }
+
+// addOrphan notes an orphan that a report shows.
 func (f *Fleet) addOrphan(machine *Machine, key attemptKey, status string) {
-	machine.orphans[key] = orphan{status: status}
-	if machine.orphans[key].sign() != recovery.SignRunning {
+	shown := orphan{status: status}
+	machine.orphans[key] = shown
+	if shown.sign() != recovery.SignRunning {
 		return
 	}
 	machine.runningOrphans++
@@ -29,7 +51,7 @@
 	f.orphans[key.task][machine] = true
 }
 
-// clearOrphans forgets what the last report showed.
+// clearOrphans forgets the orphans that the last report showed.
 func (f *Fleet) clearOrphans(machine *Machine) {
 	for key := range machine.orphans {
 		f.removeOrphan(machine, key.task)
@@ -38,31 +60,28 @@
 	machine.runningOrphans = 0
 }
 
-// removeOrphan notes that a machine shows a task no longer.
+// removeOrphan notes that a machine no longer shows a task as an orphan.
 func (f *Fleet) removeOrphan(machine *Machine, task TaskID) {
-	on := f.orphans[task]
-	delete(on, machine)
-	if len(on) == 0 {
+	machines := f.orphans[task]
+	delete(machines, machine)
+	if len(machines) == 0 {
 		delete(f.orphans, task)
 	}
 }
 
-// decideOrphan tells what follows for a task that is not on the books.
-func (f *Fleet) decideOrphan(key attemptKey, sign recovery.Sign) recovery.Decision {
+// decideOrphan tells what is to be done about an orphan.
+func (f *Fleet) decideOrphan(task TaskID, sign recovery.Sign) recovery.Decision {
 	switch {
 	case f.DecideOrphan != nil:
-		return f.DecideOrphan(key.task, sign)
+		return f.DecideOrphan(task, sign)
 	case sign == recovery.SignRunning:
 		return recovery.Stop
 	}
 	return recovery.Release
 }
 
-// RunningOrphans is how many tasks that are not on the books run on the machine.
-func (m *Machine) RunningOrphans() int { return m.runningOrphans }
-
-// MayRunAsOrphan tells whether a machine shows a task that is not on the books: it may
-// be there still, so it is started nowhere.
+// MayRunAsOrphan tells whether a task may be on some machine as an orphan; it may
+// be started nowhere then.
 func (f *Fleet) MayRunAsOrphan(task TaskID, now clock.Micros) bool {
 	for machine := range f.orphans[task] {
 		if !machine.LeaseExpired(now) {
@@ -72,41 +91,26 @@
 	return false
 }
 
-// EachOrphan calls do for every task that a machine shows and that is not on the books, in a
-// fixed order.
+// HasOrphans tells whether any machine has a running orphan.
+func (f *Fleet) HasOrphans() bool { return len(f.orphans) > 0 }
+
+// EachOrphan calls do for every orphan of a machine, in a fixed order.
 func (f *Fleet) EachOrphan(machine *Machine, do func(task TaskID, attempt uint64, sign recovery.Sign)) {
 	for _, key := range sortedKeys(machine.orphans) {
 		do(key.task, key.attempt, machine.orphans[key].sign())
 	}
 }
 
-// HasOrphans tells whether any machine shows a task that is not on the books.
-func (f *Fleet) HasOrphans() bool { return len(f.orphans) > 0 }
-
-// MachinesWithOrphansOf lists the machines that show tasks of a job that are not on the books.
-func (f *Fleet) MachinesWithOrphansOf(job string) (out []*Machine) {
-	for task, on := range f.orphans {
-		if task.Job != job {
-			continue
-		}
-		for machine := range on {
-			out = append(out, machine)
-		}
-	}
-	return out
-}
-
-// EachRunningOrphan calls do for every task that runs on a machine and is not on the books, in
-// a fixed order.
+// EachRunningOrphan calls do for every orphan that runs, in a fixed order.
 func (f *Fleet) EachRunningOrphan(do func(machine *Machine, task TaskID, attempt uint64)) {
-	on := map[string]*Machine{}
+	byName := map[string]*Machine{}
 	for _, machines := range f.orphans {
 		for machine := range machines {
-			on[machine.Name] = machine
+			byName[machine.Name] = machine
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(on)) {
-		machine := on[name]
+	for _, name := range slices.Sorted(maps.Keys(byName)) {
+		machine := byName[name]
 		f.EachOrphan(machine, func(task TaskID, attempt uint64, sign recovery.Sign) {
 			if sign == recovery.SignRunning {
 				do(machine, task, attempt)
@@ -115,13 +119,26 @@
 	}
 }
 
-// AdoptOrphan takes a task that a worker shows onto the books, as recorded. If it has ended, its
-// next report brings that as news.
+// MachinesWithOrphansOf lists the machines on which orphans of a job run, in no order.
+func (f *Fleet) MachinesWithOrphansOf(job string) (found []*Machine) {
+	for task, machines := range f.orphans {
+		if task.Job != job {
+			continue
+		}
+		for machine := range machines {
+			found = append(found, machine)
+		}
+	}
+	return found
+}
+
+// AdoptOrphan adopts an attempt that its worker may show as an orphan. If it has
+// ended, the next report brings that as an event.
 func (f *Fleet) AdoptOrphan(machine *Machine, allocation *Allocation, now clock.Micros) {
 	f.Adopt(machine, allocation, now)
-	key := attemptKey{allocation.Task, allocation.Attempt}
-	shown, there := machine.orphans[key]
-	if !there {
+	key := allocation.key()
+	shown, found := machine.orphans[key]
+	if !found {
 		return
 	}
 	allocation.Status = shown.status
@@ -137,19 +154,10 @@
 	f.removeOrphan(machine, allocation.Task)
 }
 
-// orphan is what a report shows of a task that is not on the books.
-type orphan struct{ status string }
-
-func (u orphan) sign() recovery.Sign {
-	if u.status == wire.TaskEnded {
-		return recovery.SignEnded
-	}
-	return recovery.SignRunning
-}
-
-func sortedKeys(in map[attemptKey]orphan) []attemptKey {
-	keys := make([]attemptKey, 0, len(in))
-	for key := range in {
+// sortedKeys lists the orphans by job, task and attempt.
+func sortedKeys(orphans map[attemptKey]orphan) []attemptKey {
+	keys := make([]attemptKey, 0, len(orphans))
+	for key := range orphans {
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b attemptKey) int {
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -1,10 +1,10 @@
 package fleet
 
-// QuarantineReason is why a machine gets no tasks and repair must empty it; empty when it is not
-// quarantined.
+// QuarantineReason is why a machine gets no tasks and is to be emptied; empty
+// when it is not quarantined.
 type QuarantineReason string
 
-// The reasons.
+// The reasons for a quarantine.
 const (
 	// QuarantineFailing: tasks fail on it that succeed elsewhere.
 	QuarantineFailing QuarantineReason = "failing"
@@ -12,6 +12,6 @@
 	QuarantineSlow QuarantineReason = "slow"
 	// QuarantinePreemption: the cloud is about to take it back.
 	QuarantinePreemption QuarantineReason = "preemption"
-	// QuarantineNotAcknowledging: it reports, but nothing told to it takes effect.
+	// QuarantineNotAcknowledging: it reports, but nothing it is told takes effect.
 	QuarantineNotAcknowledging QuarantineReason = "not acknowledging"
 )
--- a/fleet/report.go
+++ b/fleet/report.go
@@ -7,160 +7,252 @@
 	"cedardoor/wire"
 )
 
-// Event is what a report, an expiry or a return taught about a booking.
+// Event is what a report, an expired lease or a returned machine tells of an attempt.
 type Event struct {
 	Allocation *Allocation
 	Gone       bool // proved absent without a result; otherwise it ended with Cause
 	Started    bool // first seen running
 }
 
-// Report takes in a worker's report. viaBeat tells a heartbeat from the body of a
-// /do or /show: only a heartbeat proves that the answer to an earlier heartbeat is dead,
-// because a worker has one heartbeat in flight and drops answers that come late.
-// A report older than what is known changes nothing and gives fresh=false.
+// taskListCache is the task list of a machine's last report as it came: most
+// reports repeat it, and need not be decoded then.
+type taskListCache struct {
+	lastTasks      []byte
+	lastTasksToken uint64 // the token that the report showed
+	unchanged      bool   // the same list again tells nothing new and calls for no command
+}
+
+// repeats tells whether a report's task list tells nothing new.
+func (c *taskListCache) repeats(report *wire.Heartbeat) bool {
+	return c.unchanged && report.Token == c.lastTasksToken &&
+		bytes.Equal(c.lastTasks, report.RawTasks) && len(report.RawTasks) > 0
+}
+
+// remember keeps a report's task list. Unless it is steady, the same list is to
+// be taken in again.
+func (c *taskListCache) remember(report *wire.Heartbeat, steady bool) {
+	c.lastTasks, c.lastTasksToken = append(c.lastTasks[:0], report.RawTasks...), report.Token
+	c.unchanged = steady
+}
+
+// Report takes in a worker's report. viaHeartbeat tells a heartbeat from the body
+// of an answer to a direct command or a probe: only a heartbeat proves that the
+// answer to an earlier heartbeat is void, since a worker has one heartbeat in
+// flight and drops answers that come late. A report that is not newer than all
+// before changes nothing and gives fresh=false.
 //
 // A copy of a report may come long after it was made. What it can prove stays
-// true however late it is: an end, a newer session, and an absence only under
-// the conditions below. That the machine is there now, it cannot prove: see Trusted.
+// true however late it is: an end, a newer incarnation, and an absence under the
+// conditions of takeAbsence. That the machine is there now it cannot prove: see
+// Liveness.
 func (f *Fleet) Report(now clock.Micros, report *wire.Heartbeat, viaHeartbeat bool) (events []Event, fresh bool) {
 	machine := f.Ensure(report.Machine, now)
 	if !machine.IsNewer(report.Incarnation, report.Sequence) || viaHeartbeat && machine.ambiguous(report) {
 		return nil, false
 	}
 	f.Examined++
-	f.Describe(machine, report.Endpoint, report.MachineType, report.Zone, report.Preemptible)
-	if report.Incarnation > machine.Incarnation {
-		// A new session: the worker has killed all that ran in the ones before.
-		// One that ended although it went on reporting, and was answered, either
-		// began anew or did not hear the answers: that alone does not tell which.
-		if machine.Reported && !machine.Suspect && viaHeartbeat && machine.Incarnation > 0 && now-machine.LastHeartbeat < 2*f.reportInterval {
-			machine.Unacknowledged = max(machine.Unacknowledged, maxUnacknowledged-1)
-		}
-		events = append(events, f.endIncarnationsBefore(machine, report.Incarnation, now)...)
-		machine.LeaseEnd = max(machine.LeaseEnd, now+f.lease)
-		machine.Images = map[string]bool{}
-		machine.unchanged = false
-	}
-	if machine.mixedIncarnations && report.Token >= f.firstToken {
-		// What a predecessor recorded in sessions before this one is gone, too. No
-		// copy from before the term shows its token.
+	f.Describe(machine, describe(report))
+	intake := reportIntake{fleet: f, machine: machine, report: report, viaHeartbeat: viaHeartbeat, now: now}
+	intake.takeIncarnation()
+	intake.takeToken()
+	intake.takePreemptionNotice()
+	if viaHeartbeat {
+		f.heartbeatReceived(machine, now)
+	}
+	if !intake.missed && machine.repeats(report) {
+		return intake.events, true
+	}
+	if err := report.DecodeTasks(); err != nil {
+		return intake.events, true // an unreadable task list proves nothing
+	}
+	intake.takeTasks()
+	intake.takeAbsences()
+	if intake.missed {
+		f.notAcknowledged(machine)
+	}
+	return intake.events, true
+}
+
+// reportIntake is the state of one call of Report.
+type reportIntake struct {
+	fleet        *Fleet
+	machine      *Machine
+	report       *wire.Heartbeat
+	viaHeartbeat bool
+	now          clock.Micros
+
+	missed bool // what the machine was told has not taken effect
+	events []Event
+}
+
+// takeIncarnation ends the incarnations before that of the report.
+func (r *reportIntake) takeIncarnation() {
+	machine := r.machine
+	if r.report.Incarnation > machine.Incarnation {
+		r.beginIncarnation()
+	}
+	// An adopted allocation may be of an incarnation before, even if the machine's
+	// is not new. No copy from before the term shows a token of the term.
+	if machine.mixedIncarnations && r.report.Token >= r.fleet.firstToken {
 		machine.mixedIncarnations = false
-		events = append(events, f.endIncarnationsBefore(machine, report.Incarnation, now)...)
+		r.endEarlierIncarnations()
 	}
-	machine.Incarnation, machine.Sequence = report.Incarnation, report.Sequence
-	// A report made after an answer shows its token, if the answer was heard.
-	unheard := viaHeartbeat && (report.Token < machine.answeredToken || machine.commandFailed)
-	if viaHeartbeat {
-		machine.commandFailed = false
+	machine.Incarnation, machine.Sequence = r.report.Incarnation, r.report.Sequence
+}
+
+// beginIncarnation takes in that the worker's lease has expired: it has killed
+// all that ran in the incarnations before.
+func (r *reportIntake) beginIncarnation() {
+	machine := r.machine
+	// Where the machine had reported in time and was answered, either its process
+	// is new or the answers did not arrive; one sign alone does not tell which.
+	if machine.Reported && !machine.Suspect && r.viaHeartbeat && machine.Incarnation > 0 &&
+		r.now-machine.LastHeartbeat < suspectReports*r.fleet.reportInterval {
+		machine.Unacknowledged = max(machine.Unacknowledged, maxUnacknowledged-1)
 	}
-	if report.Token > machine.Token {
-		machine.Token = report.Token
-		f.Acknowledged(machine)
+	r.endEarlierIncarnations()
+	machine.extend(r.now + r.fleet.lease)
+	machine.Images = map[string]bool{}
+	machine.unchanged = false
+}
+
+// endEarlierIncarnations removes the allocations of incarnations before the report's.
+func (r *reportIntake) endEarlierIncarnations() {
+	r.events = r.fleet.endIncarnationsBefore(r.events, r.machine, r.report.Incarnation, r.now)
+}
+
+// takeToken takes in the highest token that the worker has seen. A higher one than
+// before shows that an answer or a command arrived.
+func (r *reportIntake) takeToken() {
+	if r.viaHeartbeat {
+		r.missed = r.machine.missedBy(r.report)
 	}
-	warned := clock.Micros(0)
-	if report.WarningS != nil {
-		warned = now + clock.FromSeconds(*report.WarningS)
+	if r.report.Token > r.machine.Token {
+		r.machine.Token = r.report.Token
+		r.fleet.Acknowledged(r.machine)
 	}
-	if (warned > 0) != (machine.PreemptionAt > 0) {
-		f.MachineChanged(machine)
+}
+
+// takePreemptionNotice takes in whether the cloud is about to take the machine back.
+func (r *reportIntake) takePreemptionNotice() {
+	var preemptionAt clock.Micros
+	if r.report.WarningS != nil {
+		preemptionAt = r.now + clock.FromSeconds(*r.report.WarningS)
 	}
-	machine.PreemptionAt = warned
-	if viaHeartbeat {
-		f.heartbeatReceived(machine, now)
+	if (preemptionAt > 0) != (r.machine.PreemptionAt > 0) {
+		r.fleet.MachineChanged(r.machine)
 	}
-	if machine.unchanged && !unheard && report.Token == machine.lastTasksToken && bytes.Equal(machine.lastTasks, report.RawTasks) && len(report.RawTasks) > 0 {
-		return events, true
+	r.machine.PreemptionAt = preemptionAt
+}
+
+// takeTasks takes in the task list.
+func (r *reportIntake) takeTasks() {
+	machine := r.machine
+	runningOrphans, images := machine.runningOrphans, len(machine.Images)
+	r.fleet.clearOrphans(machine)
+	for i := range r.report.Tasks {
+		r.fleet.Examined++
+		r.takeTask(&r.report.Tasks[i])
 	}
-	if err := report.DecodeTasks(); err != nil {
-		return events, true // its task list is not readable: it proves nothing
-	}
-	shown := make(map[*Allocation]bool, len(report.Tasks))
-	before := machine.runningOrphans
-	f.clearOrphans(machine)
-	held := len(machine.Images)
-	for i := range report.Tasks {
-		f.Examined++
-		p := &report.Tasks[i]
-		id, ok := ParseTask(p.Task)
-		key := attemptKey{id, p.Attempt}
-		var allocation *Allocation
-		if ok {
-			allocation = machine.byKey[key]
-		}
-		if allocation == nil || allocation.Incarnation != report.Incarnation {
-			if ok {
-				f.addOrphan(machine, key, p.Status)
-			}
-			continue
-		}
-		shown[allocation] = true
-		if allocation.Status == "" && allocation.firstSent > 0 {
-			f.Acknowledged(machine)
-		}
-		allocation.Status = p.Status
-		if p.Status != wire.TaskEnded {
-			allocation.reservation.Shown()
-		}
-		if p.Status == wire.TaskRunning && !machine.Images[allocation.Image] {
-			machine.Images[allocation.Image] = true
-			f.MachineChanged(machine)
-		} else if _, known := machine.Images[allocation.Image]; !known {
-			machine.Images[allocation.Image] = false
-		}
-		if p.Status == wire.TaskRunning && allocation.RunningSince == 0 {
-			allocation.RunningSince = now
-			f.MachineChanged(machine)
-			events = append(events, Event{Allocation: allocation, Started: true})
-		}
-		if p.Status == wire.TaskEnded && !allocation.Ended {
-			f.release(allocation, now)
-			allocation.Cause = p.Cause
-			events = append(events, Event{Allocation: allocation})
-		}
+	if len(machine.Images) != images || machine.runningOrphans != runningOrphans {
+		r.fleet.MachineChanged(machine)
 	}
-	if len(machine.Images) != held || machine.runningOrphans != before {
-		f.MachineChanged(machine)
+}
+
+// takeTask takes in one task of the list: an allocation, or an orphan.
+func (r *reportIntake) takeTask(task *wire.TaskReport) {
+	id, ok := ParseTask(task.Task)
+	if !ok {
+		return
 	}
-	steady := len(machine.orphans) == 0
-	machine.EachAllocation(func(allocation *Allocation) {
-		f.Examined++
-		// A higher token voids the copies of a /do that are on their way, of
-		// attempts that are shown as well.
-		if allocation.unfencedToken > 0 && report.Token > allocation.unfencedToken {
-			f.setUnfenced(allocation, 0, false)
-		}
-		// What has ended is steady too while only a higher token lets it be forgotten.
-		steady = steady && shown[allocation] && (allocation.Live() && !allocation.Stopping || allocation.Status == wire.TaskEnded && allocation.unfencedToken > 0)
-		if allocation.Incarnation != report.Incarnation || shown[allocation] {
-			return
-		}
-		unheard = unheard || viaHeartbeat && allocation.heartbeatSequence > 0 && report.Sequence > allocation.heartbeatSequence && allocation.Status == "" && !allocation.Ended
-		// Not in the report. A /do is dead once the worker has seen a higher token; the answer to a heartbeat is dead once a
-		// later heartbeat has come.
-		if allocation.mayArrive() {
-			return
-		}
-		if allocation.Ended {
-			if allocation.ResultDurable {
-				f.Remove(allocation, now)
-			}
-			return
-		}
-		if allocation.firstSent == 0 || !viaHeartbeat || report.Sequence <= allocation.heartbeatSequence {
-			return
+	key := attemptKey{id, task.Attempt}
+	allocation := r.machine.byKey[key]
+	if allocation == nil || allocation.Incarnation != r.report.Incarnation {
+		r.fleet.addOrphan(r.machine, key, task.Status)
+		return
+	}
+	allocation.listed = true
+	if allocation.Status == "" && allocation.firstSent > 0 {
+		r.fleet.Acknowledged(r.machine)
+	}
+	allocation.Status = task.Status
+	if task.Status != wire.TaskEnded {
+		allocation.reservation.Shown()
+	}
+	r.takeImage(allocation)
+	switch {
+	case task.Status == wire.TaskRunning && allocation.RunningSince == 0:
+		allocation.RunningSince = r.now
+		r.fleet.MachineChanged(r.machine)
+		r.events = append(r.events, Event{Allocation: allocation, Started: true})
+	case task.Status == wire.TaskEnded && !allocation.Ended:
+		r.fleet.release(allocation, r.now)
+		allocation.Cause = task.Cause
+		r.events = append(r.events, Event{Allocation: allocation})
+	}
+}
+
+// takeImage notes the image of an allocation that the machine shows; it is whole
+// there once the task runs.
+func (r *reportIntake) takeImage(allocation *Allocation) {
+	images := r.machine.Images
+	whole, known := images[allocation.Image]
+	switch {
+	case allocation.Status == wire.TaskRunning && !whole:
+		images[allocation.Image] = true
+		r.fleet.MachineChanged(r.machine)
+	case !known:
+		images[allocation.Image] = false
+	}
+}
+
+// takeAbsences goes over all allocations after the task list was taken in, and
+// keeps the list.
+func (r *reportIntake) takeAbsences() {
+	steady := len(r.machine.orphans) == 0
+	r.machine.EachAllocation(func(allocation *Allocation) {
+		r.fleet.Examined++
+		// A higher token fences copies of a command, listed or not.
+		if allocation.unfencedToken > 0 && r.report.Token > allocation.unfencedToken {
+			r.fleet.unfenced.fence(allocation)
 		}
-		if allocation.Status == "" && !allocation.Stopping {
-			// Never shown: the run was lost, and the next answer carries it again.
-			return
+		listed := allocation.listed
+		allocation.listed = false
+		steady = steady && listed && allocation.steady()
+		if !listed && allocation.Incarnation == r.report.Incarnation {
+			r.takeAbsence(allocation)
 		}
-		f.release(allocation, now)
-		events = append(events, Event{Allocation: allocation, Gone: true})
 	})
-	machine.unchanged = steady
-	machine.lastTasks, machine.lastTasksToken = append(machine.lastTasks[:0], report.RawTasks...), report.Token
-	if unheard {
-		machine.Unacknowledged++
-		f.MachineChanged(machine)
+	r.machine.remember(r.report, steady)
+}
+
+// takeAbsence takes in that an allocation of the report's incarnation is not in
+// its task list.
+func (r *reportIntake) takeAbsence(allocation *Allocation) {
+	answered := r.viaHeartbeat && allocation.answeredBefore(r.report.Sequence)
+	if answered && allocation.Status == "" && allocation.Live() {
+		r.missed = true
+	}
+	switch {
+	case allocation.mayArrive(): // proves nothing
+	case allocation.Ended:
+		if allocation.ResultDurable {
+			r.fleet.Remove(allocation, r.now)
+		}
+	case r.provesGone(allocation):
+		r.fleet.release(allocation, r.now)
+		r.events = append(r.events, Event{Allocation: allocation, Gone: true})
+	}
+}
+
+// provesGone tells whether a live allocation that the report does not list is
+// gone, given that no direct command can start it any more. The answer to a
+// heartbeat is void once a later heartbeat has come.
+func (r *reportIntake) provesGone(allocation *Allocation) bool {
+	if allocation.firstSent == 0 || !r.viaHeartbeat || r.report.Sequence <= allocation.heartbeatSequence {
+		return false
 	}
-	return events, true
+	// One that was never listed lost its run: the next answer carries it again,
+	// unless it is to be stopped.
+	return allocation.Status != "" || allocation.Stopping
 }
--- a/fleet/task.go
+++ b/fleet/task.go
@@ -13,15 +13,15 @@
 	Index int
 }
 
-// String gives the protocol's form.
-func (p TaskID) String() string { return p.Job + "/" + strconv.Itoa(p.Index) }
+// String gives the protocol's form, which ParseTask reads.
+func (t TaskID) String() string { return t.Job + "/" + strconv.Itoa(t.Index) }
 
-// ParseTask reads the protocol's form.
-func ParseTask(s string) (TaskID, bool) {
-	job, num, found := strings.Cut(s, "/")
-	n, err := strconv.Atoi(num)
-	if !found || err != nil || n < 0 || !wire.ValidUID(job) {
+// ParseTask reads the protocol's form of a task's name.
+func ParseTask(name string) (id TaskID, ok bool) {
+	job, number, found := strings.Cut(name, "/")
+	index, err := strconv.Atoi(number)
+	if !found || err != nil || index < 0 || !wire.ValidUID(job) {
 		return TaskID{}, false
 	}
-	return TaskID{Job: job, Index: n}, true
+	return TaskID{Job: job, Index: index}, true
 }
--- a/jobs/job.go
+++ b/jobs/job.go
@@ -208,9 +208,12 @@
 func (j *Job) NewAllocation(index int, attempt uint64) *fleet.Allocation {
 	spec := &j.Spec
 	return &fleet.Allocation{Owner: j, Task: fleet.TaskID{Job: j.UID, Index: index}, Attempt: attempt, Team: spec.Team,
-		Cores: spec.Cores, Accelerators: spec.Accelerators, RAM: spec.RAM, Image: spec.Image, Priority: j.Priority,
-		Preemptible: spec.Preemptible, CheckpointGrace: spec.CheckpointGraceS, Checkpoints: spec.CheckpointIntervalS > 0,
-		HeartbeatOnly: j.IsBestEffort()}
+		Requirements: fleet.Requirements{
+			Resources: fleet.Resources{Cores: spec.Cores, Accelerators: spec.Accelerators, RAM: spec.RAM},
+			Image:     spec.Image, Priority: j.Priority, Preemptible: spec.Preemptible,
+			CheckpointGrace: spec.CheckpointGraceS, Checkpoints: spec.CheckpointIntervalS > 0,
+			HeartbeatOnly: j.IsBestEffort(),
+		}}
 }
 
 // TaskAmount is what one task of the job takes of its team's limit.
