--- /dev/null
+++ b/fleet/commands_test.go
@@ -0,0 +1,69 @@
+package fleet
+
+import (
+	"testing"
+
+	"cedardoor/quota"
+	"cedardoor/wire"
+)
+
+// An answer to a worker stays within 64 KiB; the next one goes on.
+func TestAnswersAreLimitedInSize(t *testing.T) {
+	f, machine, _ := newFleetWithAllocation(t)
+	const n = 3 * maxCommands / 2
+	for i := range n {
+		allocation := newAllocation(TaskID{Job: "j-123456789", Index: 10000 + i}, 1, 0.001)
+		allocation.Attempt = 123456
+		reserveDurable(t, f, machine, allocation, 2)
+	}
+	seen := 0
+	for sequence := uint64(2); sequence < 4; sequence++ {
+		commands := f.Commands(machine, 3, true, AllCommands)
+		if raw, err := wire.Marshal(wire.HeartbeatResponse{Token: 5, Commands: commands}); err != nil || len(raw) > wire.MaxBody {
+			t.Fatalf("%d commands take %d bytes", len(commands), len(raw))
+		}
+		seen += len(commands)
+		report := heartbeat(1, sequence, 5)
+		for _, run := range commands {
+			report.Tasks = append(report.Tasks, wire.TaskReport{Task: run.Task, Attempt: run.Attempt, Status: wire.TaskRunning})
+		}
+		f.Report(4, report, true)
+	}
+	if seen < n {
+		t.Errorf("%d of %d commands given in two answers", seen, n)
+	}
+}
+
+func TestOrphansAreStoppedThenForgotten(t *testing.T) {
+	f, machine, _ := newFleetWithAllocation(t)
+	other := wire.TaskReport{Task: "j-9/4", Attempt: 3, Status: wire.TaskRunning}
+	f.Report(2, heartbeat(1, 2, 0, other), true)
+	if commands := f.Commands(machine, 2, true, NoRuns); onlyVerb(commands) != wire.VerbStop {
+		t.Fatalf("commands %v, want a stop", commands)
+	}
+	other.Status = wire.TaskEnded
+	// A run of an earlier leader may be in flight until this term's token was seen.
+	f.Report(3, heartbeat(1, 3, 4, other), true)
+	if commands := f.Commands(machine, 3, true, NoRuns); len(commands) != 0 {
+		t.Fatalf("commands %v before the token was seen", commands)
+	}
+	f.Report(4, heartbeat(1, 4, 5, other), true)
+	if commands := f.Commands(machine, 4, true, NoRuns); onlyVerb(commands) != wire.VerbForget {
+		t.Fatalf("commands %v, want forget", commands)
+	}
+}
+
+// An adopted attempt that the worker never got is run again where it was
+// recorded, not elsewhere.
+func TestAdoptedRunIsRepeated(t *testing.T) {
+	f := New(testLease, testReportInterval, testToken, quota.NewLedger(nil))
+	machine := f.Ensure("n-1", 1)
+	allocation := newAllocation(testTask, 1, 2)
+	f.Adopt(machine, allocation, 1)
+	f.Report(2, heartbeat(1, 7, 4), true)
+	f.HeartbeatAnswered(machine, 2, 5)
+	f.Report(3, heartbeat(1, 8, 5), true)
+	if commands := f.Commands(machine, 3, true, AllCommands); onlyVerb(commands) != wire.VerbRun || allocation.Ended {
+		t.Errorf("commands %v, ended %t", commands, allocation.Ended)
+	}
+}
--- a/fleet/incarnations.go
+++ b/fleet/incarnations.go
@@ -52,9 +52,9 @@
 		report.Incarnation == superseded.Incarnation && report.Sequence <= superseded.Sequence
 }
 
-// restart notes that a new process of the worker counts anew. Up to unseen
+// countAnew notes that a new process of the worker counts anew. Up to unseen
 // reports of the earlier one were never taken in.
-func (p *ReportProgress) restart(report *wire.Heartbeat, unseen uint64) {
+func (p *ReportProgress) countAnew(report *wire.Heartbeat, unseen uint64) {
 	reached := wire.ReportVersion{Incarnation: p.Incarnation, Sequence: p.Sequence + unseen}
 	if reached.Incarnation >= p.supersededReports.Incarnation {
 		p.supersededReports = reached
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -19,8 +19,8 @@
 	leaseIndex   int          // position in the fleet's leaseHeap, plus one; zero when not in it
 }
 
-// extend lets the lease last at least until the given time.
-func (l *Lease) extend(until clock.Micros) { l.LeaseEnd = max(l.LeaseEnd, until) }
+// extendLease lets the lease last at least until the given time.
+func (l *Lease) extendLease(until clock.Micros) { l.LeaseEnd = max(l.LeaseEnd, until) }
 
 // LeaseExpired tells whether the worker's incarnation must be over.
 func (l *Lease) LeaseExpired(now clock.Micros) bool { return now > l.LeaseEnd }
@@ -58,7 +58,7 @@
 // HeartbeatAnswered notes that a heartbeat is answered with this token. The
 // answer extends the lease if it arrives, even that to a late copy.
 func (f *Fleet) HeartbeatAnswered(machine *Machine, now clock.Micros, token uint64) {
-	machine.extend(now + f.lease)
+	machine.extendLease(now + f.lease)
 	machine.AnsweredAt = now
 	machine.answeredToken = token
 }
--- a/fleet/probes.go
+++ b/fleet/probes.go
@@ -41,10 +41,10 @@
 			events = f.removeGone(events, allocation, now)
 		}
 	})
-	machine.restart(report, f.maxUnseenReports())
+	machine.countAnew(report, f.maxUnseenReports())
 	machine.Images, machine.unchanged = map[string]bool{}, false
 	machine.Reported = machine.Reported && report.Token >= f.firstToken
-	machine.extend(now + f.lease)
+	machine.extendLease(now + f.lease)
 	machine.EachAllocation(func(allocation *Allocation) {
 		allocation.Incarnation, allocation.Status = report.Incarnation, ""
 		allocation.reservation.Doubt()
--- a/fleet/report.go
+++ b/fleet/report.go
@@ -22,15 +22,15 @@
 	unchanged      bool   // the same list again tells nothing new and calls for no command
 }
 
-// repeats tells whether a report's task list tells nothing new.
-func (c *taskListCache) repeats(report *wire.Heartbeat) bool {
+// repeatsTasks tells whether a report's task list tells nothing new.
+func (c *taskListCache) repeatsTasks(report *wire.Heartbeat) bool {
 	return c.unchanged && report.Token == c.lastTasksToken &&
 		bytes.Equal(c.lastTasks, report.RawTasks) && len(report.RawTasks) > 0
 }
 
-// remember keeps a report's task list. Unless it is steady, the same list is to
+// rememberTasks keeps a report's task list. Unless it is steady, the same list is to
 // be taken in again.
-func (c *taskListCache) remember(report *wire.Heartbeat, steady bool) {
+func (c *taskListCache) rememberTasks(report *wire.Heartbeat, steady bool) {
 	c.lastTasks, c.lastTasksToken = append(c.lastTasks[:0], report.RawTasks...), report.Token
 	c.unchanged = steady
 }
@@ -59,14 +59,15 @@
 	if viaHeartbeat {
 		f.heartbeatReceived(machine, now)
 	}
-	if !intake.missed && machine.repeats(report) {
+	if !intake.missed && machine.repeatsTasks(report) {
 		return intake.events, true
 	}
 	if err := report.DecodeTasks(); err != nil {
 		return intake.events, true // an unreadable task list proves nothing
 	}
 	intake.takeTasks()
-	intake.takeAbsences()
+	steady := intake.takeAbsences()
+	machine.rememberTasks(report, steady)
 	if intake.missed {
 		f.notAcknowledged(machine)
 	}
@@ -111,7 +112,7 @@
 		machine.Unacknowledged = max(machine.Unacknowledged, maxUnacknowledged-1)
 	}
 	r.endEarlierIncarnations()
-	machine.extend(r.now + r.fleet.lease)
+	machine.extendLease(r.now + r.fleet.lease)
 	machine.Images = map[string]bool{}
 	machine.unchanged = false
 }
@@ -206,10 +207,10 @@
 	}
 }
 
-// takeAbsences goes over all allocations after the task list was taken in, and
-// keeps the list.
-func (r *reportIntake) takeAbsences() {
-	steady := len(r.machine.orphans) == 0
+// takeAbsences goes over all allocations after the task list was taken in. It
+// tells whether the same list again would tell nothing new and call for no command.
+func (r *reportIntake) takeAbsences() (steady bool) {
+	steady = len(r.machine.orphans) == 0
 	r.machine.EachAllocation(func(allocation *Allocation) {
 		r.fleet.Examined++
 		// A higher token fences copies of a command, listed or not.
@@ -223,7 +224,7 @@
 			r.takeAbsence(allocation)
 		}
 	})
-	r.machine.remember(r.report, steady)
+	return steady
 }
 
 // takeAbsence takes in that an allocation of the report's incarnation is not in
--- a/fleet/order_test.go
+++ b/fleet/report_order_test.go
@@ -15,30 +15,30 @@
 
 // history is what one worker reports after a change of leader.
 type history struct {
-	recorded int // tasks that a predecessor recorded there, in session 1
+	recorded int // tasks that an earlier leader recorded there, in incarnation 1
 	reports  []*wire.Heartbeat
 }
 
 const termToken = 9
 
 // drawHistory draws what a worker does: its tasks run, end or were never started, a task that nobody
-// recorded runs there, it learns of the new token at some time, and may begin a new session.
+// recorded runs there, it learns of the new token at some time, and may begin a new incarnation.
 func drawHistory(t *rapid.T) history {
 	h := history{recorded: rapid.IntRange(1, 4).Draw(t, "tasks")}
 	n := rapid.IntRange(2, 8).Draw(t, "reports")
-	knows := rapid.IntRange(0, n-1).Draw(t, "knows the token from")
-	anew := rapid.IntRange(0, 3*n).Draw(t, "new session from")
-	stranger := rapid.Bool().Draw(t, "stranger")
+	tokenFrom := rapid.IntRange(0, n-1).Draw(t, "knows the token from")
+	incarnationFrom := rapid.IntRange(0, 3*n).Draw(t, "new incarnation from")
+	orphan := rapid.Bool().Draw(t, "orphan")
 	ends := make([]int, h.recorded) // the report from which on the task has ended; -1: it is not there at all
 	for i := range ends {
 		ends[i] = rapid.IntRange(-1, 2*n).Draw(t, "ends")
 	}
 	for r := range n {
-		session, token := uint64(1), uint64(4)
-		if r >= anew {
-			session = 2
+		incarnation, token := uint64(1), uint64(4)
+		if r >= incarnationFrom {
+			incarnation = 2
 		}
-		if r >= knows {
+		if r >= tokenFrom {
 			token = termToken
 		}
 		var tasks []wire.TaskReport
@@ -47,16 +47,16 @@
 			if end >= 0 && r >= end {
 				report.Status, report.Cause = wire.TaskEnded, wire.CauseDone
 			}
-			if end >= 0 && session == 1 {
+			if end >= 0 && incarnation == 1 {
 				tasks = append(tasks, report)
 			}
 		}
-		if stranger {
+		if orphan {
 			tasks = append(tasks, wire.TaskReport{Task: "j-9/0", Attempt: 7, Status: wire.TaskRunning})
 		}
-		h.reports = append(h.reports, rep(session, uint64(r+1), token, tasks...))
+		h.reports = append(h.reports, heartbeat(incarnation, uint64(r+1), token, tasks...))
 	}
-	// The worker knows the token in the end, and says so: what is in doubt before is not after.
+	// The worker knows the token in the end, and says so: what was unfenced before is fenced after.
 	last := *h.reports[n-1]
 	last.Sequence, last.Token = uint64(n+1), termToken
 	h.reports = append(h.reports, &last)
@@ -67,23 +67,23 @@
 type outcome struct {
 	Live    []bool
 	Stopped []string
-	Strange int
+	Orphans int
 	Trusted bool
 }
 
 // play lets the reports come in the given order, each with the answer that it gets.
 func (h history) play(order []int) (o outcome) {
-	f := New(lease, report, termToken, quota.NewLedger(nil))
-	f.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8, RAM: 32}}})
+	f := newTestFleet(termToken, quota.NewLedger(nil))
 	f.DecideOrphan = func(_ TaskID, sign recovery.Sign) recovery.Decision {
 		return recovery.Decide(recovery.Case{Job: recovery.JobUnrecorded, Attempt: recovery.AttemptOther, Sign: sign})
 	}
 	machine := f.Ensure("n-1", 1)
-	var bookings []*Allocation
+	var adopted []*Allocation
 	for i := range h.recorded {
-		allocation := &Allocation{Task: TaskID{Job: "j-1", Index: i}, Attempt: 1, Incarnation: 1, Requirements: Requirements{Resources: Resources{Cores: 1, RAM: 1}}}
+		allocation := newAllocation(TaskID{Job: "j-1", Index: i}, 1, 1)
+		allocation.RAM = 1
 		f.Adopt(machine, allocation, 1)
-		bookings = append(bookings, allocation)
+		adopted = append(adopted, allocation)
 	}
 	now := clock.Micros(1)
 	for _, r := range order {
@@ -91,16 +91,16 @@
 		copied := *h.reports[r]
 		f.Report(now, &copied, true)
 		f.HeartbeatAnswered(machine, now, termToken)
-		for _, order := range f.Commands(machine, now, true, AllCommands) {
-			if order.Verb == wire.VerbStop {
-				o.Stopped = append(o.Stopped, order.Task)
+		for _, command := range f.Commands(machine, now, true, AllCommands) {
+			if command.Verb == wire.VerbStop {
+				o.Stopped = append(o.Stopped, command.Task)
 			}
 		}
 	}
-	for _, allocation := range bookings {
+	for _, allocation := range adopted {
 		o.Live = append(o.Live, allocation.Live())
 	}
-	o.Strange, o.Trusted = machine.RunningOrphans(), machine.Reported
+	o.Orphans, o.Trusted = machine.RunningOrphans(), machine.Reported
 	return o
 }
 
--- a/fleet/zones_test.go
+++ b/fleet/zones_test.go
@@ -6,12 +6,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Nothing is rented in a zone of whose machines nearly all are silent, and
-// when all zones are, the fault is the controller's own.
-func TestNothingIsRentedInACutZone(t *testing.T) {
+// A zone is unreachable when nearly all of its machines are unresponsive. When that
+// is so of all zones, the fault is the controller's own.
+func TestUnreachableZones(t *testing.T) {
 	tests := []struct {
-		quiet, known map[string]int
-		want         map[string]bool
+		unresponsive, known map[string]int
+		want                map[string]bool
 	}{
 		{map[string]int{"x": 9}, map[string]int{"x": 10, "y": 10}, map[string]bool{"x": true}},
 		{map[string]int{"x": 2}, map[string]int{"x": 2, "y": 10}, map[string]bool{}},
@@ -19,8 +19,8 @@
 		{map[string]int{"x": 9, "y": 9}, map[string]int{"x": 10, "y": 10}, nil},
 	}
 	for _, tt := range tests {
-		if got := UnreachableZones(tt.quiet, tt.known); !cmp.Equal(got, tt.want) {
-			t.Errorf("silent %v of %v: avoided %v, want %v", tt.quiet, tt.known, got, tt.want)
+		if got := UnreachableZones(tt.unresponsive, tt.known); !cmp.Equal(got, tt.want) {
+			t.Errorf("unresponsive %v of %v: unreachable %v, want %v", tt.unresponsive, tt.known, got, tt.want)
 		}
 	}
 }
