--- a/autoscaler/autoscaler_test.go
+++ b/autoscaler/autoscaler_test.go
@@ -156,7 +156,7 @@
 		{"awaited", func(m *fleet.Machine) { f.awaited[m], m.FirstSeen = true, now }, true, false},
 	}
 	for _, tt := range tests {
-		machine := &fleet.Machine{Name: tt.name, Type: "m", Zone: "x"}
+		machine := &fleet.Machine{Name: tt.name, Description: fleet.Description{Type: "m", Zone: "x"}}
 		tt.set(machine)
 		view := f.view(now)
 		if lost, dead := f.isLost(view, machine), f.isDead(view, machine); lost != tt.lost || dead != tt.dead {
--- a/dispatcher/dispatcher_test.go
+++ b/dispatcher/dispatcher_test.go
@@ -22,8 +22,8 @@
 // run books an attempt whose run may be sent.
 func run(t *testing.T, f *fleet.Fleet, machine *fleet.Machine, heartbeatOnly bool) *fleet.Allocation {
 	t.Helper()
-	allocation := &fleet.Allocation{Task: fleet.TaskID{Job: "j-1"}, Attempt: 1, Cores: 1}
-	allocation.Incarnation, allocation.HeartbeatOnly = machine.Incarnation, heartbeatOnly
+	allocation := &fleet.Allocation{Task: fleet.TaskID{Job: "j-1"}, Attempt: 1, Incarnation: machine.Incarnation}
+	allocation.Cores, allocation.HeartbeatOnly = 1, heartbeatOnly
 	if err := f.Reserve(machine, allocation, 0); err != nil {
 		t.Fatal(err)
 	}
--- a/jobs/job_test.go
+++ b/jobs/job_test.go
@@ -96,7 +96,7 @@
 	f := fleet.New(clock.Second, clock.Second, 1, quota.NewLedger(nil))
 	f.OnCapacityChange = table.CapacityChanged
 	machine := f.Ensure("n-1", 0)
-	f.Describe(machine, "e", "b", "x", false)
+	f.Describe(machine, fleet.Description{Endpoint: "e", Type: "b", Zone: "x"})
 	allocation := service.NewAllocation(0, 1)
 	if err := f.Reserve(machine, allocation, 0); err != nil {
 		t.Fatal(err)
