--- /dev/null
+++ b/lead/campaign.go
@@ -0,0 +1,137 @@
+package lead
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+
+	"cedardoor/clock"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+// cooldownInterval is how far apart a node in its cooldown looks whether the leader key is still free.
+const cooldownInterval = clock.Second
+
+// campaign waits until the leader key is free and takes it.
+func (e *Elector) campaign(ctx context.Context) (Term, error) {
+	if err := e.awaitVacancy(ctx); err != nil {
+		return Term{}, err
+	}
+	if e.coolingDown() {
+		e.pause(ctx, cooldownInterval)
+		return Term{}, errCoolingDown
+	}
+	return e.acquire(ctx)
+}
+
+// awaitVacancy waits until nobody holds the leader key.
+func (e *Elector) awaitVacancy(ctx context.Context) error {
+	for ctx.Err() == nil {
+		row, found, err := e.store.Get(ctx, store.Vital, store.KeyLead)
+		if err != nil {
+			return fmt.Errorf("read leader: %w", err)
+		}
+		if !found {
+			break
+		}
+		var record store.LeadRecord
+		if err := wire.Unmarshal(row.Value, &record); err != nil {
+			return fmt.Errorf("leader record: %w", err)
+		}
+		e.observeLeader(record.Node, row.ModRevision)
+		if record.Node == e.node && row.Lease != 0 {
+			// An earlier process of this node holds the key. It has ended, or this one
+			// would not run, so nobody need wait for its lease to lapse.
+			if err := e.store.RevokeLease(ctx, row.Lease); err == nil {
+				continue
+			}
+		}
+		if err := e.watchLeader(ctx, row.ModRevision); err != nil {
+			return err
+		}
+	}
+	return ctx.Err()
+}
+
+// observeLeader takes in who holds the leader key. A node that holds it from an
+// earlier process does not lead by that.
+func (e *Elector) observeLeader(node string, revision uint64) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if node == e.node {
+		node = ""
+	}
+	e.observed.record(node, revision, e.clock.Now())
+	e.cooldown.leaderSeen()
+}
+
+// watchLeader waits until the leader key has changed since a revision, or a while has passed.
+func (e *Elector) watchLeader(ctx context.Context, since uint64) error {
+	changes, err := e.store.Watch(ctx, store.KeyLead, since, watchTimeout)
+	if err != nil && !errors.Is(err, store.ErrCompacted) {
+		e.clearLeader()
+		return fmt.Errorf("watch leader: %w", err)
+	}
+	for _, event := range changes.Events {
+		if event.Delete == store.KeyLead {
+			e.clearLeader()
+		}
+	}
+	return nil
+}
+
+func (e *Elector) clearLeader() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.observed.clearLeader()
+}
+
+// coolingDown tells whether this node leaves the leader key, which is free, to others.
+func (e *Elector) coolingDown() bool {
+	now := e.clock.Now()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.cooldown.defers(now)
+}
+
+// acquire takes the leader key, which is free, with a new lease and the next fencing token.
+func (e *Elector) acquire(ctx context.Context) (Term, error) {
+	requestedAt := e.clock.Now()
+	leaseID, err := e.store.GrantLease(ctx, e.leaseTTL)
+	if err != nil {
+		return Term{}, fmt.Errorf("acquire leadership: %w", err)
+	}
+	last, lastRevision, err := e.readToken(ctx, store.Vital)
+	if err != nil {
+		return Term{}, fmt.Errorf("acquire leadership: %w", err)
+	}
+	token, nonce := last.Token+1, e.campaignNonce()
+	revision, err := e.store.Commit(ctx, store.Vital, wire.Txn{
+		Conditions: []wire.Condition{{Key: store.KeyLead}, {Key: store.KeyToken, ModRevision: lastRevision}},
+		Operations: []wire.Operation{
+			{Set: store.KeyLead, Value: store.LeadRecord{Node: e.node, Nonce: nonce}, Lease: leaseID},
+			{Set: store.KeyToken, Value: store.TokenRecord{Token: token, Nonce: nonce}},
+		},
+	})
+	if err != nil {
+		// An unknown outcome counts as a lost election: if the key was taken after
+		// all, its lease lapses unrenewed.
+		_ = e.store.RevokeLease(ctx, leaseID)
+		return Term{}, fmt.Errorf("acquire leadership: %w", err)
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.leading = true
+	e.lease.granted(leaseID, e.leaseEnd(requestedAt))
+	e.token.set(token, revision)
+	e.observed.recordRevision(revision)
+	e.term = Term{Token: token, Revision: revision, Since: e.clock.Now()}
+	return e.term, nil
+}
+
+// campaignNonce marks the writes of one campaign.
+func (e *Elector) campaignNonce() string {
+	return fmt.Sprintf("%s.%d.%d", e.node, e.clock.Wall(), rand.Uint32())
+}
--- /dev/null
+++ b/lead/elector.go
@@ -0,0 +1,197 @@
+// Package lead elects the controller that acts for the service, and issues the
+// fencing tokens under which it does. Leadership is a leased key in the state
+// service: whoever creates the key leads until its lease lapses.
+package lead
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+
+	"cedardoor/clock"
+	"cedardoor/config"
+	"cedardoor/store"
+)
+
+const (
+	// watchTimeout is how long one watch of the leader key waits for a change.
+	watchTimeout = 4 * clock.Second
+	// leaderFreshFor is how long the leader counts as known after the state service named it.
+	leaderFreshFor = watchTimeout + clock.Second
+	// minCampaignPause and campaignJitter space out campaigns that fail.
+	minCampaignPause = 200 * clock.Millisecond
+	campaignJitter   = 300 * clock.Millisecond
+	// revokeTimeout bounds the revocation of the lease at the end of a term.
+	revokeTimeout = clock.Second
+)
+
+// errCoolingDown means that the leader key is free, and this node leaves it to
+// others because it has resigned a short while ago.
+var errCoolingDown = errors.New("cooling down after a resignation")
+
+// ErrTermOver means that the term on whose behalf something was asked has ended.
+var ErrTermOver = errors.New("the term is over")
+
+// Term is one period of leadership.
+type Term struct {
+	Token    uint64 // the first fencing token; RaiseToken issues higher ones
+	Revision uint64 // of the leader key; every write of the leader is conditional on it
+	Since    clock.Micros
+}
+
+// Attester asks all other controllers whether the state service refuses them too,
+// and takes in what they know to be cancelled. It returns true only when every one
+// of them has attested so.
+type Attester func(ctx context.Context) bool
+
+// Elector competes for leadership and keeps it.
+type Elector struct {
+	node          string
+	store         *store.Client
+	clock         *clock.Clock
+	leaseTTL      clock.Micros
+	renewInterval clock.Micros
+	attest        Attester
+	log           *slog.Logger
+
+	mu       sync.Mutex // guards the fields below
+	leading  bool
+	term     Term               // the current term, or the last one
+	endTerm  context.CancelFunc // ends the current term early; nil while none is served
+	lease    leaseState
+	token    tokenState
+	observed observation
+	cooldown cooldown
+}
+
+// New makes an Elector.
+func New(node string, client *store.Client, clk *clock.Clock, op *config.Operator, attest Attester, log *slog.Logger) *Elector {
+	return &Elector{
+		node:          node,
+		store:         client,
+		clock:         clk,
+		leaseTTL:      clock.FromSeconds(op.Lead.TTLs),
+		renewInterval: clock.FromSeconds(op.Lead.RenewS),
+		attest:        attest,
+		log:           log,
+	}
+}
+
+// Leader names the controller that leads, as last seen; empty when unknown. A
+// node that the state service has not told for a while does not know: workers
+// that it redirected to a dead leader would lose time that their leases run on.
+func (e *Elector) Leader() string {
+	now := e.clock.Now()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.leading {
+		return e.node
+	}
+	return e.observed.leaderAt(now)
+}
+
+// MayAnswerHeartbeats tells whether this node is entitled to answer heartbeats
+// right now, and its fencing token.
+func (e *Elector) MayAnswerHeartbeats() (token uint64, ok bool) {
+	now := e.clock.Now()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.token.value, e.leading && e.lease.heldOrAttested(now)
+}
+
+// HoldsLease tells whether this node may give new commands, which takes a lease
+// that has not lapsed, and its fencing token.
+func (e *Elector) HoldsLease() (token uint64, ok bool) {
+	now := e.clock.Now()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.token.value, e.leading && e.lease.held(now)
+}
+
+// NewestRevision is the highest revision of the leader key that this process has
+// seen, its own terms included: the leader of a lower one may have been replaced.
+func (e *Elector) NewestRevision() uint64 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.observed.newestRevision
+}
+
+// LeaseInterruptions counts how often the lease was renewed after it may have lapsed.
+func (e *Elector) LeaseInterruptions() uint64 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.lease.interruptions
+}
+
+// Resign ends this node's term at once and leaves the next one to others.
+func (e *Elector) Resign() {
+	e.mu.Lock()
+	endTerm := e.endTerm
+	e.endTerm = nil
+	if endTerm != nil {
+		e.cooldown.start(e.clock.Now())
+	}
+	e.mu.Unlock()
+	if endTerm != nil {
+		endTerm()
+	}
+}
+
+// Run competes until ctx ends. For each term it calls serve with a context
+// that ends with the term, and waits for serve to return.
+func (e *Elector) Run(ctx context.Context, serve func(ctx context.Context, term Term)) {
+	for ctx.Err() == nil {
+		term, err := e.campaign(ctx)
+		if err == nil {
+			e.serveTerm(ctx, term, serve)
+			continue
+		}
+		if ctx.Err() == nil {
+			e.log.Debug("not elected", "error", err)
+			e.pause(ctx, minCampaignPause+clock.Micros(rand.Int64N(int64(campaignJitter))))
+		}
+	}
+}
+
+// serveTerm calls serve and keeps the lease until the term has ended.
+func (e *Elector) serveTerm(ctx context.Context, term Term, serve func(ctx context.Context, term Term)) {
+	e.log.Info("leading", "token", term.Token)
+	termCtx, endTerm := context.WithCancel(ctx)
+	e.mu.Lock()
+	e.endTerm = endTerm
+	leaseID := e.lease.id
+	e.mu.Unlock()
+
+	var serving sync.WaitGroup
+	serving.Go(func() { serve(termCtx, term) })
+	e.keepLease(termCtx, leaseID)
+	e.stopLeading()
+	endTerm()
+	serving.Wait()
+	e.log.Info("no longer leading", "token", term.Token)
+
+	// Others need not wait for the lease to lapse.
+	revokeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), revokeTimeout.Duration())
+	defer cancel()
+	if err := e.store.RevokeLease(revokeCtx, leaseID); err != nil {
+		e.log.Debug("lease not revoked", "lease", leaseID, "error", err)
+	}
+}
+
+// stopLeading notes that the term has ended.
+func (e *Elector) stopLeading() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.leading, e.endTerm = false, nil
+	e.observed.clearLeader()
+}
+
+// pause waits for a while, or until ctx ends.
+func (e *Elector) pause(ctx context.Context, d clock.Micros) {
+	select {
+	case <-ctx.Done():
+	case <-e.clock.After(d.Duration()):
+	}
+}
