--- /dev/null
+++ b/store/transaction.go
@@ -0,0 +1,70 @@
+package store
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+
+	"cedardoor/wire"
+)
+
+// noSuchLease is how the service refuses a transaction that names a lease that has ended.
+const noSuchLease = "no such lease"
+
+// Commit runs a transaction and gives the revision at which it was applied. Its
+// error is a *Conflict when conditions failed.
+func (c *Client) Commit(ctx context.Context, priority Priority, txn wire.Txn) (revision uint64, err error) {
+	defer annotate(&err, "commit", txnTarget(&txn))
+	if err := c.budget.admit(ctx, priority, len(txn.Operations)); err != nil {
+		return 0, err
+	}
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
+	if txn.Conditions == nil {
+		txn.Conditions = []wire.Condition{}
+	}
+	if txn.Operations == nil {
+		txn.Operations = []wire.Operation{}
+	}
+	status, raw, err := c.request(ctx, http.MethodPost, wire.PathCommit, txn)
+	if err != nil {
+		return 0, err
+	}
+	switch status {
+	case http.StatusOK:
+		return c.decodeApplied(raw)
+	case http.StatusConflict:
+		return decodeConflict(raw)
+	case http.StatusBadRequest:
+		return 0, decodeBadTransaction(raw)
+	}
+	return 0, unexpectedStatus(status, raw)
+}
+
+// decodeApplied reads the response to a transaction that was applied.
+func (c *Client) decodeApplied(raw []byte) (revision uint64, err error) {
+	var response wire.TxnResponse
+	if err := decode(raw, &response); err != nil {
+		return 0, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
+	}
+	c.observeRevision(response.Revision)
+	return response.Revision, nil
+}
+
+// decodeConflict reads the response to a transaction whose conditions failed.
+func decodeConflict(raw []byte) (revision uint64, err error) {
+	var response wire.TxnResponse
+	if err := decode(raw, &response); err != nil {
+		return 0, err
+	}
+	return response.Revision, &Conflict{Failed: response.Failed}
+}
+
+// decodeBadTransaction tells why the service would not take a transaction.
+func decodeBadTransaction(raw []byte) error {
+	var response wire.Error
+	if wire.Unmarshal(raw, &response) == nil && response.Error == noSuchLease {
+		return ErrNoLease
+	}
+	return fmt.Errorf("%w: %.120q", ErrMalformed, raw)
+}
--- /dev/null
+++ b/store/watch.go
@@ -0,0 +1,66 @@
+package store
+
+import (
+	"context"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"cedardoor/clock"
+	"cedardoor/wire"
+)
+
+// watchGrace is how much longer than it blocks a watch may take.
+const watchGrace = 5 * time.Second
+
+// Watch waits for changes after a revision; ErrCompacted asks the caller to list again.
+func (c *Client) Watch(ctx context.Context, prefix string, since uint64, block clock.Micros) (changes wire.WatchResponse, err error) {
+	defer annotate(&err, "watch", prefix)
+	if err := c.budget.admit(ctx, Urgent, 0); err != nil {
+		return changes, err
+	}
+	// A watch stays open through an outage: the timeout is only there against a connection that is lost.
+	ctx, cancel := context.WithTimeout(ctx, block.Duration()+watchGrace)
+	defer cancel()
+	return c.decodeChanges(c.watchRequest(ctx, http.MethodGet, changesPath(prefix, since, block), nil))
+}
+
+// ChangesSince gives what has changed after a revision, without waiting;
+// ErrCompacted asks the caller to list again.
+func (c *Client) ChangesSince(ctx context.Context, prefix string, since uint64) (changes wire.WatchResponse, err error) {
+	defer annotate(&err, "read changes of", prefix)
+	if err := c.budget.admit(ctx, Urgent, 0); err != nil {
+		return changes, err
+	}
+	return c.decodeChanges(c.request(ctx, http.MethodGet, changesPath(prefix, since, 0), nil))
+}
+
+// changesPath is the path that reads the changes of keys with a prefix after a
+// revision, and waits for the first one up to block.
+func changesPath(prefix string, since uint64, block clock.Micros) string {
+	query := url.Values{
+		paramPrefix:  {prefix},
+		paramSince:   {strconv.FormatUint(since, 10)},
+		paramBlockMS: {strconv.FormatInt(int64(block/clock.Millisecond), 10)},
+	}
+	return wire.PathChanges + "?" + query.Encode()
+}
+
+// decodeChanges reads the response to a request for changes.
+func (c *Client) decodeChanges(status int, raw []byte, err error) (wire.WatchResponse, error) {
+	var changes wire.WatchResponse
+	switch {
+	case err != nil:
+		return changes, err
+	case status == http.StatusGone:
+		return changes, ErrCompacted
+	case status != http.StatusOK:
+		return changes, unexpectedStatus(status, raw)
+	}
+	if err := decode(raw, &changes); err != nil {
+		return changes, err
+	}
+	c.observeRevision(changes.Revision)
+	return changes, nil
+}
