--- /dev/null
+++ b/store/chunk.go
@@ -0,0 +1,127 @@
+package store
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// TasksPerChunk is how many tasks one record holds: 120 rows of at most about 30
+// bytes in JSON form and as many machine names stay under the smallest value limit.
+const TasksPerChunk = 120
+
+// TaskAttempt is a task's recorded attempt: an empty Machine means that the task waits.
+type TaskAttempt struct {
+	Index       int
+	Attempt     uint64
+	Machine     string
+	Incarnation uint64
+}
+
+// ChunkRecord holds the attempts and results of up to TasksPerChunk tasks.
+type ChunkRecord struct {
+	Nonce string `msgpack:"w"`
+	// Done is a bitmap of the tasks that are done, as hexadecimal digits; the lowest bit
+	// of the first digit is the first task's.
+	Done     string   `msgpack:"d"`
+	Machines []string `msgpack:"h"`
+	// Attempts has a row for each task with an attempt; see the columns below.
+	Attempts [][]int64 `msgpack:"r"`
+}
+
+// The columns of ChunkRecord.Attempts. The machine is an index into Machines, or
+// noMachine for a task that waits after an attempt.
+const (
+	columnIndex = iota
+	columnAttempt
+	columnMachine
+	columnIncarnation
+	columns
+)
+
+// noMachine stands for the machine of a task that waits.
+const noMachine = -1
+
+// tasksPerDigit is how many tasks a hexadecimal digit of the bitmap holds.
+const tasksPerDigit = 4
+
+// NewChunkRecord builds a chunk's record. Indexes count from the chunk's first task.
+func NewChunkRecord(nonce string, done []bool, attempts []TaskAttempt) ChunkRecord {
+	record := ChunkRecord{Nonce: nonce, Done: encodeBitmap(done), Machines: []string{}, Attempts: make([][]int64, 0, len(attempts))}
+	machineIndex := map[string]int64{"": noMachine}
+	for _, attempt := range attempts {
+		index, known := machineIndex[attempt.Machine]
+		if !known {
+			index = int64(len(record.Machines))
+			machineIndex[attempt.Machine] = index
+			record.Machines = append(record.Machines, attempt.Machine)
+		}
+		record.Attempts = append(record.Attempts, []int64{int64(attempt.Index), int64(attempt.Attempt), index, int64(attempt.Incarnation)})
+	}
+	return record
+}
+
+// Decode is the inverse of NewChunkRecord for a chunk of n tasks.
+func (record ChunkRecord) Decode(n int) (done []bool, attempts []TaskAttempt, err error) {
+	done, err = decodeBitmap(record.Done, n)
+	if err != nil {
+		return nil, nil, err
+	}
+	for _, row := range record.Attempts {
+		if !record.validRow(row, n) {
+			return nil, nil, fmt.Errorf("chunk row %v", row)
+		}
+		attempt := TaskAttempt{Index: int(row[columnIndex]), Attempt: uint64(row[columnAttempt]), Incarnation: uint64(row[columnIncarnation])}
+		if machine := row[columnMachine]; machine != noMachine {
+			attempt.Machine = record.Machines[machine]
+		}
+		attempts = append(attempts, attempt)
+	}
+	return done, attempts, nil
+}
+
+// validRow tells whether a row is one of a chunk of n tasks.
+func (record ChunkRecord) validRow(row []int64, n int) bool {
+	return len(row) == columns &&
+		row[columnIndex] >= 0 && row[columnIndex] < int64(n) &&
+		row[columnAttempt] >= 0 &&
+		row[columnMachine] >= noMachine && row[columnMachine] < int64(len(record.Machines)) &&
+		row[columnIncarnation] >= 0
+}
+
+// encodeBitmap writes which tasks are done as hexadecimal digits.
+func encodeBitmap(done []bool) string {
+	var digits strings.Builder
+	for i := 0; i < len(done); i += tasksPerDigit {
+		digit := 0
+		for bit := range tasksPerDigit {
+			if i+bit < len(done) && done[i+bit] {
+				digit |= 1 << bit
+			}
+		}
+		digits.WriteString(strconv.FormatInt(int64(digit), 16))
+	}
+	return digits.String()
+}
+
+// decodeBitmap is the inverse of encodeBitmap for n tasks.
+func decodeBitmap(digits string, n int) ([]bool, error) {
+	done := make([]bool, n)
+	for i, c := range digits {
+		digit, err := strconv.ParseInt(string(c), 16, 8)
+		if err != nil {
+			return nil, fmt.Errorf("chunk bitmap: %w", err)
+		}
+		for bit := range tasksPerDigit {
+			if digit&(1<<bit) == 0 {
+				continue
+			}
+			task := i*tasksPerDigit + bit
+			if task >= n {
+				return nil, fmt.Errorf("chunk bitmap: task %d of %d", task, n)
+			}
+			done[task] = true
+		}
+	}
+	return done, nil
+}
--- a/store/records_test.go
+++ b/store/chunk_test.go
@@ -10,27 +10,27 @@
 
 func TestChunkRoundTripAndSize(t *testing.T) {
 	done := make([]bool, TasksPerChunk)
-	var runs []TaskAttempt
+	var attempts []TaskAttempt
 	for i := range done {
 		if i%3 == 0 {
 			done[i] = true
 			continue
 		}
-		p := TaskAttempt{Index: i, Attempt: 123456}
+		attempt := TaskAttempt{Index: i, Attempt: 123456}
 		if i%3 == 1 {
-			p.Machine, p.Incarnation = fmt.Sprintf("n-%09d", i), 98765
+			attempt.Machine, attempt.Incarnation = fmt.Sprintf("n-%09d", i), 98765
 		}
-		runs = append(runs, p)
+		attempts = append(attempts, attempt)
 	}
-	rec := NewChunkRecord("1234567.890123", done, runs)
-	gotDone, gotRuns, err := rec.Decode(TasksPerChunk)
+	record := NewChunkRecord("1234567.890123", done, attempts)
+	gotDone, gotAttempts, err := record.Decode(TasksPerChunk)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(done, gotDone) + cmp.Diff(runs, gotRuns); diff != "" {
+	if diff := cmp.Diff(done, gotDone) + cmp.Diff(attempts, gotAttempts); diff != "" {
 		t.Error(diff)
 	}
-	raw, err := json.Marshal(rec)
+	raw, err := json.Marshal(record)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,12 +39,12 @@
 	}
 }
 
-func TestUnpackRefusesNonsense(t *testing.T) {
-	for _, rec := range []ChunkRecord{
+func TestChunkDecodeRejectsInvalidRecords(t *testing.T) {
+	for _, record := range []ChunkRecord{
 		{Done: "f"}, {Done: "z"}, {Attempts: [][]int64{{0, 1, 0, 1}}}, {Attempts: [][]int64{{5, 1, -1, 0}}}, {Attempts: [][]int64{{0, 1}}},
 	} {
-		if _, _, err := rec.Decode(2); err == nil {
-			t.Errorf("%+v: no error", rec)
+		if _, _, err := record.Decode(2); err == nil {
+			t.Errorf("%+v: no error", record)
 		}
 	}
 }
--- a/store/golden_test.go
+++ b/store/golden_test.go
@@ -18,7 +18,7 @@
 	spec := wire.Spec{UID: "j-17", Class: "nightly", Team: "orders", Kind: wire.KindBatch, Priority: "high", Tasks: 3, Cores: 1.5, Accelerators: 1, RAM: 2.25,
 		Image: "b-1", ImageGB: 0.5, MachineTypes: []string{"m1"}, Zone: "north", SameZone: true, Spread: true, Preemptible: true, ExpectedS: 30,
 		CheckpointIntervalS: 10, CheckpointGraceS: 2, DeadlineS: &due}
-	over := FinalRecord{Status: wire.JobDone, Tasks: 3, Nonce: "9.4", Team: "orders", Cores: 1.5, Accelerators: 1, RAM: 2.25}
+	final := FinalRecord{Status: wire.JobDone, Tasks: 3, Nonce: "9.4", Team: "orders", Cores: 1.5, Accelerators: 1, RAM: 2.25}
 	done := make([]bool, TasksPerChunk)
 	done[0], done[5], done[119] = true, true, true
 	return map[string]any{
@@ -26,8 +26,8 @@
 		"token":         TokenRecord{Token: 41, Nonce: "node-a.1.2"},
 		"job":           JobRecord{Spec: spec, AcceptedUS: 1_700_000_000_000_001, Node: "node-b"},
 		"job_least":     JobRecord{Spec: wire.Spec{UID: "j-1", Tasks: 1}},
-		"job_over":      JobRecord{Spec: wire.Spec{UID: "j-17"}, AcceptedUS: 1_700_000_000_000_001, Final: &over},
-		"over":          over,
+		"job_over":      JobRecord{Spec: wire.Spec{UID: "j-17"}, AcceptedUS: 1_700_000_000_000_001, Final: &final},
+		"over":          final,
 		"over_of_spec":  NewFinalRecord(&spec, wire.JobCancelled, "9.5"),
 		"chunk":         NewChunkRecord("9.4", done, []TaskAttempt{{Index: 1, Attempt: 2, Machine: "h-1", Incarnation: 7}, {Index: 2, Attempt: 1}, {Index: 118, Attempt: 3, Machine: "h-2", Incarnation: 1}}),
 		"chunk_empty":   NewChunkRecord("9.4", make([]bool, 3), nil),
@@ -71,13 +71,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		over, err := FinalStateIn(raw)
+		final, err := FinalStateIn(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := ""
-		if over != nil {
-			got = over.Status
+		if final != nil {
+			got = final.Status
 		}
 		if got != want {
 			t.Errorf("%s: final state %q, want %q", name, got, want)
