--- a/gap_test.go
+++ b/gap_test.go
@@ -161,22 +161,22 @@
 		t.Run(name, func(t *testing.T) {
 			s, nodes, l, _ := gap(t)
 			s.first = nodes[0]
-			o := peer.Outage{Asked: true, Lead: l.term.Revision, Epoch: l.syncedRevision()}
+			o := peer.AttestationRequest{Requested: true, LeaderRevision: l.term.Revision, KnownRevision: l.syncedRevision()}
 			s.state.Refuse("", true)
-			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: o}); !r.Word.Attests {
+			if r := nodes[1].answerPeer(t.Context(), peer.Request{Attestation: o}); !r.Attestation.Attested {
 				t.Fatal("does not attest though it can vouch")
 			}
 			s.state.Refuse("", false)
-			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: o}); r.Word.Attests {
+			if r := nodes[1].answerPeer(t.Context(), peer.Request{Attestation: o}); r.Attestation.Attested {
 				t.Fatal("attests though the state service serves it")
 			}
 			n := mod(s, nodes[1])
 			s.state.Refuse("", true)
-			if r := n.answerPeer(t.Context(), peer.Ask{Outage: o}); r.Word.Attests {
-				t.Errorf("attests, with cancels %v", r.Word.Cancelled)
+			if r := n.answerPeer(t.Context(), peer.Request{Attestation: o}); r.Attestation.Attested {
+				t.Errorf("attests, with cancels %v", r.Attestation.Cancelled)
 			}
-			// An old form of the question, or none, is no question at all.
-			if r := nodes[2].answerPeer(t.Context(), peer.Ask{}); r.Word.Attests {
+			// An old form of the request, or none, asks for no attestation.
+			if r := nodes[2].answerPeer(t.Context(), peer.Request{}); r.Attestation.Attested {
 				t.Error("attests unasked")
 			}
 		})
@@ -239,7 +239,7 @@
 	}
 	s.state.Refuse(nodes[0].cfg.Node, false)
 	// Repeated, of a job that is not known, and of one that was not cancelled.
-	nodes[0].answerPeer(t.Context(), peer.Ask{Cancelled: []string{"j-1", "j-99", "j-2"}})
+	nodes[0].answerPeer(t.Context(), peer.Request{CancelHints: []string{"j-1", "j-99", "j-2"}})
 	for len(w.Live()) != 0 {
 		l.dispatch(t.Context()) // as the loop does when the command before has landed
 		runtime.Gosched()
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -1335,9 +1335,9 @@
 	l := peer.NewLink(ln.Addr().String())
 	asked := func(after string) {
 		t.Helper()
-		r, err := l.Ask(t.Context(), peer.Ask{Method: http.MethodGet, Path: wire.PathJobs + "/j-1"})
-		if err != nil || r.Status != http.StatusOK {
-			t.Errorf("after %s: %+v, %v", after, r.Status, err)
+		r, err := l.Call(t.Context(), peer.Request{User: peer.UserRequest{Method: http.MethodGet, Path: wire.PathJobs + "/j-1"}})
+		if err != nil || r.User.Status != http.StatusOK {
+			t.Errorf("after %s: %+v, %v", after, r.User.Status, err)
 		}
 	}
 	encode := func(v any) []byte {
@@ -1347,8 +1347,13 @@
 		}
 		return buf.Bytes()
 	}
-	whole := encode(peer.Ask{Method: http.MethodGet, Path: wire.PathJobs + "/j-1"})
-	huge := encode(peer.Ask{Method: http.MethodPost, Path: wire.PathJobs, Body: bytes.Repeat([]byte{1}, 100<<10)})
+	// request has the part of a request that names a user's, as it travels.
+	type request struct {
+		Method, Path string
+		Body         []byte
+	}
+	whole := encode(request{Method: http.MethodGet, Path: wire.PathJobs + "/j-1"})
+	huge := encode(request{Method: http.MethodPost, Path: wire.PathJobs, Body: bytes.Repeat([]byte{1}, 100<<10)})
 	asked("nothing")
 	for name, raw := range map[string][]byte{
 		"cut short": whole[:len(whole)-4], "cut in its type": whole[:9], "too large": huge, "a length without end": bytes.Repeat([]byte{0xff}, 64),
@@ -1368,10 +1373,10 @@
 		conn.Close()
 		asked(name)
 	}
-	for _, a := range []peer.Ask{{Path: "x"}, {Path: "*", Method: "GET"}, {Path: "http://[", Method: "GET"}, {Path: "/v2/runs/%zz", Method: "GET"},
+	for _, a := range []peer.UserRequest{{Path: "x"}, {Path: "*", Method: "GET"}, {Path: "http://[", Method: "GET"}, {Path: "/v2/runs/%zz", Method: "GET"},
 		{Path: "/v2/runs", Method: "A B"}, {Path: "//", Method: "OPTIONS"}, {Path: "host:1", Method: http.MethodConnect}, {Path: "?", Method: http.MethodPost, Body: []byte{0xc1}}} {
-		if r, err := l.Ask(t.Context(), a); err != nil || r.Status == http.StatusOK || r.Status == http.StatusCreated {
-			t.Errorf("%+v: answered %d, %v", a, r.Status, err)
+		if r, err := l.Call(t.Context(), peer.Request{User: a}); err != nil || r.User.Status == http.StatusOK || r.User.Status == http.StatusCreated {
+			t.Errorf("%+v: answered %d, %v", a, r.User.Status, err)
 		}
 		asked(a.Path)
 	}
--- a/operators.go
+++ b/operators.go
@@ -161,14 +161,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	reply, err := link.Ask(ctx, peer.Ask{Report: peer.ReportRecovery})
+	response, err := link.Call(ctx, peer.Request{Report: peer.ReportRecovery})
 	if err != nil {
 		return r, err
 	}
-	if len(reply.Report) == 0 {
+	if len(response.Report) == 0 {
 		return r, errNoLeader
 	}
-	if err := json.Unmarshal(reply.Report, &r); err != nil {
+	if err := json.Unmarshal(response.Report, &r); err != nil {
 		return r, fmt.Errorf("recovery of %s: %w", leader, err)
 	}
 	r.Leader = leader
@@ -176,7 +176,7 @@
 }
 
 // encodedReport answers another controller that serves operators: with nothing, unless this one leads.
-func (s *Service) encodedReport(kind string) []byte {
+func (s *Service) encodedReport(kind peer.ReportKind) []byte {
 	l := s.current.Load()
 	if l == nil || kind != peer.ReportRecovery {
 		return nil
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -48,19 +48,19 @@
 	}
 )
 
-func goldenAsks() []Ask {
-	return []Ask{
-		{Outage: Outage{Asked: true, Lead: 41, Epoch: 77}},
-		{Cancelled: []string{"j-3", "j-4"}},
-		{Counts: []string{"j-5"}},
-		{Method: "POST", Path: "/v2/runs", Body: []byte("body")},
-		{Teams: true, TeamsAfter: "orders"},
+func goldenRequests() []Request {
+	return []Request{
+		{Attestation: AttestationRequest{Requested: true, LeaderRevision: 41, KnownRevision: 77}},
+		{CancelHints: []string{"j-3", "j-4"}},
+		{CountsOf: []string{"j-5"}},
+		{User: UserRequest{Method: "POST", Path: "/v2/runs", Body: []byte("body")}},
+		{Teams: TeamsRequest{Requested: true, After: "orders"}},
 		{Report: ReportRecovery},
 		{},
 	}
 }
 
-func releasedAsks() []releasedAsk {
+func releasedRequests() []releasedAsk {
 	return []releasedAsk{
 		{Outage: releasedOutage{Asked: true, Lead: 41, Epoch: 77}},
 		{Cancelled: []string{"j-3", "j-4"}},
@@ -72,18 +72,18 @@
 	}
 }
 
-func goldenReplies() []Reply {
-	return []Reply{
-		{Word: Word{Attests: true, Cancelled: []string{"j-3"}}},
+func goldenResponses() []Response {
+	return []Response{
+		{Attestation: Attestation{Attested: true, Cancelled: []string{"j-3"}}},
 		{Counts: map[string][2]int{"j-5": {2, 3}}},
-		{Status: 200, Body: []byte("answer"), Epoch: 78},
-		{Teams: []byte("page")},
+		{User: UserResponse{Status: 200, Body: []byte("answer"), CancelRevision: 78}},
+		{TeamsPage: []byte("page")},
 		{Report: []byte("{}")},
 		{},
 	}
 }
 
-func releasedReplies() []releasedReply {
+func releasedResponses() []releasedReply {
 	return []releasedReply{
 		{Word: releasedWord{Attests: true, Cancelled: []string{"j-3"}}},
 		{Counts: map[string][2]int{"j-5": {2, 3}}},
@@ -146,18 +146,31 @@
 	}
 }
 
-// TestGoldenAsks reads the questions that release f8c9f67 wrote, and has it read those of this one.
-func TestGoldenAsks(t *testing.T) {
-	want := goldenAsks()
-	same(t, "recorded questions", unstream[Ask](t, recorded(t, "asks"), len(want)), want)
-	same(t, "questions as the release reads them", unstream[releasedAsk](t, stream(t, want), len(want)), releasedAsks())
+// converted maps values as a connection does at its edge.
+func converted[From, To any](values []From, convert func(*From) To) []To {
+	out := make([]To, len(values))
+	for i := range values {
+		out[i] = convert(&values[i])
+	}
+	return out
+}
+
+// TestGoldenRequests reads the requests that release f8c9f67 wrote, and has it read those of this one.
+func TestGoldenRequests(t *testing.T) {
+	want := goldenRequests()
+	received := unstream[wireRequest](t, recorded(t, "asks"), len(want))
+	same(t, "recorded requests", converted(received, (*wireRequest).toRequest), want)
+	sent := stream(t, converted(want, (*Request).toWire))
+	same(t, "requests as the release reads them", unstream[releasedAsk](t, sent, len(want)), releasedRequests())
 }
 
-// TestGoldenReplies does the same for replies.
-func TestGoldenReplies(t *testing.T) {
-	want := goldenReplies()
-	same(t, "recorded replies", unstream[Reply](t, recorded(t, "replies"), len(want)), want)
-	same(t, "replies as the release reads them", unstream[releasedReply](t, stream(t, want), len(want)), releasedReplies())
+// TestGoldenResponses does the same for responses.
+func TestGoldenResponses(t *testing.T) {
+	want := goldenResponses()
+	received := unstream[wireResponse](t, recorded(t, "replies"), len(want))
+	same(t, "recorded responses", converted(received, (*wireResponse).toResponse), want)
+	sent := stream(t, converted(want, (*Response).toWire))
+	same(t, "responses as the release reads them", unstream[releasedReply](t, sent, len(want)), releasedResponses())
 }
 
 // TestGoldenTeamsPage does the same for the page of teams, which travels encoded by itself.
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -19,8 +19,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		defer close(done)
-		Serve(ctx, ln, func(_ context.Context, a Ask) Reply {
-			return Reply{Word: Word{Attests: a.Outage.Asked, Cancelled: []string{"j-2"}}, Counts: map[string][2]int{a.Counts[0]: {4, 2}}}
+		Serve(ctx, ln, func(_ context.Context, a Request) Response {
+			return Response{Attestation: Attestation{Attested: a.Attestation.Requested, Cancelled: []string{"j-2"}}, Counts: map[string][2]int{a.CountsOf[0]: {4, 2}}}
 		},
 			slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}()
@@ -28,8 +28,8 @@
 	l := NewLink(ln.Addr().String())
 	ask := func() {
 		t.Helper()
-		r, err := l.Ask(t.Context(), Ask{Outage: Outage{Asked: true}, Counts: []string{"j-1"}})
-		if err != nil || !r.Word.Attests || len(r.Word.Cancelled) != 1 || r.Counts["j-1"] != [2]int{4, 2} {
+		r, err := l.Call(t.Context(), Request{Attestation: AttestationRequest{Requested: true}, CountsOf: []string{"j-1"}})
+		if err != nil || !r.Attestation.Attested || len(r.Attestation.Cancelled) != 1 || r.Counts["j-1"] != [2]int{4, 2} {
 			t.Fatalf("reply %+v, %v", r, err)
 		}
 	}
@@ -81,7 +81,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(t.Context(), 40*time.Millisecond)
 			defer cancel()
-			_, err := l.Ask(ctx, Ask{Outage: Outage{Asked: true}})
+			_, err := l.Call(ctx, Request{Attestation: AttestationRequest{Requested: true}})
 			failed <- err
 		}()
 	}
--- a/service.go
+++ b/service.go
@@ -196,48 +196,54 @@
 	return ""
 }
 
-// answerPeer answers another controller's question.
-func (s *Service) answerPeer(ctx context.Context, a peer.Ask) peer.Reply {
-	var r peer.Reply
-	if a.Outage.Asked {
-		r.Word = s.attest(ctx, a.Outage)
+// answerPeer serves another controller's request.
+func (s *Service) answerPeer(ctx context.Context, request peer.Request) peer.Response {
+	var response peer.Response
+	if request.Attestation.Requested {
+		response.Attestation = s.attest(ctx, request.Attestation)
 	}
-	if l := s.current.Load(); l != nil && len(a.Cancelled) > 0 {
-		l.hintCancelled(a.Cancelled)
+	if l := s.current.Load(); l != nil && len(request.CancelHints) > 0 {
+		l.hintCancelled(request.CancelHints)
 	}
-	if len(a.Counts) > 0 {
+	if len(request.CountsOf) > 0 {
 		if l := s.current.Load(); l != nil {
-			r.Counts = l.counts(a.Counts)
+			response.Counts = l.counts(request.CountsOf)
 		}
 	}
-	if a.Teams {
-		r.Teams = s.teamsPage(a.TeamsAfter)
+	if request.Teams.Requested {
+		response.TeamsPage = s.teamsPage(request.Teams.After)
 	}
-	if a.Report != "" {
-		r.Report = s.encodedReport(a.Report)
+	if request.Report != "" {
+		response.Report = s.encodedReport(request.Report)
 	}
-	if a.Path != "" && !s.store.Failing() {
-		req, err := http.NewRequestWithContext(api.Relayed(ctx), a.Method, a.Path, bytes.NewReader(a.Body))
-		if err != nil {
-			return r
-		}
-		k := api.NewKept()
-		s.router.ServeHTTP(k, req)
-		r.Status, r.Body = k.Status, k.Body.Bytes()
-		r.Epoch = s.users.Cancels.Epoch(api.JobOf(a.Path, a.Body))
+	if request.User.Path != "" && !s.store.Failing() {
+		response.User = s.serveRelayed(ctx, request.User)
+	}
+	return response
+}
+
+// serveRelayed serves a user's request that another controller has passed on.
+func (s *Service) serveRelayed(ctx context.Context, request peer.UserRequest) (response peer.UserResponse) {
+	req, err := http.NewRequestWithContext(api.Relayed(ctx), request.Method, request.Path, bytes.NewReader(request.Body))
+	if err != nil {
+		return response
 	}
-	return r
+	k := api.NewKept()
+	s.router.ServeHTTP(k, req)
+	response.Status, response.Body = k.Status, k.Body.Bytes()
+	response.CancelRevision = s.users.Cancels.Epoch(api.JobOf(request.Path, request.Body))
+	return response
 }
 
 // attest attests the outage to a leader that asks, if this node can: only when the
 // state service refuses it now, it knows of no later leader, and it can name
-// every cancel that the asker may have missed.
-func (s *Service) attest(ctx context.Context, o peer.Outage) (w peer.Word) {
-	if !s.store.Refused(ctx, 500*clock.Millisecond) || s.elector.NewestRevision() > o.Lead {
-		return w
+// every cancel that the sender may have missed.
+func (s *Service) attest(ctx context.Context, request peer.AttestationRequest) (attestation peer.Attestation) {
+	if !s.store.Refused(ctx, 500*clock.Millisecond) || s.elector.NewestRevision() > request.LeaderRevision {
+		return attestation
 	}
-	w.Cancelled, w.Attests = s.users.Cancels.Since(o.Epoch, s.store.FirstRevision())
-	return w
+	attestation.Cancelled, attestation.Attested = s.users.Cancels.Since(request.KnownRevision, s.store.FirstRevision())
+	return attestation
 }
 
 // relay asks the other controllers at once to serve a user's request, and
@@ -254,22 +260,22 @@
 	if api.IsAbort(path) {
 		s.users.Cancels.Expect(uid)
 	}
-	answers := make(chan peer.Reply, len(s.relayLinks))
+	responses := make(chan peer.UserResponse, len(s.relayLinks))
 	for _, l := range s.relayLinks {
 		go func() {
-			r, err := l.Ask(ctx, peer.Ask{Method: method, Path: path, Body: body})
+			response, err := l.Call(ctx, peer.Request{User: peer.UserRequest{Method: method, Path: path, Body: body}})
 			if err != nil {
-				r = peer.Reply{}
+				response = peer.Response{}
 			}
-			answers <- r
+			responses <- response.User
 		}()
 	}
 	for range s.relayLinks {
-		if r := <-answers; r.Status != 0 && r.Status != http.StatusServiceUnavailable {
-			if r.Epoch > 0 {
-				s.users.Cancels.Known(uid, r.Epoch)
+		if response := <-responses; response.Status != 0 && response.Status != http.StatusServiceUnavailable {
+			if response.CancelRevision > 0 {
+				s.users.Cancels.Known(uid, response.CancelRevision)
 			}
-			return r.Status, r.Body, true
+			return response.Status, response.Body, true
 		}
 	}
 	s.relayAfter.Store(int64(s.clock.Now() + clock.Second))
@@ -283,7 +289,7 @@
 	answers := make(chan bool, len(s.relayLinks))
 	for _, l := range s.relayLinks {
 		go func() {
-			_, err := l.Ask(ctx, peer.Ask{})
+			_, err := l.Call(ctx, peer.Request{})
 			answers <- err == nil
 		}()
 	}
@@ -296,30 +302,30 @@
 }
 
 // requestAttestations asks every other controller whether the state service refuses it too.
-// Only when all say so, freshly, can nobody else be leading. Each names with it
+// Only when all attest so, freshly, can nobody else be leading. Each names with it
 // what was cancelled through it since this leader last knew; their tasks are told
-// to stop before the word counts.
+// to stop before the attestations count.
 func (s *Service) requestAttestations(ctx context.Context) bool {
 	l := s.current.Load()
 	if l == nil {
 		return false
 	}
-	o := peer.Outage{Asked: true, Lead: l.term.Revision, Epoch: l.syncedRevision()}
-	cancelled, all := s.users.Cancels.Since(o.Epoch, s.store.FirstRevision())
-	answers := make(chan peer.Word, len(s.attestationLinks))
+	request := peer.AttestationRequest{Requested: true, LeaderRevision: l.term.Revision, KnownRevision: l.syncedRevision()}
+	cancelled, all := s.users.Cancels.Since(request.KnownRevision, s.store.FirstRevision())
+	attestations := make(chan peer.Attestation, len(s.attestationLinks))
 	for _, l := range s.attestationLinks {
 		go func() {
-			r, err := l.Ask(ctx, peer.Ask{Outage: o})
+			response, err := l.Call(ctx, peer.Request{Attestation: request})
 			if err != nil {
-				r = peer.Reply{}
+				response = peer.Response{}
 			}
-			answers <- r.Word
+			attestations <- response.Attestation
 		}()
 	}
 	for range s.attestationLinks {
-		w := <-answers
-		all = all && w.Attests
-		cancelled = append(cancelled, w.Cancelled...)
+		attestation := <-attestations
+		all = all && attestation.Attested
+		cancelled = append(cancelled, attestation.Cancelled...)
 	}
 	l.hintCancelled(cancelled)
 	return all
@@ -373,7 +379,7 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		if _, err := l.Ask(ctx, peer.Ask{Cancelled: uids}); err != nil {
+		if _, err := l.Call(ctx, peer.Request{CancelHints: uids}); err != nil {
 			s.log.Debug("tell the leader of cancels", "error", err)
 		}
 		cancel()
@@ -391,7 +397,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, 250*time.Millisecond)
 	defer cancel()
-	r, err := l.Ask(ctx, peer.Ask{Counts: uids})
+	r, err := l.Call(ctx, peer.Request{CountsOf: uids})
 	if err != nil {
 		return nil
 	}
--- a/teams.go
+++ b/teams.go
@@ -41,14 +41,14 @@
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	for after, more := "", true; more; {
-		reply, err := link.Ask(ctx, peer.Ask{Teams: true, TeamsAfter: after})
+		response, err := link.Call(ctx, peer.Request{Teams: peer.TeamsRequest{Requested: true, After: after}})
 		if err != nil {
 			return nil, err
 		}
-		if len(reply.Teams) == 0 {
+		if len(response.TeamsPage) == 0 {
 			return nil, errNoLeader
 		}
-		page, err := peer.DecodeTeamsPage(reply.Teams)
+		page, err := peer.DecodeTeamsPage(response.TeamsPage)
 		if err != nil {
 			return nil, err
 		}
