--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-func TestAskAndStrangers(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func TestCallAmongStrangers(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,22 +19,25 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		defer close(done)
-		Serve(ctx, ln, func(_ context.Context, a Request) Response {
-			return Response{Attestation: Attestation{Attested: a.Attestation.Requested, Cancelled: []string{"j-2"}}, Counts: map[string][2]int{a.CountsOf[0]: {4, 2}}}
-		},
-			slog.New(slog.NewTextHandler(io.Discard, nil)))
+		Serve(ctx, listener, func(_ context.Context, request Request) Response {
+			return Response{
+				Attestation: Attestation{Attested: request.Attestation.Requested, Cancelled: []string{"j-2"}},
+				Counts:      map[string][2]int{request.CountsOf[0]: {4, 2}},
+			}
+		}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}()
-	defer func() { cancel(); <-done }()
-	l := NewLink(ln.Addr().String())
-	ask := func() {
+	t.Cleanup(func() { cancel(); <-done })
+	link := NewLink(listener.Addr().String())
+	call := func() {
 		t.Helper()
-		r, err := l.Call(t.Context(), Request{Attestation: AttestationRequest{Requested: true}, CountsOf: []string{"j-1"}})
-		if err != nil || !r.Attestation.Attested || len(r.Attestation.Cancelled) != 1 || r.Counts["j-1"] != [2]int{4, 2} {
-			t.Fatalf("reply %+v, %v", r, err)
+		response, err := link.Call(t.Context(), Request{Attestation: AttestationRequest{Requested: true}, CountsOf: []string{"j-1"}})
+		attestation := response.Attestation
+		if err != nil || !attestation.Attested || len(attestation.Cancelled) != 1 || response.Counts["j-1"] != [2]int{4, 2} {
+			t.Fatalf("response %+v, %v", response, err)
 		}
 	}
-	ask()
-	stranger, err := net.Dial("tcp", ln.Addr().String())
+	call()
+	stranger, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,25 +48,25 @@
 	if n, err := stranger.Read(make([]byte, 1)); err == nil {
 		t.Errorf("stranger got %d bytes", n)
 	}
-	ask()
+	call()
 	// A link whose connection has gone stale makes a new one.
-	l.conn.Close()
-	ask()
+	link.conn.Close()
+	call()
 }
 
-// A controller that is silent takes connections and answers nothing. No question
-// to it waits beyond its own time, whoever asks before it, and no connection is
-// left behind.
-func TestSilentPeerHoldsNobody(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// An unresponsive controller takes connections and answers nothing. No call to it
+// waits beyond its own deadline, however many came before, and no connection is
+// left open.
+func TestCallsToUnresponsivePeerTimeOut(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	t.Cleanup(func() { listener.Close() })
 	ended := make(chan struct{}, 64)
 	go func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -74,29 +77,29 @@
 			}()
 		}
 	}()
-	l := NewLink(ln.Addr().String())
-	const asks = 12
-	failed := make(chan error, asks)
-	for range asks {
+	link := NewLink(listener.Addr().String())
+	const calls = 12
+	failed := make(chan error, calls)
+	for range calls {
 		go func() {
 			ctx, cancel := context.WithTimeout(t.Context(), 40*time.Millisecond)
 			defer cancel()
-			_, err := l.Call(ctx, Request{Attestation: AttestationRequest{Requested: true}})
+			_, err := link.Call(ctx, Request{Attestation: AttestationRequest{Requested: true}})
 			failed <- err
 		}()
 	}
 	limit := time.After(5 * time.Second)
-	for range asks {
+	for range calls {
 		select {
 		case err := <-failed:
 			if err == nil {
-				t.Error("a silent controller answered")
+				t.Error("an unresponsive controller answered")
 			}
 		case <-limit:
-			t.Fatal("a question to a silent controller still waits")
+			t.Fatal("a call to an unresponsive controller still waits")
 		}
 	}
-	if l.conn != nil {
+	if link.conn != nil {
 		t.Error("its connection is kept")
 	}
 	select {
