--- a/api/api.go
+++ b/api/api.go
@@ -247,7 +247,7 @@
 		return v, nil
 	}
 	if at == unreadable {
-		return wire.JobStatus{}, fmt.Errorf("record of %s: %w", uid, store.ErrBadAnswer)
+		return wire.JobStatus{}, fmt.Errorf("record of %s: %w", uid, store.ErrBadResponse)
 	}
 	u.mu.Lock()
 	rec, cached = u.over[uid]
@@ -262,7 +262,7 @@
 			return wire.JobStatus{}, err
 		}
 		if over == nil {
-			return wire.JobStatus{}, fmt.Errorf("record of %s: %w", uid, store.ErrBadAnswer)
+			return wire.JobStatus{}, fmt.Errorf("record of %s: %w", uid, store.ErrBadResponse)
 		}
 		return final(uid, over), nil
 	}
--- a/api/intake.go
+++ b/api/intake.go
@@ -173,7 +173,7 @@
 		}
 		if len(rest) == len(batch) {
 			for _, e := range batch {
-				e.done <- store.ErrBadAnswer
+				e.done <- store.ErrBadResponse
 			}
 			return
 		}
--- a/engine_test.go
+++ b/engine_test.go
@@ -769,7 +769,7 @@
 	s.advance(2 * time.Second)
 	l.resignIfIsolated(t.Context())
 	// The lease is dropped: the key goes.
-	for s.state.Value(store.KeyLead, nil) {
+	for s.state.Value(store.KeyLeader, nil) {
 		runtime.Gosched()
 	}
 }
@@ -791,7 +791,7 @@
 	}
 	s.advance(time.Second)
 	l.resignIfIsolated(t.Context())
-	for s.state.Value(store.KeyLead, nil) {
+	for s.state.Value(store.KeyLeader, nil) {
 		runtime.Gosched()
 	}
 }
--- a/gap_test.go
+++ b/gap_test.go
@@ -344,7 +344,7 @@
 		t.Fatal("gave up too early")
 	}
 	live(2 * time.Second)
-	for s.state.Value(store.KeyLead, nil) {
+	for s.state.Value(store.KeyLeader, nil) {
 		runtime.Gosched()
 	}
 	w := l.cfg.Facts.Workers
--- a/lead/campaign.go
+++ b/lead/campaign.go
@@ -29,14 +29,14 @@
 // awaitVacancy waits until nobody holds the leader key.
 func (e *Elector) awaitVacancy(ctx context.Context) error {
 	for ctx.Err() == nil {
-		row, found, err := e.store.Get(ctx, store.Vital, store.KeyLead)
+		row, found, err := e.store.Get(ctx, store.Vital, store.KeyLeader)
 		if err != nil {
 			return fmt.Errorf("read leader: %w", err)
 		}
 		if !found {
 			break
 		}
-		var record store.LeadRecord
+		var record store.LeaderRecord
 		if err := wire.Unmarshal(row.Value, &record); err != nil {
 			return fmt.Errorf("leader record: %w", err)
 		}
@@ -69,13 +69,13 @@
 
 // watchLeader waits until the leader key has changed since a revision, or a while has passed.
 func (e *Elector) watchLeader(ctx context.Context, since uint64) error {
-	changes, err := e.store.Watch(ctx, store.KeyLead, since, watchTimeout)
+	changes, err := e.store.Watch(ctx, store.KeyLeader, since, watchTimeout)
 	if err != nil && !errors.Is(err, store.ErrCompacted) {
 		e.clearLeader()
 		return fmt.Errorf("watch leader: %w", err)
 	}
 	for _, event := range changes.Events {
-		if event.Delete == store.KeyLead {
+		if event.Delete == store.KeyLeader {
 			e.clearLeader()
 		}
 	}
@@ -109,9 +109,9 @@
 	}
 	token, nonce := last.Token+1, e.campaignNonce()
 	revision, err := e.store.Commit(ctx, store.Vital, wire.Txn{
-		Conditions: []wire.Condition{{Key: store.KeyLead}, {Key: store.KeyToken, ModRevision: lastRevision}},
+		Conditions: []wire.Condition{{Key: store.KeyLeader}, {Key: store.KeyToken, ModRevision: lastRevision}},
 		Operations: []wire.Operation{
-			{Set: store.KeyLead, Value: store.LeadRecord{Node: e.node, Nonce: nonce}, Lease: leaseID},
+			{Set: store.KeyLeader, Value: store.LeaderRecord{Node: e.node, Nonce: nonce}, Lease: leaseID},
 			{Set: store.KeyToken, Value: store.TokenRecord{Token: token, Nonce: nonce}},
 		},
 	})
--- a/lead/token.go
+++ b/lead/token.go
@@ -32,7 +32,7 @@
 	raise := e.prepareRaise()
 	revision, err := e.store.Commit(ctx, store.Urgent, wire.Txn{
 		Conditions: []wire.Condition{
-			{Key: store.KeyLead, ModRevision: raise.leaderRevision},
+			{Key: store.KeyLeader, ModRevision: raise.leaderRevision},
 			{Key: store.KeyToken, ModRevision: raise.tokenRevision},
 		},
 		Operations: []wire.Operation{{Set: store.KeyToken, Value: store.TokenRecord{Token: raise.token, Nonce: raise.nonce}}},
--- a/loopback_test.go
+++ b/loopback_test.go
@@ -183,8 +183,8 @@
 
 // leads names the controller that the state service holds for the leader.
 func (l *loopback) leads() string {
-	var rec store.LeadRecord
-	if l.state.Value(store.KeyLead, &rec) {
+	var rec store.LeaderRecord
+	if l.state.Value(store.KeyLeader, &rec) {
 		return rec.Node
 	}
 	return l.names[0]
--- a/meetings_test.go
+++ b/meetings_test.go
@@ -1005,7 +1005,7 @@
 		s.advance(time.Second)
 		rep := w.Report()
 		if ans, ok := ga.Heartbeat(&rep); ok {
-			if !s.state.Value(store.KeyLead, nil) {
+			if !s.state.Value(store.KeyLeader, nil) {
 				t.Fatal("answers a heartbeat while another may lead")
 			}
 			w.Take(ans)
@@ -1420,8 +1420,8 @@
 			s.clk.Advance(500 * time.Millisecond)
 			r := <-ready
 			s.state.Deliver() // the first attempt, under a lease that was given up
-			var key store.LeadRecord
-			if !s.state.Value(store.KeyLead, &key) || key.Node != a.cfg.Node || r.Token <= before || r.Token != token() {
+			var key store.LeaderRecord
+			if !s.state.Value(store.KeyLeader, &key) || key.Node != a.cfg.Node || r.Token <= before || r.Token != token() {
 				t.Fatalf("leads under %d, on record are %d, %d before, and %q", r.Token, token(), before, key.Node)
 			}
 			tr.set(s.state)
--- a/recording.go
+++ b/recording.go
@@ -89,7 +89,7 @@
 // resolveConflict finds out why a transaction was refused: an earlier copy of it was applied, a job
 // was cancelled meanwhile, or the term is over. It gives false in the last case.
 func (l *leader) resolveConflict(ctx context.Context, tx *statewriter.Transaction, failedKeys []string) bool {
-	if slices.Contains(failedKeys, store.KeyLead) {
+	if slices.Contains(failedKeys, store.KeyLeader) {
 		l.log.Info("another controller leads")
 		return false
 	}
--- a/recover_test.go
+++ b/recover_test.go
@@ -297,7 +297,7 @@
 			}
 			s.write(b, store.JobKey("j-1"), whole)
 			s.resync(gb)
-			for s.state.Value(store.KeyLead, nil) { // it gives the lead up
+			for s.state.Value(store.KeyLeader, nil) { // it gives the lead up
 				runtime.Gosched()
 			}
 			s.kill(b)
--- a/rules_test.go
+++ b/rules_test.go
@@ -248,7 +248,7 @@
 		}
 	}
 	l.pass(t.Context())
-	for s.state.Value(store.KeyLead, nil) {
+	for s.state.Value(store.KeyLeader, nil) {
 		runtime.Gosched()
 	}
 	if len(s.cloud.Asked()) != 0 && len(s.cloud.Hosts()) == 0 {
--- a/scaling.go
+++ b/scaling.go
@@ -95,7 +95,7 @@
 // commitValue records a value under the leader's own record.
 func (l *leader) commitValue(ctx context.Context, priority store.Priority, key string, value any) (revision uint64, err error) {
 	return l.store.Commit(ctx, priority, wire.Txn{
-		Conditions: []wire.Condition{{Key: store.KeyLead, ModRevision: l.term.Revision}},
+		Conditions: []wire.Condition{{Key: store.KeyLeader, ModRevision: l.term.Revision}},
 		Operations: []wire.Operation{{Set: key, Value: value}},
 	})
 }
--- a/statewriter/writer.go
+++ b/statewriter/writer.go
@@ -198,7 +198,7 @@
 func (w *Writer) Next(table *jobs.Table, capacity Capacity, now clock.Micros) (next *Transaction, forgotten []*jobs.Job) {
 	w.takeDueResults(now)
 	tx := &Transaction{nonce: fmt.Sprintf("%d.%d", w.term, w.NextSequence()), shared: map[*jobs.SharedRecord]bool{}}
-	tx.Txn.Conditions = []wire.Condition{{Key: store.KeyLead, ModRevision: w.term}}
+	tx.Txn.Conditions = []wire.Condition{{Key: store.KeyLeader, ModRevision: w.term}}
 	spare, all := max(minDeferredOperations, capacity.SpareWrites()), w.txnOps
 	if w.smallTransactions > 0 {
 		w.smallTransactions--
--- a/store/errors.go
+++ b/store/errors.go
@@ -22,8 +22,8 @@
 	ErrMalformed = errors.New("state service calls the transaction malformed")
 	// ErrCompacted means that a watch began too far back.
 	ErrCompacted = errors.New("watch is too old")
-	// ErrBadAnswer means that the service's response could not be understood.
-	ErrBadAnswer = errors.New("bad answer from the state service")
+	// ErrBadResponse means that the service's response could not be understood.
+	ErrBadResponse = errors.New("bad answer from the state service")
 )
 
 // Conflict is a transaction whose conditions did not hold; nothing was applied.
--- a/store/golden_test.go
+++ b/store/golden_test.go
@@ -22,7 +22,7 @@
 	done := make([]bool, TasksPerChunk)
 	done[0], done[5], done[119] = true, true, true
 	return map[string]any{
-		"lead":          LeadRecord{Node: "node-a", Nonce: "node-a.1.2"},
+		"lead":          LeaderRecord{Node: "node-a", Nonce: "node-a.1.2"},
 		"token":         TokenRecord{Token: 41, Nonce: "node-a.1.2"},
 		"job":           JobRecord{Spec: spec, AcceptedUS: 1_700_000_000_000_001, Node: "node-b"},
 		"job_least":     JobRecord{Spec: wire.Spec{UID: "j-1", Tasks: 1}},
@@ -87,7 +87,7 @@
 
 // TestKeys holds the keys under which records are stored.
 func TestKeys(t *testing.T) {
-	got := []string{KeyLead, KeyToken, KeyCatalog, KeyDemand, JobKey("j-17"), FinalKey("j-17"), ChunkKey("j-17", 3), SharedKey(9, 4)}
+	got := []string{KeyLeader, KeyToken, KeyCatalog, KeyDemand, JobKey("j-17"), FinalKey("j-17"), ChunkKey("j-17", 3), SharedKey(9, 4)}
 	want := []string{"lead", "warrant", "catalog", "demand", "j/j-17", "f/j-17", "p/j-17/00003", "s/9.4"}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("keys %q, want %q", got, want)
@@ -100,7 +100,7 @@
 		record any
 		want   string
 	}{
-		{LeadRecord{}, "n w"},
+		{LeaderRecord{}, "n w"},
 		{TokenRecord{}, "t w"},
 		{JobRecord{}, "s a n o,omitempty"},
 		{SharedRecord{}, "w r"},
--- a/store/keys.go
+++ b/store/keys.go
@@ -12,7 +12,7 @@
 // has to read to the unfinished jobs. A job that is done is noted so in its record
 // under PrefixJob, by one change, and moves when there are changes to spare.
 const (
-	KeyLead        = "lead"
+	KeyLeader      = "lead"
 	KeyToken       = "warrant"
 	KeyCatalog     = "catalog"
 	KeyDemand      = "demand"
--- a/store/read.go
+++ b/store/read.go
@@ -97,6 +97,6 @@
 func (c *Client) Refused(ctx context.Context, timeout clock.Micros) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout.Duration())
 	defer cancel()
-	status, _, err := c.request(ctx, http.MethodGet, keyPath(KeyLead), nil)
+	status, _, err := c.request(ctx, http.MethodGet, keyPath(KeyLeader), nil)
 	return errors.Is(err, ErrRefused) && status == http.StatusServiceUnavailable
 }
--- a/store/records.go
+++ b/store/records.go
@@ -7,8 +7,8 @@
 	"cedardoor/wire"
 )
 
-// LeadRecord tells who leads. Its nonce marks the campaign that wrote it.
-type LeadRecord struct {
+// LeaderRecord tells who leads. Its nonce marks the campaign that wrote it.
+type LeaderRecord struct {
 	Node  string `msgpack:"n"`
 	Nonce string `msgpack:"w"`
 }
--- a/store/transport.go
+++ b/store/transport.go
@@ -70,7 +70,7 @@
 	case link.NotSent(err):
 		return 0, nil, fmt.Errorf("%w: %w", ErrRefused, err)
 	case errors.Is(err, link.ErrTooLarge):
-		return 0, nil, fmt.Errorf("%w: %w", ErrBadAnswer, err)
+		return 0, nil, fmt.Errorf("%w: %w", ErrBadResponse, err)
 	}
 	return 0, nil, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 }
@@ -78,12 +78,12 @@
 // decode reads the body of a response.
 func decode(raw []byte, v any) error {
 	if err := wire.Unmarshal(raw, v); err != nil {
-		return fmt.Errorf("%w: %w", ErrBadAnswer, err)
+		return fmt.Errorf("%w: %w", ErrBadResponse, err)
 	}
 	return nil
 }
 
 // unexpectedStatus is the error of a response with a status that its request does not have.
 func unexpectedStatus(status int, raw []byte) error {
-	return fmt.Errorf("%w: status %d: %.120q", ErrBadAnswer, status, raw)
+	return fmt.Errorf("%w: status %d: %.120q", ErrBadResponse, status, raw)
 }
