--- a/store/errors.go
+++ b/store/errors.go
@@ -12,10 +12,10 @@
 var (
 	// ErrRefused means that the service did not execute the request.
 	ErrRefused = errors.New("state service refused")
-	// ErrOverloaded goes with ErrRefused when the nodes together asked for too much at once.
+	// ErrOverloaded goes with ErrRefused when the nodes together requested too much at once.
 	ErrOverloaded = errors.New("too many requests")
 	// ErrOutcomeUnknown means that the request may have been executed, or still may be.
-	ErrOutcomeUnknown = errors.New("state service gave no answer")
+	ErrOutcomeUnknown = errors.New("no response from the state service")
 	// ErrNoLease means that a lease has ended.
 	ErrNoLease = errors.New("no such lease")
 	// ErrMalformed means that the service would not take a transaction as it is.
@@ -23,7 +23,7 @@
 	// ErrCompacted means that a watch began too far back.
 	ErrCompacted = errors.New("watch is too old")
 	// ErrBadResponse means that the service's response could not be understood.
-	ErrBadResponse = errors.New("bad answer from the state service")
+	ErrBadResponse = errors.New("bad response from the state service")
 )
 
 // Conflict is a transaction whose conditions did not hold; nothing was applied.
