--- a/store/golden_test.go
+++ b/store/golden_test.go
@@ -18,16 +18,16 @@
 	spec := wire.Spec{UID: "j-17", Class: "nightly", Team: "orders", Kind: wire.KindBatch, Priority: "high", Tasks: 3, Cores: 1.5, Accelerators: 1, RAM: 2.25,
 		Image: "b-1", ImageGB: 0.5, MachineTypes: []string{"m1"}, Zone: "north", SameZone: true, Spread: true, Preemptible: true, ExpectedS: 30,
 		CheckpointIntervalS: 10, CheckpointGraceS: 2, DeadlineS: &due}
-	over := FinalRecord{Status: wire.JobDone, Tasks: 3, Nonce: "9.4", Team: "orders", Cores: 1.5, Accelerators: 1, RAM: 2.25}
+	final := FinalRecord{Status: wire.JobDone, Tasks: 3, Nonce: "9.4", Team: "orders", Cores: 1.5, Accelerators: 1, RAM: 2.25}
 	done := make([]bool, TasksPerChunk)
 	done[0], done[5], done[119] = true, true, true
 	return map[string]any{
-		"lead":          LeadRecord{Node: "node-a", Nonce: "node-a.1.2"},
+		"lead":          LeaderRecord{Node: "node-a", Nonce: "node-a.1.2"},
 		"token":         TokenRecord{Token: 41, Nonce: "node-a.1.2"},
 		"job":           JobRecord{Spec: spec, AcceptedUS: 1_700_000_000_000_001, Node: "node-b"},
 		"job_least":     JobRecord{Spec: wire.Spec{UID: "j-1", Tasks: 1}},
-		"job_over":      JobRecord{Spec: wire.Spec{UID: "j-17"}, AcceptedUS: 1_700_000_000_000_001, Final: &over},
-		"over":          over,
+		"job_over":      JobRecord{Spec: wire.Spec{UID: "j-17"}, AcceptedUS: 1_700_000_000_000_001, Final: &final},
+		"over":          final,
 		"over_of_spec":  NewFinalRecord(&spec, wire.JobCancelled, "9.5"),
 		"chunk":         NewChunkRecord("9.4", done, []TaskAttempt{{Index: 1, Attempt: 2, Machine: "h-1", Incarnation: 7}, {Index: 2, Attempt: 1}, {Index: 118, Attempt: 3, Machine: "h-2", Incarnation: 1}}),
 		"chunk_empty":   NewChunkRecord("9.4", make([]bool, 3), nil),
@@ -71,13 +71,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		over, err := FinalStateIn(raw)
+		final, err := FinalStateIn(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got := ""
-		if over != nil {
-			got = over.Status
+		if final != nil {
+			got = final.Status
 		}
 		if got != want {
 			t.Errorf("%s: final state %q, want %q", name, got, want)
@@ -87,7 +87,7 @@
 
 // TestKeys holds the keys under which records are stored.
 func TestKeys(t *testing.T) {
-	got := []string{KeyLead, KeyToken, KeyCatalog, KeyDemand, JobKey("j-17"), FinalKey("j-17"), ChunkKey("j-17", 3), SharedKey(9, 4)}
+	got := []string{KeyLeader, KeyToken, KeyCatalog, KeyDemand, JobKey("j-17"), FinalKey("j-17"), ChunkKey("j-17", 3), SharedKey(9, 4)}
 	want := []string{"lead", "warrant", "catalog", "demand", "j/j-17", "f/j-17", "p/j-17/00003", "s/9.4"}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("keys %q, want %q", got, want)
@@ -100,7 +100,7 @@
 		record any
 		want   string
 	}{
-		{LeadRecord{}, "n w"},
+		{LeaderRecord{}, "n w"},
 		{TokenRecord{}, "t w"},
 		{JobRecord{}, "s a n o,omitempty"},
 		{SharedRecord{}, "w r"},
