--- a/api/api.go
+++ b/api/api.go
@@ -162,7 +162,7 @@
 	if after > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(after))
 	}
-	agent.Write(w, status, wire.Error{Error: why})
+	agent.WriteResponse(w, status, wire.Error{Error: why})
 }
 
 // unavailable answers at once that the request can't be taken now, and when to come back.
@@ -353,7 +353,7 @@
 	if verdict == http.StatusCreated {
 		err := u.taking().accept(ctx, store.JobRecord{Spec: spec, AcceptedUS: int64(u.Clock.Wall()), Node: u.Node})
 		if err == nil {
-			agent.Write(w, http.StatusCreated, wire.JobStatus{UID: uid, Status: wire.JobQueued})
+			agent.WriteResponse(w, http.StatusCreated, wire.JobStatus{UID: uid, Status: wire.JobQueued})
 			return http.StatusCreated
 		}
 		var conflict *store.Conflict
@@ -372,7 +372,7 @@
 	if uid != "" {
 		v, err := u.view(ctx, uid)
 		if err == nil {
-			agent.Write(w, http.StatusOK, v)
+			agent.WriteResponse(w, http.StatusOK, v)
 			return http.StatusOK
 		}
 		if !errors.Is(err, errUnknownJob) || verdict == http.StatusCreated {
@@ -464,7 +464,7 @@
 	v, err := u.view(ctx, uid)
 	switch {
 	case err == nil:
-		agent.Write(w, http.StatusOK, v)
+		agent.WriteResponse(w, http.StatusOK, v)
 	case errors.Is(err, errUnknownJob):
 		refuse(w, http.StatusNotFound, 0, "no such job")
 	default:
@@ -491,7 +491,7 @@
 			return
 		}
 		if over != nil {
-			agent.Write(w, http.StatusOK, wire.JobStatus{UID: uid, Status: over.Status})
+			agent.WriteResponse(w, http.StatusOK, wire.JobStatus{UID: uid, Status: over.Status})
 			return
 		}
 		var job store.JobRecord
@@ -512,7 +512,7 @@
 			if u.Cancelled != nil {
 				u.Cancelled(uid)
 			}
-			agent.Write(w, http.StatusOK, wire.JobStatus{UID: uid, Status: wire.JobCancelled})
+			agent.WriteResponse(w, http.StatusOK, wire.JobStatus{UID: uid, Status: wire.JobCancelled})
 			return
 		case !errors.As(err, &conflict):
 			if errors.Is(err, store.ErrRefused) {
--- a/bench_test.go
+++ b/bench_test.go
@@ -503,7 +503,7 @@
 			single(b)
 			b.ResetTimer()
 			for range b.N {
-				if _, _, err := cl.Do(b.Context(), ln.Addr().String(), do); err != nil {
+				if _, err := cl.SendCommands(b.Context(), ln.Addr().String(), do); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/commands.go
+++ b/commands.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 
+	"cedardoor/agent"
 	"cedardoor/clock"
 	"cedardoor/fleet"
 	"cedardoor/wire"
@@ -46,15 +47,15 @@
 
 // sendCommand sends one direct command and takes its outcome in.
 func (l *leader) sendCommand(ctx context.Context, command *fleet.InFlightCommand) {
-	report, outcome, err := l.requestCommand(ctx, command)
+	result, err := l.requestCommand(ctx, command)
 	if err != nil {
-		l.log.Debug("direct command failed", "machine", command.Machine.Name, "outcome", outcome, "error", err)
+		l.log.Debug("direct command failed", "machine", command.Machine.Name, "outcome", result.Outcome, "error", err)
 	}
 	now := l.clock.Now()
 	l.mu.Lock()
-	l.fleet.CommandCompleted(command, outcome)
+	l.fleet.CommandCompleted(command, result.Outcome)
 	l.dispatcher.Completed(command)
-	switch machine := command.Machine; {
+	switch machine, report := command.Machine, result.Report; {
 	case report != nil && report.Machine == machine.Name:
 		l.fleet.Acknowledged(machine)
 		events, _ := l.fleet.Report(now, report, false)
@@ -74,13 +75,13 @@
 
 // requestCommand sends a direct command, unless what it was computed by is over: what was computed
 // before this process paused must not go out after it.
-func (l *leader) requestCommand(ctx context.Context, command *fleet.InFlightCommand) (*wire.Heartbeat, fleet.Outcome, error) {
+func (l *leader) requestCommand(ctx context.Context, command *fleet.InFlightCommand) (agent.CommandResult, error) {
 	if !l.mayStillSend(command) {
-		return nil, fleet.OutcomeNotExecuted, errNotSent
+		return agent.CommandResult{Outcome: fleet.OutcomeNotExecuted}, errNotSent
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout.Duration())
 	defer cancel()
-	return l.workers.Do(ctx, command.Machine.Endpoint,
+	return l.workers.SendCommands(ctx, command.Machine.Endpoint,
 		wire.CommandRequest{Token: command.Token, Incarnation: command.Incarnation, Commands: command.Commands})
 }
 
@@ -118,7 +119,7 @@
 // probe asks a worker for its report and takes the answer in.
 func (l *leader) probe(ctx context.Context, machine *fleet.Machine, endpoint string, known wire.ReportVersion) {
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
-	report, err := l.workers.Show(probeCtx, endpoint)
+	report, err := l.workers.RequestReport(probeCtx, endpoint)
 	cancel()
 	now := l.clock.Now()
 	l.mu.Lock()
--- a/connlimit/listener.go
+++ b/connlimit/listener.go
@@ -45,7 +45,7 @@
 }
 
 // idle is how many connections to workers stand in the listener's part.
-func (o Outgoing) idle() int { return max(0, o.Workers.Open()-o.InUse) }
+func (o Outgoing) idle() int { return max(0, o.Workers.OpenConnections()-o.InUse) }
 
 // held is how many connections of users and workers there are.
 func (l *Listener) held() int {
@@ -60,7 +60,7 @@
 func (l *Listener) Short() bool {
 	open, most := l.held(), l.most-l.most/8
 	if open <= most && open+l.outgoing.idle() > most {
-		l.outgoing.Workers.CloseIdle()
+		l.outgoing.Workers.CloseIdleConnections()
 	}
 	return open > most
 }
@@ -92,7 +92,7 @@
 // there is no room.
 func (l *Listener) admit(c net.Conn) *trackedConn {
 	if idle := l.outgoing.idle(); idle > 0 && l.held()+idle >= l.most {
-		l.outgoing.Workers.CloseIdle()
+		l.outgoing.Workers.CloseIdleConnections()
 	}
 	l.mu.Lock()
 	var out *trackedConn
--- a/connlimit/listener_test.go
+++ b/connlimit/listener_test.go
@@ -124,19 +124,19 @@
 		const most = 16
 		in := scripted{make(chan net.Conn, most)}
 		limited := New(in, most, Outgoing{Workers: workers, InUse: 2, KeepIdle: 1}, clock.New(clockwork.NewFakeClock()), slog.New(slog.NewTextHandler(io.Discard, nil)))
-		workers.Short = limited.Full
+		workers.ConnectionsScarce = limited.Full
 		body, err := wire.Marshal(wire.Heartbeat{Machine: "n-1", Endpoint: "n-1:1", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ask := func() int {
 			for i := range 8 {
-				if _, err := workers.Show(t.Context(), fmt.Sprintf("n-%d:1", i)); err != nil {
+				if _, err := workers.RequestReport(t.Context(), fmt.Sprintf("n-%d:1", i)); err != nil {
 					t.Fatal(err)
 				}
 				synctest.Wait()
 			}
-			return workers.Open()
+			return workers.OpenConnections()
 		}
 		come := func(n int) {
 			for range n {
@@ -155,8 +155,8 @@
 			t.Fatalf("%d connections to workers are kept while there is room, want 8", got)
 		}
 		come(8) // 8 of 16, and 6 beyond the workers' own part
-		if limited.Short() || workers.Open() != 8 {
-			t.Errorf("short: %t, kept: %d", limited.Short(), workers.Open())
+		if limited.Short() || workers.OpenConnections() != 8 {
+			t.Errorf("short: %t, kept: %d", limited.Short(), workers.OpenConnections())
 		}
 		if got := ask(); got != 6 {
 			t.Errorf("%d are kept, want as many as leave a quarter free", got)
@@ -165,17 +165,17 @@
 		if got := ask(); got != 3 {
 			t.Errorf("%d are kept where others need the room soon, want their own part and one", got)
 		}
-		workers.Short = nil
+		workers.ConnectionsScarce = nil
 		if got := ask(); got != 8 {
 			t.Fatalf("%d connections to workers are kept, want 8", got)
 		}
-		if limited.Short() || workers.Open() != 0 {
-			t.Errorf("short: %t, with %d connections to workers idle", limited.Short(), workers.Open())
+		if limited.Short() || workers.OpenConnections() != 0 {
+			t.Errorf("short: %t, with %d connections to workers idle", limited.Short(), workers.OpenConnections())
 		}
 		ask()
 		come(5) // nobody is turned away while idle ones to workers are there
-		if workers.Open() != 0 || limited.refused != 0 || limited.open != most {
-			t.Errorf("%d connections to workers idle, %d held, %d turned away", workers.Open(), limited.open, limited.refused)
+		if workers.OpenConnections() != 0 || limited.refused != 0 || limited.open != most {
+			t.Errorf("%d connections to workers idle, %d held, %d turned away", workers.OpenConnections(), limited.open, limited.refused)
 		}
 	})
 }
--- a/service.go
+++ b/service.go
@@ -107,7 +107,7 @@
 	}
 	limited := connlimit.New(front, s.budget.Clients, connlimit.Outgoing{Workers: s.workers,
 		InUse: s.budget.Commands + s.budget.Questions, KeepIdle: s.budget.KeepIdle / 4}, s.clock, s.log)
-	s.workers.Short = limited.Full
+	s.workers.ConnectionsScarce = limited.Full
 	s.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(s, limited.Short))
 	srv := &http.Server{Handler: s.router, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
 		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug), ConnState: limited.ConnState}
