--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -169,11 +169,11 @@
 // orphan is what a report shows of a task that is not on the books.
 type orphan struct{ status string }
 
-func (u orphan) sign() recovery.Sign {
+func (u orphan) observation() recovery.Observation {
 	if u.status == wire.TaskEnded {
-		return recovery.SignEnded
+		return recovery.ObservedEnded
 	}
-	return recovery.SignRunning
+	return recovery.ObservedRunning
 }
 
 // Free is the room that nothing is booked on.
@@ -221,7 +221,7 @@
 	OnMachineChange func(m *Machine)
 	// DecideOrphan, if set, tells what follows for a task that a worker shows and that is not on
 	// the books. Where it is not set, such a task is stopped and forgotten.
-	DecideOrphan func(task TaskID, sign recovery.Sign) recovery.Decision
+	DecideOrphan func(task TaskID, observation recovery.Observation) recovery.Decision
 	// orphans is where tasks are that are shown and not on the books.
 	orphans map[TaskID]map[*Machine]bool
 	// Examined counts machines and bookings looked at, so that tests can bound the work.
@@ -911,7 +911,7 @@
 		if len(orders) >= maxCommands {
 			break
 		}
-		switch f.decideOrphan(k, m.orphans[k].sign()) {
+		switch f.decideOrphan(k, m.orphans[k].observation()) {
 		case recovery.Stop:
 			// It is stopped, then forgotten.
 			zero := 0.0
--- a/fleet/order_test.go
+++ b/fleet/order_test.go
@@ -75,8 +75,8 @@
 func (h history) play(order []int) (o outcome) {
 	f := New(lease, report, termToken, quota.NewLedger(nil))
 	f.SetCatalog(wire.Catalog{MachineTypes: []wire.MachineType{{SKU: "b", Cores: 8, RAM: 32}}})
-	f.DecideOrphan = func(_ TaskID, sign recovery.Sign) recovery.Decision {
-		return recovery.Decide(recovery.Case{Job: recovery.JobUnrecorded, Attempt: recovery.AttemptOther, Sign: sign})
+	f.DecideOrphan = func(_ TaskID, observation recovery.Observation) recovery.Decision {
+		return recovery.Decide(recovery.Case{Job: recovery.JobUnrecorded, Attempt: recovery.AttemptOther, Observation: observation})
 	}
 	m := f.Ensure("n-1", 1)
 	var bookings []*Allocation
--- a/fleet/unbooked.go
+++ b/fleet/unbooked.go
@@ -17,7 +17,7 @@
 // addOrphan notes a task that a report shows and that is not on the books.
 func (f *Fleet) addOrphan(m *Machine, k attemptKey, status string) {
 	m.orphans[k] = orphan{status: status}
-	if m.orphans[k].sign() != recovery.SignRunning {
+	if m.orphans[k].observation() != recovery.ObservedRunning {
 		return
 	}
 	m.runningOrphans++
@@ -46,11 +46,11 @@
 }
 
 // decideOrphan tells what follows for a task that is not on the books.
-func (f *Fleet) decideOrphan(k attemptKey, sign recovery.Sign) recovery.Decision {
+func (f *Fleet) decideOrphan(k attemptKey, observation recovery.Observation) recovery.Decision {
 	switch {
 	case f.DecideOrphan != nil:
-		return f.DecideOrphan(k.task, sign)
-	case sign == recovery.SignRunning:
+		return f.DecideOrphan(k.task, observation)
+	case observation == recovery.ObservedRunning:
 		return recovery.Stop
 	}
 	return recovery.Release
@@ -72,9 +72,9 @@
 
 // EachOrphan calls do for every task that a machine shows and that is not on the books, in a
 // fixed order.
-func (f *Fleet) EachOrphan(m *Machine, do func(task TaskID, attempt uint64, sign recovery.Sign)) {
+func (f *Fleet) EachOrphan(m *Machine, do func(task TaskID, attempt uint64, observation recovery.Observation)) {
 	for _, k := range sortedKeys(m.orphans) {
-		do(k.task, k.attempt, m.orphans[k].sign())
+		do(k.task, k.attempt, m.orphans[k].observation())
 	}
 }
 
@@ -105,8 +105,8 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(on)) {
 		m := on[name]
-		f.EachOrphan(m, func(task TaskID, attempt uint64, sign recovery.Sign) {
-			if sign == recovery.SignRunning {
+		f.EachOrphan(m, func(task TaskID, attempt uint64, observation recovery.Observation) {
+			if observation == recovery.ObservedRunning {
 				do(m, task, attempt)
 			}
 		})
@@ -127,7 +127,7 @@
 		allocation.RunningSince = now
 	}
 	delete(m.orphans, k)
-	if shown.sign() != recovery.SignRunning {
+	if shown.observation() != recovery.ObservedRunning {
 		return
 	}
 	allocation.reservation.Shown()
--- a/leader.go
+++ b/leader.go
@@ -126,7 +126,7 @@
 // maxReportDelay is how long a worker may take to find this leader where no other controller
 // answers. After a lease there is nothing left to wait for.
 func (l *leader) maxReportDelay() clock.Micros {
-	return min(recovery.ReportWithin(1+len(l.cfg.Others), l.reportInterval()), l.workerLease())
+	return min(recovery.MaxReportDelay(1+len(l.cfg.Others), l.reportInterval()), l.workerLease())
 }
 
 // maxUnsynced is how long a leader may go on that can't read the changes of jobs: its successor must
@@ -170,7 +170,7 @@
 		l.autoscaler.RestoreDemand(records.Demand)
 	}
 	if records.Catalog != nil {
-		l.catalogRevision = records.Catalog.Stamp
+		l.catalogRevision = records.Catalog.ModRevision
 		l.autoscaler.RestoreCatalog(records.Catalog.Catalog)
 	}
 	l.reconciler.Load(records, reconciliation.Sink{
@@ -178,8 +178,8 @@
 		AwaitMachine: l.detector.Await,
 	}, read.BeganAt, now)
 	l.loaded = true
-	l.readCompleted(read, records.Epoch)
-	return records.Epoch, nil
+	l.readCompleted(read, records.Revision)
+	return records.Revision, nil
 }
 
 // wake asks the control loop for a pass soon.
--- a/reconciliation/load.go
+++ b/reconciliation/load.go
@@ -31,11 +31,11 @@
 			r.unusable[uid] = true
 		}
 	}
-	for _, settled := range records.Settled {
-		r.Writer.AddFinalMove(settled.UID, settled.Stamp, settled.Record)
+	for _, move := range records.FinalMoves {
+		r.Writer.AddFinalMove(move.UID, move.ModRevision, move.Record)
 	}
 	for _, row := range records.Jobs {
-		sink.AddJob(row.Record, row.Stamp)
+		sink.AddJob(row.Record, row.ModRevision)
 	}
 	l := loader{Reconciler: r, records: records, sink: sink, now: now}
 	for _, chunk := range records.Chunks {
@@ -55,7 +55,7 @@
 		r.queueJob(job)
 	}
 	r.progress.Loaded(now)
-	r.Log.Info("records loaded", "jobs", len(records.Jobs)+len(records.Settled), "chunks", len(records.Chunks), "revision", records.Epoch,
+	r.Log.Info("records loaded", "jobs", len(records.Jobs)+len(records.FinalMoves), "chunks", len(records.Chunks), "revision", records.Revision,
 		"machines", r.progress.Machines(), "damaged", len(records.Damaged),
 		"took_s", (now - began).Seconds())
 }
@@ -85,7 +85,7 @@
 func (l *loader) finishedJob(uid string) *jobs.Job {
 	job := l.Jobs.Get(uid)
 	if job == nil {
-		final := l.records.Over[uid]
+		final := l.records.FinalStates[uid]
 		job = jobs.NewFinished(uid, &final)
 		l.Jobs.Add(job)
 	}
@@ -94,7 +94,7 @@
 }
 
 // isDone tells whether a job's tasks have ended wherever they were.
-func (l *loader) isDone(uid string) bool { return l.records.Over[uid].Status == wire.JobDone }
+func (l *loader) isDone(uid string) bool { return l.records.FinalStates[uid].Status == wire.JobDone }
 
 // chunkJob is the job that a chunk is of, with room for the chunk's tasks; nil when it is not known:
 // what workers show of it is left alone then.
@@ -103,7 +103,7 @@
 	switch l.records.States[row.UID] {
 	case recovery.JobActive:
 		job = l.Jobs.Get(row.UID)
-	case recovery.JobOver:
+	case recovery.JobFinished:
 		job = l.finishedJob(row.UID)
 		for len(job.Tasks) < (row.Number+1)*store.TasksPerChunk {
 			job.Tasks = append(job.Tasks, jobs.Task{})
@@ -123,11 +123,11 @@
 	if job == nil {
 		return
 	}
-	job.Record.Chunks[row.Number].ModRevision = row.Stamp
+	job.Record.Chunks[row.Number].ModRevision = row.ModRevision
 	first, done := row.Number*store.TasksPerChunk, l.isDone(row.UID)
 	if row.Unreadable && !done {
 		for i := first; i < min(first+store.TasksPerChunk, job.Size()); i++ {
-			l.markUnreadable(job, i, row.Stamp)
+			l.markUnreadable(job, i, row.ModRevision)
 		}
 		return
 	}
@@ -137,7 +137,7 @@
 			job.Done++
 		}
 	}
-	for _, attempt := range row.Runs {
+	for _, attempt := range row.Attempts {
 		if !done {
 			l.adopt(job, first+attempt.Index, attempt)
 		}
@@ -152,7 +152,7 @@
 	shared := newSharedRecord(row)
 	for _, entry := range row.Record.Rows {
 		job := l.Jobs.Get(entry.UID)
-		if job == nil && l.records.States[entry.UID] == recovery.JobOver && entry.Machine != "" && !l.isDone(entry.UID) {
+		if job == nil && l.records.States[entry.UID] == recovery.JobFinished && entry.Machine != "" && !l.isDone(entry.UID) {
 			job = l.finishedJob(entry.UID)
 			job.Tasks = make([]jobs.Task, 1)
 		}
@@ -175,7 +175,7 @@
 
 // newSharedRecord makes a shared record that takes no more jobs.
 func newSharedRecord(row recovery.SharedRow) *jobs.SharedRecord {
-	return &jobs.SharedRecord{Key: row.Key, JobCount: store.JobsPerSharedRecord, Chunk: jobs.Chunk{ModRevision: row.Stamp}}
+	return &jobs.SharedRecord{Key: row.Key, JobCount: store.JobsPerSharedRecord, Chunk: jobs.Chunk{ModRevision: row.ModRevision}}
 }
 
 // adopt takes in an attempt that a predecessor recorded.
--- a/reconciliation/orphans.go
+++ b/reconciliation/orphans.go
@@ -34,15 +34,15 @@
 }
 
 // DecideOrphan tells what follows for a task that a worker reports and that the leader does not know.
-func (r *Reconciler) DecideOrphan(id fleet.TaskID, sign recovery.Sign) recovery.Decision {
-	c := recovery.Case{Job: recovery.JobActive, Attempt: recovery.AttemptOther, Sign: sign}
+func (r *Reconciler) DecideOrphan(id fleet.TaskID, observation recovery.Observation) recovery.Decision {
+	c := recovery.Case{Job: recovery.JobActive, Attempt: recovery.AttemptOther, Observation: observation}
 	switch job := r.Jobs.Get(id.Job); {
-	case job == nil && sign != recovery.SignRunning:
+	case job == nil && observation != recovery.ObservedRunning:
 		c.Job = recovery.JobNotRead // what its job is makes no difference
 	case job == nil:
 		c.Job = r.jobState(id.Job)
 	case job.Cancelled:
-		c.Job = recovery.JobOver
+		c.Job = recovery.JobFinished
 	case id.Index < len(job.Tasks) && job.Tasks[id.Index].State == jobs.TaskUnreadable:
 		c.Attempt = recovery.AttemptUnreadable
 	}
@@ -54,8 +54,8 @@
 	if machine.RunningOrphans() == 0 {
 		return false
 	}
-	r.Fleet.EachOrphan(machine, func(task fleet.TaskID, _ uint64, sign recovery.Sign) {
-		stops = stops || r.DecideOrphan(task, sign) == recovery.Stop
+	r.Fleet.EachOrphan(machine, func(task fleet.TaskID, _ uint64, observation recovery.Observation) {
+		stops = stops || r.DecideOrphan(task, observation) == recovery.Stop
 	})
 	return stops
 }
@@ -64,7 +64,7 @@
 // when that was long ago.
 func (r *Reconciler) jobState(uid string) recovery.JobState {
 	found, read := r.lookups.found[uid]
-	if !read || found.state != recovery.JobOver && r.Now()-found.at > LookupValidFor {
+	if !read || found.state != recovery.JobFinished && r.Now()-found.at > LookupValidFor {
 		r.lookups.wanted[uid] = true
 		select {
 		case r.lookups.wake <- struct{}{}:
@@ -105,7 +105,7 @@
 	if len(r.lookups.found) >= maxLookups {
 		clear(r.lookups.found)
 	}
-	r.lookups.found[uid] = lookup{state: recovery.JobOver}
+	r.lookups.found[uid] = lookup{state: recovery.JobFinished}
 }
 
 // LookupCount is how many jobs are remembered that were read and are not known.
--- a/reconciliation/reconciler.go
+++ b/reconciliation/reconciler.go
@@ -71,12 +71,12 @@
 
 // MachineReported notes that a machine reports and is trusted.
 func (r *Reconciler) MachineReported(machine *fleet.Machine, now clock.Micros) {
-	r.progress.Settle(machine.Name, recovery.MachineReconciled, now)
+	r.progress.Resolve(machine.Name, recovery.MachineReconciled, now)
 }
 
 // MachineGone notes that a machine with recorded attempts is gone.
 func (r *Reconciler) MachineGone(machine *fleet.Machine, now clock.Micros) {
-	r.progress.Settle(machine.Name, recovery.MachineGone, now)
+	r.progress.Resolve(machine.Name, recovery.MachineGone, now)
 }
 
 // Reconnecting tells whether the workers have yet to find this leader: those that are not heard are
@@ -87,7 +87,7 @@
 
 // IsolationMatters tells whether machines may have yet to report if no other controller answers.
 func (r *Reconciler) IsolationMatters(now clock.Micros) bool {
-	return r.progress.Stage() == recovery.StageReconciling && now-r.progress.Began() < r.MaxReportDelay
+	return r.progress.Stage() == recovery.StageReconciling && now-r.progress.StartedAt() < r.MaxReportDelay
 }
 
 // SetIsolated notes whether any other controller answers.
@@ -102,30 +102,30 @@
 	if p.Machines() == 0 {
 		return
 	}
-	if !r.loggedMostly && p.MostlySettled() > 0 && p.Ended() == 0 {
+	if !r.loggedMostly && p.MostlyResolvedAt() > 0 && p.CompletedAt() == 0 {
 		r.loggedMostly = true
 		if p.Machines() >= minLoggedMachines {
 			r.Log.Info("most machines are reconciled", "machines", p.Machines(), "awaited", p.Count(recovery.MachineAwaited),
-				"took_s", (p.MostlySettled() - p.Began()).Seconds())
+				"took_s", (p.MostlyResolvedAt() - p.StartedAt()).Seconds())
 		}
 	}
-	if !r.loggedComplete && p.Ended() > 0 {
+	if !r.loggedComplete && p.CompletedAt() > 0 {
 		r.loggedComplete = true
 		r.Log.Info("recovery is complete", "machines", p.Machines(), "reconciled", p.Count(recovery.MachineReconciled),
-			"gone", p.Count(recovery.MachineGone), "took_s", (p.Ended() - p.Began()).Seconds())
+			"gone", p.Count(recovery.MachineGone), "took_s", (p.CompletedAt() - p.StartedAt()).Seconds())
 	}
 }
 
 // Report tells operators how far the recovery is.
 func (r *Reconciler) Report(now clock.Micros) (report recovery.Report) {
-	r.progress.Fill(&report, now)
+	r.progress.FillReport(&report, now)
 	r.countAttempts(&report.Attempts)
 	var unrecorded []recovery.Unrecorded
 	r.Fleet.EachRunningOrphan(func(machine *fleet.Machine, task fleet.TaskID, attempt uint64) {
 		unrecorded = append(unrecorded, recovery.Unrecorded{Task: task.String(), Attempt: attempt, Machine: machine.Name, Zone: machine.Zone,
-			Why: r.DecideOrphan(task, recovery.SignRunning).String()})
+			Why: r.DecideOrphan(task, recovery.ObservedRunning).String()})
 	})
-	report.List(unrecorded, r.damaged)
+	report.SetLists(unrecorded, r.damaged)
 	return report
 }
 
--- a/reconciliation/unreadable.go
+++ b/reconciliation/unreadable.go
@@ -41,7 +41,7 @@
 	r.unreadable.shared = append(r.unreadable.shared, shared)
 	for job := range r.Jobs.All() {
 		if !job.Cancelled && job.SharesRecord() && job.Record.Shared == nil && job.Record.Chunks[0].ModRevision == 0 && !job.Tasks[0].HasRun {
-			r.markUnreadable(job, 0, row.Stamp)
+			r.markUnreadable(job, 0, row.ModRevision)
 		}
 	}
 }
@@ -83,8 +83,8 @@
 		attempt uint64
 	}
 	var found []reported
-	r.Fleet.EachOrphan(machine, func(task fleet.TaskID, attempt uint64, sign recovery.Sign) {
-		if d := r.DecideOrphan(task, sign); d == recovery.Adopt || d == recovery.TakeResult {
+	r.Fleet.EachOrphan(machine, func(task fleet.TaskID, attempt uint64, observation recovery.Observation) {
+		if d := r.DecideOrphan(task, observation); d == recovery.Adopt || d == recovery.TakeResult {
 			found = append(found, reported{task, attempt})
 		}
 	})
--- a/recover_test.go
+++ b/recover_test.go
@@ -206,7 +206,7 @@
 	if err := l.lookUpJob(t.Context(), "j-9"); err == nil {
 		t.Error("read without the lease")
 	}
-	if decision := l.reconciler.DecideOrphan(fleet.TaskID{Job: "j-9"}, recovery.SignRunning); decision != recovery.LookUp {
+	if decision := l.reconciler.DecideOrphan(fleet.TaskID{Job: "j-9"}, recovery.ObservedRunning); decision != recovery.LookUp {
 		t.Errorf("decided to %v", decision)
 	}
 	if _, known := l.recoveryReport(); known {
--- a/recovery/damage.go
+++ b/recovery/damage.go
@@ -1,21 +1,21 @@
 package recovery
 
-// DamageKind is what is wrong with a record.
+// DamageKind tells what is wrong with a record.
 type DamageKind string
 
 // The kinds of damage.
 const (
 	// DamageJob: an unfinished job's record can't be decoded.
 	DamageJob DamageKind = "job"
-	// DamageMissingJob: attempts are recorded of a job of which there is no record.
+	// DamageMissingJob: a job has recorded attempts and no record of its own.
 	DamageMissingJob DamageKind = "missing_job"
-	// DamageAttempts: a record of some of a job's attempts can't be decoded.
+	// DamageAttempts: a chunk of a job's attempts can't be decoded.
 	DamageAttempts DamageKind = "attempts"
-	// DamageShared: a record of attempts of many small jobs can't be decoded.
+	// DamageShared: a record that single-task jobs share can't be decoded.
 	DamageShared DamageKind = "shared_attempts"
 	// DamageFinalState: the final state of a job can't be decoded.
 	DamageFinalState DamageKind = "final_state"
-	// DamageRebuilt: a record that the leader makes anew by itself can't be decoded.
+	// DamageRebuilt: a record that the leader rebuilds by itself can't be decoded.
 	DamageRebuilt DamageKind = "rebuilt"
 	// DamageUnknownKey: a key that no controller of this release writes.
 	DamageUnknownKey DamageKind = "unknown_key"
@@ -29,6 +29,7 @@
 	Detail string     `json:"detail,omitempty"`
 }
 
+// advice tells operators what follows from damage of each kind, and what they can do.
 var advice = map[DamageKind]string{
 	DamageJob:        "its tasks go on, none is started; restore the record, or have the job submitted under another id",
 	DamageMissingJob: "its tasks go on, none is started; restore the record, or have the job submitted under another id",
@@ -39,5 +40,5 @@
 	DamageUnknownKey: "nothing reads it; delete it if no later release wrote it",
 }
 
-// Advice tells operators what follows, and what they can do.
+// Advice tells operators what follows from the damage, and what they can do about it.
 func (k DamageKind) Advice() string { return advice[k] }
--- a/recovery/decision.go
+++ b/recovery/decision.go
@@ -1,33 +1,34 @@
-// Package recovery is what a new leader does with what its predecessors left: it reads
-// the records, sets what workers report against them, and says what follows for each
-// attempt. Every leader passes through it, whether one controller was lost or all.
+// Package recovery is the part of leader failover that needs no other state of the leader: reading
+// its predecessors' records, deciding what follows for each attempt from its record and from what
+// its machine reports, and tracking the progress. Every new leader goes through it, whether one
+// controller failed or all.
 //
-// Nothing healthy is stopped for want of information, and nothing is started a second
-// time before its absence is proved. See docs/recovery.md.
+// No healthy attempt is stopped for lack of information, and no task gets another attempt before
+// the previous one is proved absent. See docs/recovery.md.
 package recovery
 
 import "fmt"
 
-// JobState is what the records say of a task's job.
+// JobState is the state of a task's job according to the records.
 type JobState uint8
 
 // The states of a job.
 const (
-	// JobNotRead: nothing has been read of it yet.
+	// JobNotRead: its record has not been read yet.
 	JobNotRead JobState = iota
 	// JobActive: accepted and unfinished.
 	JobActive
-	// JobOver: done or cancelled.
-	JobOver
-	// JobUnreadable: there is a record of it that can't be decoded.
+	// JobFinished: done or cancelled.
+	JobFinished
+	// JobUnreadable: its record can't be decoded.
 	JobUnreadable
-	// JobUnrecorded: there is no record of it, by a read under the leader's lease.
+	// JobUnrecorded: it has no record, by a read under the leader's lease.
 	JobUnrecorded
 
 	jobStates
 )
 
-var jobStateNames = [...]string{JobNotRead: "not read", JobActive: "active", JobOver: "over", JobUnreadable: "unreadable", JobUnrecorded: "unrecorded"}
+var jobStateNames = [...]string{JobNotRead: "not read", JobActive: "active", JobFinished: "over", JobUnreadable: "unreadable", JobUnrecorded: "unrecorded"}
 
 // String names the state.
 func (s JobState) String() string {
@@ -37,64 +38,64 @@
 	return fmt.Sprintf("JobState(%d)", uint8(s))
 }
 
-// AttemptState is what the records say of one attempt of a task.
+// AttemptState is the state of one attempt of a task according to the records.
 type AttemptState uint8
 
 // The states of an attempt on record.
 const (
 	// AttemptCurrent: it is the task's recorded attempt on this machine.
 	AttemptCurrent AttemptState = iota
-	// AttemptOther: the record can be read and names another attempt, or none.
+	// AttemptOther: the record names another attempt, or none.
 	AttemptOther
-	// AttemptUnreadable: the record that would name it can't be decoded.
+	// AttemptUnreadable: the record that would name the attempt can't be decoded.
 	AttemptUnreadable
 
 	attemptStates
 )
 
-// Sign is what a machine has shown of an attempt under this leader.
-type Sign uint8
+// Observation is what an attempt's machine has reported of it to this leader.
+type Observation uint8
 
-// The signs.
+// The observations.
 const (
-	// SignNone: the machine has not been heard.
-	SignNone Sign = iota
-	// SignRunning: a report shows the attempt, and it has not ended.
-	SignRunning
-	// SignEnded: a report shows that it has ended.
-	SignEnded
-	// SignAbsent: reports don't show it, but a command to start it may still arrive.
-	SignAbsent
-	// SignGone: it can't be on its machine any more, nor come there: the machine reports
-	// without it and refuses older commands, has begun a new session, its lease is over,
-	// or the cloud has deleted it.
-	SignGone
-
-	signs
+	// ObservedNothing: the machine has not reported.
+	ObservedNothing Observation = iota
+	// ObservedRunning: a report lists the attempt as not ended.
+	ObservedRunning
+	// ObservedEnded: a report lists the attempt as ended.
+	ObservedEnded
+	// ObservedAbsent: reports don't list the attempt, but a command to start it may still arrive.
+	ObservedAbsent
+	// ObservedGone: the attempt is not on its machine and can't be started there any more: the
+	// machine reports without it and refuses older commands, has a new incarnation, its lease
+	// has expired, or the cloud has deleted it.
+	ObservedGone
+
+	observations
 )
 
-// Decision is what follows for an attempt.
+// Decision is what the leader does about an attempt.
 type Decision uint8
 
 // The decisions.
 const (
-	// Wait: nothing is done before more is known. A recorded attempt keeps its room.
+	// Wait: do nothing before more is known. A recorded attempt keeps its allocation.
 	Wait Decision = iota
-	// LookUp: its job is read before anything is decided; it is left alone meanwhile.
+	// LookUp: read its job before deciding. The attempt runs on meanwhile.
 	LookUp
-	// Continue: it goes on as recorded.
+	// Continue: it runs on as recorded.
 	Continue
-	// Adopt: it goes on, and is recorded anew.
+	// Adopt: it runs on, and is recorded anew.
 	Adopt
-	// Retain: it is left alone, its machine's room counts as used, operators are shown it.
+	// Retain: it runs on, its resources count as used, and operators are told of it.
 	Retain
-	// Stop: it is told to stop.
+	// Stop: send the command to stop it.
 	Stop
-	// TakeResult: it has ended, which is recorded.
+	// TakeResult: it has ended: record its result.
 	TakeResult
-	// StartAgain: its absence is proved, so the task may have its next attempt.
+	// StartAgain: it is proved absent, so the task may have its next attempt.
 	StartAgain
-	// Release: nothing of it is left and nothing follows: its room is free.
+	// Release: it is proved absent and not needed: free its resources.
 	Release
 
 	decisions
@@ -111,87 +112,89 @@
 	return fmt.Sprintf("Decision(%d)", uint8(d))
 }
 
-// Case is all that a decision depends on.
+// Case is everything that a decision depends on.
 type Case struct {
-	Job     JobState
-	Attempt AttemptState
-	Sign    Sign
+	Job         JobState
+	Attempt     AttemptState
+	Observation Observation
 }
 
-// Decide tells what follows for an attempt. It is total: every case has a decision.
+// Decide returns what to do about an attempt. It is total: every case has a decision.
 func Decide(c Case) Decision {
 	switch c.Job {
 	case JobActive:
-		return decideActive(c.Attempt, c.Sign)
-	case JobOver:
-		return decideOver(c.Sign)
+		return decideActive(c.Attempt, c.Observation)
+	case JobFinished:
+		return decideFinished(c.Observation)
 	case JobNotRead:
-		return unlessNothingIsLeft(LookUp, c.Sign)
+		return decideUnknown(LookUp, c.Observation)
 	default:
-		// Unreadable or unrecorded: nobody knows whether it is wanted, so it is left alone.
-		return unlessNothingIsLeft(Retain, c.Sign)
+		// Unreadable or unrecorded: whether the attempt is wanted can't be known, so it runs on.
+		return decideUnknown(Retain, c.Observation)
 	}
 }
 
-// decideActive is for attempts of jobs that are accepted and unfinished.
-func decideActive(attempt AttemptState, sign Sign) Decision {
+// decideActive decides on attempts of accepted, unfinished jobs.
+func decideActive(attempt AttemptState, observation Observation) Decision {
 	switch attempt {
 	case AttemptCurrent:
-		return decideCurrent(sign)
+		return decideCurrent(observation)
 	case AttemptUnreadable:
-		return decideUnreadable(sign)
+		return decideUnreadable(observation)
 	}
-	// The task's recorded attempt is another one: two of them must not run.
-	if sign == SignRunning {
+	// The task's recorded attempt is another one, and two must not run at once.
+	if observation == ObservedRunning {
 		return Stop
 	}
-	return nothingFollows(sign)
+	return decideUnneeded(observation)
 }
 
-func decideCurrent(sign Sign) Decision {
-	switch sign {
-	case SignRunning:
+// decideCurrent decides on attempts that are their tasks' recorded ones.
+func decideCurrent(observation Observation) Decision {
+	switch observation {
+	case ObservedRunning:
 		return Continue
-	case SignEnded:
+	case ObservedEnded:
 		return TakeResult
-	case SignGone:
+	case ObservedGone:
 		return StartAgain
 	}
 	return Wait
 }
 
-// decideUnreadable is for tasks whose record can't be decoded: what runs goes on, and what is
-// not seen waits until every machine is accounted for (see Horizon).
-func decideUnreadable(sign Sign) Decision {
-	switch sign {
-	case SignRunning:
+// decideUnreadable decides on attempts of tasks whose record can't be decoded: those that run go
+// on. Tasks without one wait until every machine has reported or is gone.
+func decideUnreadable(observation Observation) Decision {
+	switch observation {
+	case ObservedRunning:
 		return Adopt
-	case SignEnded:
+	case ObservedEnded:
 		return TakeResult
 	}
 	return Wait
 }
 
-// decideOver is for attempts of jobs that are done or cancelled.
-func decideOver(sign Sign) Decision {
-	if sign == SignRunning {
+// decideFinished decides on attempts of jobs that are done or cancelled.
+func decideFinished(observation Observation) Decision {
+	if observation == ObservedRunning {
 		return Stop
 	}
-	return nothingFollows(sign)
+	return decideUnneeded(observation)
 }
 
-// nothingFollows is for attempts that nobody needs: they only have to be gone.
-func nothingFollows(sign Sign) Decision {
-	if sign == SignEnded || sign == SignGone {
+// decideUnneeded decides on attempts that are not needed and don't run: they only have to be gone.
+func decideUnneeded(observation Observation) Decision {
+	if observation == ObservedEnded || observation == ObservedGone {
 		return Release
 	}
 	return Wait
 }
 
-// unlessNothingIsLeft gives the decision for an attempt that runs.
-func unlessNothingIsLeft(running Decision, sign Sign) Decision {
-	if sign == SignRunning {
-		return running
+// decideUnknown decides on attempts of jobs whose state is not known, given the decision for those
+// that run.
+func decideUnknown(ifRunning Decision, observation Observation) Decision {
+	if observation == ObservedRunning {
+		return ifRunning
 	}
-	return nothingFollows(sign)
+	return decideUnneeded(observation)
 }
--- a/recovery/decision_test.go
+++ b/recovery/decision_test.go
@@ -5,67 +5,67 @@
 	"testing"
 )
 
-// everyCase lists all that a decision may depend on.
-func everyCase() (cases []Case) {
+// allCases lists every case that a decision may depend on.
+func allCases() (cases []Case) {
 	for job := range jobStates {
 		for attempt := range attemptStates {
-			for sign := range signs {
-				cases = append(cases, Case{job, attempt, sign})
+			for observation := range observations {
+				cases = append(cases, Case{job, attempt, observation})
 			}
 		}
 	}
 	return cases
 }
 
-// Whatever the case, there is a decision, and it keeps what recovery promises.
-func TestEveryCaseKeepsThePromises(t *testing.T) {
-	cases := everyCase()
+// Every case has a decision, and it keeps recovery's invariants.
+func TestDecisionsKeepInvariants(t *testing.T) {
+	cases := allCases()
 	if len(cases) != 5*3*5 {
 		t.Fatalf("%d cases", len(cases))
 	}
 	for _, c := range cases {
-		d := Decide(c)
-		if d >= decisions || strings.Contains(d.String(), "(") {
-			t.Errorf("%+v: no decision: %v", c, d)
+		decision := Decide(c)
+		if decision >= decisions || strings.Contains(decision.String(), "(") {
+			t.Errorf("%+v: no decision: %v", c, decision)
 		}
 		unknown := c.Job == JobNotRead || c.Job == JobUnreadable || c.Job == JobUnrecorded
-		if d == Stop && (c.Sign != SignRunning || unknown || c.Job == JobActive && c.Attempt != AttemptOther) {
-			t.Errorf("%+v: stopped without a cause", c)
+		if decision == Stop && (c.Observation != ObservedRunning || unknown || c.Job == JobActive && c.Attempt != AttemptOther) {
+			t.Errorf("%+v: stopped without a reason", c)
 		}
-		if d == StartAgain && (c.Sign != SignGone || c.Job != JobActive || c.Attempt != AttemptCurrent) {
-			t.Errorf("%+v: started again before it is proved that it is gone", c)
+		if decision == StartAgain && (c.Observation != ObservedGone || c.Job != JobActive || c.Attempt != AttemptCurrent) {
+			t.Errorf("%+v: started again before it is proved gone", c)
 		}
-		if (c.Sign == SignNone || c.Sign == SignAbsent) && d != Wait {
-			t.Errorf("%+v: %v, though nothing is known", c, d)
+		if (c.Observation == ObservedNothing || c.Observation == ObservedAbsent) && decision != Wait {
+			t.Errorf("%+v: %v, though nothing is known", c, decision)
 		}
-		if d == Release && (c.Sign != SignEnded && c.Sign != SignGone) {
-			t.Errorf("%+v: its room is freed while it may be there", c)
+		if decision == Release && (c.Observation != ObservedEnded && c.Observation != ObservedGone) {
+			t.Errorf("%+v: released while it may be on its machine", c)
 		}
-		if c.Job == JobActive && c.Attempt == AttemptCurrent && c.Sign == SignEnded && d != TakeResult {
-			t.Errorf("%+v: %v, its result is lost", c, d)
+		if c.Job == JobActive && c.Attempt == AttemptCurrent && c.Observation == ObservedEnded && decision != TakeResult {
+			t.Errorf("%+v: %v, its result is lost", c, decision)
 		}
-		if c.Job == JobOver && c.Sign == SignRunning && d != Stop {
-			t.Errorf("%+v: %v, though its job is over", c, d)
+		if c.Job == JobFinished && c.Observation == ObservedRunning && decision != Stop {
+			t.Errorf("%+v: %v, though its job is finished", c, decision)
 		}
 	}
 }
 
-// The decisions that are not told by a promise alone.
+// The decisions that the invariants leave open.
 func TestDecisions(t *testing.T) {
 	for _, tt := range []struct {
 		c    Case
 		want Decision
 	}{
-		{Case{JobActive, AttemptCurrent, SignRunning}, Continue},
-		{Case{JobActive, AttemptOther, SignRunning}, Stop},
-		{Case{JobActive, AttemptOther, SignEnded}, Release},
-		{Case{JobActive, AttemptUnreadable, SignRunning}, Adopt},
-		{Case{JobActive, AttemptUnreadable, SignGone}, Wait},
-		{Case{JobNotRead, AttemptOther, SignRunning}, LookUp},
-		{Case{JobUnrecorded, AttemptOther, SignRunning}, Retain},
-		{Case{JobUnrecorded, AttemptCurrent, SignRunning}, Retain},
-		{Case{JobUnreadable, AttemptCurrent, SignRunning}, Retain},
-		{Case{JobUnreadable, AttemptCurrent, SignGone}, Release},
+		{Case{JobActive, AttemptCurrent, ObservedRunning}, Continue},
+		{Case{JobActive, AttemptOther, ObservedRunning}, Stop},
+		{Case{JobActive, AttemptOther, ObservedEnded}, Release},
+		{Case{JobActive, AttemptUnreadable, ObservedRunning}, Adopt},
+		{Case{JobActive, AttemptUnreadable, ObservedGone}, Wait},
+		{Case{JobNotRead, AttemptOther, ObservedRunning}, LookUp},
+		{Case{JobUnrecorded, AttemptOther, ObservedRunning}, Retain},
+		{Case{JobUnrecorded, AttemptCurrent, ObservedRunning}, Retain},
+		{Case{JobUnreadable, AttemptCurrent, ObservedRunning}, Retain},
+		{Case{JobUnreadable, AttemptCurrent, ObservedGone}, Release},
 	} {
 		if got := Decide(tt.c); got != tt.want {
 			t.Errorf("%+v: %v, want %v", tt.c, got, tt.want)
--- a/recovery/lookup.go
+++ b/recovery/lookup.go
@@ -8,9 +8,9 @@
 	"cedardoor/wire"
 )
 
-// ReadJob reads what the records say of one job: among the unfinished ones first, since a
-// job leaves them for the final states in one transaction and is never in neither. The
-// row is that of a job that is active.
+// ReadJob reads the state of one job. It reads the record of the unfinished job before the final
+// state: a job moves from one to the other in one transaction, so it is never missing from both in
+// this order. The row is valid if the job is active.
 func ReadJob(ctx context.Context, source Source, uid string) (JobState, wire.Row, error) {
 	row, found, err := source.Get(ctx, store.Urgent, store.JobKey(uid))
 	if err != nil {
@@ -22,7 +22,7 @@
 		case err != nil:
 			return JobUnreadable, row, nil
 		case record.Final != nil:
-			return JobOver, row, nil
+			return JobFinished, row, nil
 		}
 		return JobActive, row, nil
 	}
@@ -31,7 +31,7 @@
 		return JobNotRead, row, fmt.Errorf("final state of %s: %w", uid, err)
 	}
 	if found {
-		return JobOver, row, nil // whatever it says
+		return JobFinished, row, nil // whether it can be decoded or not
 	}
 	return JobUnrecorded, row, nil
 }
--- a/recovery/progress.go
+++ b/recovery/progress.go
@@ -1,57 +1,57 @@
 package recovery
 
-import (
-	"cedardoor/clock"
-)
+import "cedardoor/clock"
 
-// Stage is how far a leader's recovery is.
+// Stage is the stage of a leader's recovery.
 type Stage string
 
 // The stages, in their order.
 const (
-	// StageReading: the records are being read; nothing is answered or started.
+	// StageReading: the records are being read; no heartbeat is answered, no task is started.
 	StageReading Stage = "reading"
-	// StageReconciling: machines that are reconciled get work; others are waited for.
+	// StageReconciling: machines that are reconciled get tasks; the others are awaited.
 	StageReconciling Stage = "reconciling"
-	// StageComplete: nothing recorded is waited for any more.
+	// StageComplete: no machine is awaited any more.
 	StageComplete Stage = "complete"
 )
 
-// MachineState is what is known of a machine that has attempts of predecessors on record.
+// MachineState is the recovery state of a machine with recorded attempts of predecessors.
 type MachineState uint8
 
-// The states of a recorded machine. Each is left at most once, and never for an earlier one.
+// The states of a recorded machine. An awaited machine changes its state once, the others never.
 const (
-	// MachineAwaited: it has not shown this leader's token yet.
+	// MachineAwaited: it has not reported this leader's token yet.
 	MachineAwaited MachineState = iota
-	// MachineReconciled: it has, so its reports are set against the records.
+	// MachineReconciled: it has, so its reports are compared with the records.
 	MachineReconciled
-	// MachineGone: its lease ran out unheard, or the cloud deleted it.
+	// MachineGone: its lease expired without a report, or the cloud deleted it.
 	MachineGone
+
+	machineStates
 )
 
-// Progress follows a leader's recovery machine by machine.
+// Progress tracks a leader's recovery by the machines that are awaited.
 type Progress struct {
-	began    clock.Micros
-	loaded   clock.Micros // zero until the records are read
-	ended    clock.Micros // zero until nothing is awaited
-	most     clock.Micros // nothing recorded can be awaited for longer
-	mostly   clock.Micros // when nine tenths of the machines were settled; zero before
-	machines map[string]MachineState
-	counts   [3]int
+	startedAt        clock.Micros
+	loadedAt         clock.Micros // zero until the records are read
+	mostlyResolvedAt clock.Micros // zero until few machines are awaited
+	completedAt      clock.Micros // zero until no machine is awaited
+	deadline         clock.Micros // when the lease of the last recorded machine ends
+	machines         map[string]MachineState
+	counts           [machineStates]int
 }
 
-// mostMachines is the part of the machines whose settling is worth a line in the log.
-const mostMachines = 0.9
+// mostlyResolvedShare is the share of machines whose resolution is worth a line in the log.
+const mostlyResolvedShare = 0.9
 
-// NewProgress begins a recovery.
+// NewProgress starts a recovery.
 func NewProgress(now clock.Micros) *Progress {
-	return &Progress{began: now, machines: map[string]MachineState{}}
+	return &Progress{startedAt: now, machines: map[string]MachineState{}}
 }
 
-// Await notes a machine with attempts on record, until when its lease may last.
+// Await adds a machine with recorded attempts whose lease lasts until leaseEnd at most.
 func (p *Progress) Await(machine string, leaseEnd clock.Micros) {
-	p.most = max(p.most, leaseEnd)
+	p.deadline = max(p.deadline, leaseEnd)
 	if _, known := p.machines[machine]; known {
 		return
 	}
@@ -59,88 +59,85 @@
 	p.counts[MachineAwaited]++
 }
 
-// Loaded notes that all records are taken in.
+// Loaded notes that all records are read.
 func (p *Progress) Loaded(now clock.Micros) {
-	p.loaded = now
-	p.look(now)
+	p.loadedAt = now
+	p.advanceStage(now)
 }
 
-// Settle notes what has become of a machine. What was settled before, or is not on
-// record, changes nothing.
-func (p *Progress) Settle(machine string, state MachineState, now clock.Micros) {
-	if before, known := p.machines[machine]; !known || before != MachineAwaited || state == MachineAwaited {
+// Resolve changes the state of an awaited machine; it has no effect on other machines.
+func (p *Progress) Resolve(machine string, state MachineState, now clock.Micros) {
+	if !p.Awaited(machine) || state == MachineAwaited {
 		return
 	}
 	p.machines[machine] = state
 	p.counts[MachineAwaited]--
 	p.counts[state]++
-	p.look(now)
+	p.advanceStage(now)
 }
 
-// look notes when a stage is reached.
-func (p *Progress) look(now clock.Micros) {
-	if p.loaded == 0 {
+// advanceStage notes the time when a stage is reached.
+func (p *Progress) advanceStage(now clock.Micros) {
+	if p.loadedAt == 0 {
 		return
 	}
-	if p.mostly == 0 && float64(p.counts[MachineAwaited]) <= (1-mostMachines)*float64(len(p.machines)) {
-		p.mostly = now
+	if p.mostlyResolvedAt == 0 && float64(p.counts[MachineAwaited]) <= (1-mostlyResolvedShare)*float64(len(p.machines)) {
+		p.mostlyResolvedAt = now
 	}
-	if p.ended == 0 && p.counts[MachineAwaited] == 0 {
-		p.ended = now
+	if p.completedAt == 0 && p.counts[MachineAwaited] == 0 {
+		p.completedAt = now
 	}
 }
 
-// Awaited tells whether a machine is still awaited.
+// Awaited tells whether a machine is awaited.
 func (p *Progress) Awaited(machine string) bool {
 	state, known := p.machines[machine]
 	return known && state == MachineAwaited
 }
 
-// Count is how many recorded machines are in a state.
+// Count is the number of recorded machines in a state.
 func (p *Progress) Count(state MachineState) int { return p.counts[state] }
 
-// Machines is how many machines had attempts on record.
+// Machines is the number of machines with recorded attempts.
 func (p *Progress) Machines() int { return len(p.machines) }
 
-// Stage tells how far the recovery is.
+// Stage is the stage of the recovery.
 func (p *Progress) Stage() Stage {
 	switch {
-	case p.loaded == 0:
+	case p.loadedAt == 0:
 		return StageReading
-	case p.ended == 0:
+	case p.completedAt == 0:
 		return StageReconciling
 	}
 	return StageComplete
 }
 
-// MostlySettled gives when nine tenths of the machines were settled, zero before.
-func (p *Progress) MostlySettled() clock.Micros { return p.mostly }
-
-// Ended gives when the last machine was settled, zero before.
-func (p *Progress) Ended() clock.Micros { return p.ended }
+// StartedAt is when the recovery started.
+func (p *Progress) StartedAt() clock.Micros { return p.startedAt }
 
-// Began gives when the recovery began.
-func (p *Progress) Began() clock.Micros { return p.began }
+// MostlyResolvedAt is when nine tenths of the machines were reconciled or gone, zero before.
+func (p *Progress) MostlyResolvedAt() clock.Micros { return p.mostlyResolvedAt }
 
-// LatestEnd gives by when nothing recorded is awaited any more.
-func (p *Progress) LatestEnd() clock.Micros { return p.most }
+// CompletedAt is when the last machine was reconciled or gone, zero before.
+func (p *Progress) CompletedAt() clock.Micros { return p.completedAt }
 
-// Reconnecting tells whether machines that are missing are not lost, but have yet to come: there
-// was not time for all of them to report, and fewer than half are settled, or their workers may
-// have other controllers to try first, because none of those answers.
-func (p *Progress) Reconnecting(now, reportWithin clock.Micros, alone bool) bool {
+// Reconnecting tells whether the awaited machines are rather late than lost: their workers have not
+// had the time to report, and either most machines are awaited, or no other controller answers, so
+// that workers may be trying those first.
+func (p *Progress) Reconnecting(now, maxReportDelay clock.Micros, isolated bool) bool {
 	awaited := p.counts[MachineAwaited]
-	return now-p.began < reportWithin && (2*awaited > len(p.machines) || alone && awaited > 0)
+	return now-p.startedAt < maxReportDelay && (2*awaited > len(p.machines) || isolated && awaited > 0)
 }
 
-// How long a worker tries one controller that does not answer, and waits before the next.
 const (
-	answerWait = 4 * clock.Second
-	nextAfter  = clock.Second
+	// controllerTimeout is how long a worker waits for the answer of one controller.
+	controllerTimeout = 4 * clock.Second
+	// nextControllerDelay is how long a worker waits before it tries the next controller.
+	nextControllerDelay = clock.Second
 )
 
-// ReportWithin is how long a worker may take to find the one controller that answers among
-// so many: it tries each in turn.
-func ReportWithin(controllers int, report clock.Micros) clock.Micros {
-	return clock.Micros(max(0, controllers-1))*(answerWait+nextAfter) + report + report/4
+// MaxReportDelay is how long a worker may take to report to the only controller of several that
+// answers: it tries one after another.
+func MaxReportDelay(controllers int, reportInterval clock.Micros) clock.Micros {
+	return clock.Micros(max(0, controllers-1))*(controllerTimeout+nextControllerDelay) + reportInterval + reportInterval/4
 }
--- a/recovery/progress_test.go
+++ b/recovery/progress_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is told of machines, late, twice and in any order: the counts add up, a machine is
-// settled once, by the first that is told of it, and a stage is never left for an earlier one.
+// With late, repeated and reordered events the counts add up, a machine changes its state once, by the
+// first event, and the stage never goes back.
 func TestProgressAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const loadedAt = 5 * clock.Second
@@ -29,11 +29,11 @@
 		for step := range rapid.IntRange(0, 120).Draw(t, "steps") {
 			name := fmt.Sprint("n-", rapid.IntRange(0, 40).Draw(t, "machine"))
 			state := MachineState(rapid.IntRange(0, 2).Draw(t, "state"))
-			p.Settle(name, state, loadedAt+clock.Micros(step))
+			p.Resolve(name, state, loadedAt+clock.Micros(step))
 			if before, known := model[name]; known && before == MachineAwaited {
 				model[name] = state
 			}
-			var counts [3]int
+			var counts [machineStates]int
 			for _, s := range model {
 				counts[s]++
 			}
@@ -46,62 +46,62 @@
 				t.Fatalf("stage %s with %d awaited", p.Stage(), counts[MachineAwaited])
 			}
 			complete = p.Stage() == StageComplete
-			if complete && (p.Ended() < loadedAt || p.MostlySettled() > p.Ended()) {
-				t.Fatalf("ended %v, mostly %v", p.Ended(), p.MostlySettled())
+			if complete && (p.CompletedAt() < loadedAt || p.MostlyResolvedAt() > p.CompletedAt()) {
+				t.Fatalf("completed %v, mostly resolved %v", p.CompletedAt(), p.MostlyResolvedAt())
 			}
 		}
 	})
 }
 
 func TestReconnecting(t *testing.T) {
-	within := ReportWithin(3, 3*clock.Second)
-	if within != 10*clock.Second+3750*clock.Millisecond {
-		t.Errorf("a worker may take %v to find the third controller", within)
+	maxDelay := MaxReportDelay(3, 3*clock.Second)
+	if maxDelay != 10*clock.Second+3750*clock.Millisecond {
+		t.Errorf("a worker may take %v to find the third controller", maxDelay)
 	}
 	for _, tt := range []struct {
-		name  string
-		came  int // of ten
-		at    clock.Micros
-		alone bool
-		want  bool
+		name       string
+		reconciled int // machines of ten
+		now        clock.Micros
+		isolated   bool
+		want       bool
 	}{
-		{"nobody has had the time", 0, 9 * clock.Second, false, true},
-		{"all have had the time", 0, within, true, false},
-		{"half came while other controllers lead workers here", 5, 3 * clock.Second, false, false},
-		{"half came, the others may try controllers that are down", 5, 9 * clock.Second, true, true},
-		{"all came", 10, 3 * clock.Second, true, false},
+		{"too early for any report", 0, 9 * clock.Second, false, true},
+		{"late enough for all reports", 0, maxDelay, true, false},
+		{"half are reconciled, and other controllers redirect workers", 5, 3 * clock.Second, false, false},
+		{"half are reconciled, and workers may be trying controllers that are down", 5, 9 * clock.Second, true, true},
+		{"all are reconciled", 10, 3 * clock.Second, true, false},
 	} {
 		p := NewProgress(0)
 		for i := range 10 {
 			p.Await(fmt.Sprint("n-", i), 18*clock.Second)
 		}
 		p.Loaded(clock.Second)
-		for i := range tt.came {
-			p.Settle(fmt.Sprint("n-", i), MachineReconciled, 2*clock.Second)
+		for i := range tt.reconciled {
+			p.Resolve(fmt.Sprint("n-", i), MachineReconciled, 2*clock.Second)
 		}
-		if got := p.Reconnecting(tt.at, within, tt.alone); got != tt.want {
+		if got := p.Reconnecting(tt.now, maxDelay, tt.isolated); got != tt.want {
 			t.Errorf("%s: %t", tt.name, got)
 		}
 	}
 }
 
-// A report fits a message between controllers, however much there is to list.
+// A report fits into a message between controllers, however long its lists are.
 func TestReportIsBounded(t *testing.T) {
 	var unrecorded []Unrecorded
 	var damaged []Damage
-	for i := range 3 * MostListed {
+	for i := range 3 * MaxListed {
 		unrecorded = append(unrecorded, Unrecorded{Task: fmt.Sprint("j-1/", i)})
 		damaged = append(damaged, Damage{Key: fmt.Sprint("j/j-", i), Detail: string(make([]byte, 1000))})
 	}
 	var r Report
-	r.List(unrecorded, damaged)
-	if len(r.Unrecorded) != MostListed || len(r.Damaged) != MostListed || !r.Truncated || len(r.Damaged[0].Detail) != maxDetail {
+	r.SetLists(unrecorded, damaged)
+	if len(r.Unrecorded) != MaxListed || len(r.Damaged) != MaxListed || !r.Truncated || len(r.Damaged[0].Detail) != maxDetailBytes {
 		t.Errorf("%d and %d listed, truncated %t", len(r.Unrecorded), len(r.Damaged), r.Truncated)
 	}
 	if len(damaged[0].Detail) != 1000 {
 		t.Error("the leader's own list was changed")
 	}
-	r.List(nil, nil)
+	r.SetLists(nil, nil)
 	if r.Truncated || r.Unrecorded == nil || r.Damaged == nil {
 		t.Errorf("empty lists: %+v", r)
 	}
--- /dev/null
+++ b/recovery/read.go
@@ -0,0 +1,174 @@
+package recovery
+
+import (
+	"context"
+	"fmt"
+	"strings"
+
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+// readJobs reads the records of the jobs that are unfinished, or finished and not moved yet.
+func (r *Records) readJobs(ctx context.Context, source Source) error {
+	rows, revision, err := source.List(ctx, store.Urgent, store.PrefixJob)
+	if err != nil {
+		return fmt.Errorf("jobs: %w", err)
+	}
+	r.Revision = revision
+	for _, row := range rows {
+		uid := strings.TrimPrefix(row.Key, store.PrefixJob)
+		record, err := DecodeJob(row)
+		switch {
+		case err != nil && !wire.ValidUID(uid):
+			r.addDamage(Damage{Key: row.Key, Kind: DamageUnknownKey})
+		case err != nil:
+			r.States[uid] = JobUnreadable
+			r.addDamage(Damage{Key: row.Key, Kind: DamageJob, Job: uid, Detail: err.Error()})
+		case record.Final != nil:
+			r.States[uid] = JobFinished
+			r.FinalStates[uid] = *record.Final
+			r.FinalMoves = append(r.FinalMoves, FinalMoveRow{UID: uid, ModRevision: row.ModRevision, Record: *record.Final})
+		default:
+			r.States[uid] = JobActive
+			r.Jobs = append(r.Jobs, JobRow{Key: row.Key, ModRevision: row.ModRevision, Record: record})
+		}
+	}
+	return nil
+}
+
+// DecodeJob decodes a job's record and checks that it is the record of the job that its key names.
+func DecodeJob(row wire.Row) (record store.JobRecord, err error) {
+	if err := wire.Unmarshal(row.Value, &record); err != nil {
+		return record, fmt.Errorf("record %s: %w", row.Key, err)
+	}
+	spec := &record.Spec
+	if store.JobKey(spec.UID) != row.Key || !wire.ValidUID(spec.UID) {
+		return record, fmt.Errorf("record %s: not this job's", row.Key)
+	}
+	if record.Final == nil && (spec.Tasks < 1 || spec.Tasks > wire.MaxTasks) {
+		return record, fmt.Errorf("record %s: %d tasks", row.Key, spec.Tasks)
+	}
+	return record, nil
+}
+
+// readChunks reads the records of the jobs' attempts.
+func (r *Records) readChunks(ctx context.Context, source Source) error {
+	rows, _, err := source.List(ctx, store.Urgent, store.PrefixAttempts)
+	if err != nil {
+		return fmt.Errorf("attempts: %w", err)
+	}
+	for _, row := range rows {
+		uid, number, ok := store.ParseChunkKey(row.Key)
+		if !ok || !wire.ValidUID(uid) {
+			r.addDamage(Damage{Key: row.Key, Kind: DamageUnknownKey})
+			continue
+		}
+		chunk := ChunkRow{UID: uid, Number: number, ModRevision: row.ModRevision}
+		var record store.ChunkRecord
+		err := wire.Unmarshal(row.Value, &record)
+		if err == nil {
+			// checkChunks checks the bounds that depend on the job.
+			chunk.Done, chunk.Attempts, err = record.Decode(store.TasksPerChunk)
+		}
+		if err != nil {
+			chunk.Unreadable = true
+			r.addDamage(Damage{Key: row.Key, Kind: DamageAttempts, Job: uid, Detail: err.Error()})
+		}
+		r.Chunks = append(r.Chunks, chunk)
+	}
+	return nil
+}
+
+// readShared reads the records that single-task jobs share.
+func (r *Records) readShared(ctx context.Context, source Source) error {
+	rows, _, err := source.List(ctx, store.Urgent, store.PrefixShared)
+	if err != nil {
+		return fmt.Errorf("shared attempts: %w", err)
+	}
+	for _, row := range rows {
+		shared := SharedRow{Key: row.Key, ModRevision: row.ModRevision}
+		if err := wire.Unmarshal(row.Value, &shared.Record); err != nil {
+			shared.Unreadable, shared.Record = true, store.SharedRecord{}
+			r.addDamage(Damage{Key: row.Key, Kind: DamageShared, Detail: err.Error()})
+		}
+		r.Shared = append(r.Shared, shared)
+	}
+	return nil
+}
+
+// readFleet reads the records that the leader rebuilds by itself if they can't be decoded.
+func (r *Records) readFleet(ctx context.Context, source Source) error {
+	var catalog wire.Catalog
+	revision, usable, err := r.readRebuilt(ctx, source, store.KeyCatalog, &catalog)
+	if err != nil {
+		return err
+	}
+	if usable {
+		r.Catalog = &CatalogRow{ModRevision: revision, Catalog: catalog}
+	}
+	var demand store.DemandRecord
+	_, usable, err = r.readRebuilt(ctx, source, store.KeyDemand, &demand)
+	if usable {
+		r.Demand = &demand
+	}
+	return err
+}
+
+// readRebuilt reads one record that the leader can rebuild; usable is false if there is none that
+// can be decoded.
+func (r *Records) readRebuilt(ctx context.Context, source Source, key string, value any) (modRevision uint64, usable bool, err error) {
+	row, found, err := source.Get(ctx, store.Urgent, key)
+	if err != nil {
+		return 0, false, fmt.Errorf("record %s: %w", key, err)
+	}
+	if !found {
+		return 0, false, nil
+	}
+	if err := wire.Unmarshal(row.Value, value); err != nil {
+		r.addDamage(Damage{Key: key, Kind: DamageRebuilt, Detail: err.Error()})
+		return 0, false, nil
+	}
+	return row.ModRevision, true, nil
+}
+
+// readFinalStates reads the final states of the jobs that have recorded attempts and no record
+// among the unfinished jobs.
+func (r *Records) readFinalStates(ctx context.Context, source Source) error {
+	for _, uid := range r.jobsWithAttempts() {
+		if r.States[uid] != JobNotRead {
+			continue
+		}
+		row, found, err := source.Get(ctx, store.Urgent, store.FinalKey(uid))
+		if err != nil {
+			return fmt.Errorf("final state of %s: %w", uid, err)
+		}
+		var final FinalRecord
+		switch err := wire.Unmarshal(row.Value, &final); {
+		case !found:
+			r.States[uid] = JobUnrecorded
+			r.addDamage(Damage{Key: store.JobKey(uid), Kind: DamageMissingJob, Job: uid})
+		case err != nil:
+			// Only finished jobs have a record here, whether it can be decoded or not.
+			r.States[uid] = JobFinished
+			r.addDamage(Damage{Key: store.FinalKey(uid), Kind: DamageFinalState, Job: uid, Detail: err.Error()})
+		default:
+			r.States[uid], r.FinalStates[uid] = JobFinished, final
+		}
+	}
+	return nil
+}
+
+// jobsWithAttempts lists the jobs with recorded attempts, with repetitions.
+func (r *Records) jobsWithAttempts() []string {
+	var uids []string
+	for _, chunk := range r.Chunks {
+		uids = append(uids, chunk.UID)
+	}
+	for _, shared := range r.Shared {
+		for _, row := range shared.Record.Rows {
+			uids = append(uids, row.UID)
+		}
+	}
+	return uids
+}
--- a/recovery/records_test.go
+++ b/recovery/records_test.go
@@ -14,15 +14,15 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// records is a source that holds what a test puts there.
-type records struct {
-	rows map[string][]byte
-	fail string // reads of keys that begin so are refused
+// fakeSource is a Source in memory.
+type fakeSource struct {
+	rows          map[string][]byte
+	refusedPrefix string // reads of keys with this prefix fail; empty: none
 }
 
 var errRefused = errors.New("refused")
 
-func (r *records) put(t *testing.T, key string, value any) {
+func (r *fakeSource) put(t *testing.T, key string, value any) {
 	t.Helper()
 	raw, err := wire.Marshal(value)
 	if err != nil {
@@ -31,8 +31,8 @@
 	r.rows[key] = raw
 }
 
-func (r *records) List(_ context.Context, _ store.Priority, prefix string) (rows []wire.Row, epoch uint64, err error) {
-	if r.fail != "" && strings.HasPrefix(prefix, r.fail) {
+func (r *fakeSource) List(_ context.Context, _ store.Priority, prefix string) (rows []wire.Row, revision uint64, err error) {
+	if r.refusedPrefix != "" && strings.HasPrefix(prefix, r.refusedPrefix) {
 		return nil, 0, errRefused
 	}
 	for _, key := range slices.Sorted(maps.Keys(r.rows)) {
@@ -43,8 +43,8 @@
 	return rows, 40, nil
 }
 
-func (r *records) Get(_ context.Context, _ store.Priority, key string) (row wire.Row, found bool, err error) {
-	if r.fail != "" && strings.HasPrefix(key, r.fail) {
+func (r *fakeSource) Get(_ context.Context, _ store.Priority, key string) (row wire.Row, found bool, err error) {
+	if r.refusedPrefix != "" && strings.HasPrefix(key, r.refusedPrefix) {
 		return row, false, errRefused
 	}
 	raw, found := r.rows[key]
@@ -55,9 +55,9 @@
 	return store.JobRecord{Spec: wire.Spec{UID: uid, Team: "team", Tasks: tasks, Kind: wire.KindBatch}, AcceptedUS: 1, Node: "node-1"}
 }
 
-// someRecords is one whole job of each kind that a leader may find.
-func someRecords(t *testing.T) *records {
-	r := &records{rows: map[string][]byte{}}
+// newFakeSource holds one valid record of each kind.
+func newFakeSource(t *testing.T) *fakeSource {
+	r := &fakeSource{rows: map[string][]byte{}}
 	r.put(t, "j/j-1", job("j-1", 2))
 	r.put(t, "p/j-1/00000", store.NewChunkRecord("w", []bool{true, false}, []store.TaskAttempt{{Index: 1, Attempt: 3, Machine: "n-1", Incarnation: 2}}))
 	r.put(t, "j/j-2", job("j-2", 1))
@@ -70,88 +70,88 @@
 	return r
 }
 
-func TestReadWholeRecords(t *testing.T) {
-	got, err := Read(t.Context(), someRecords(t))
+func TestReadValidRecords(t *testing.T) {
+	got, err := Read(t.Context(), newFakeSource(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := map[string]JobState{"j-1": JobActive, "j-2": JobActive, "j-3": JobOver, "j-4": JobOver}
+	want := map[string]JobState{"j-1": JobActive, "j-2": JobActive, "j-3": JobFinished, "j-4": JobFinished}
 	if diff := cmp.Diff(want, got.States); diff != "" {
 		t.Error(diff)
 	}
-	if len(got.Jobs) != 2 || len(got.Settled) != 1 || len(got.Chunks) != 1 || len(got.Shared) != 1 || got.Epoch != 40 {
+	if len(got.Jobs) != 2 || len(got.FinalMoves) != 1 || len(got.Chunks) != 1 || len(got.Shared) != 1 || got.Revision != 40 {
 		t.Errorf("read %+v", got)
 	}
-	if c := got.Chunks[0]; c.Unreadable || !c.Done[0] || c.Done[1] || len(c.Runs) != 1 || c.Runs[0].Machine != "n-1" {
+	if c := got.Chunks[0]; c.Unreadable || !c.Done[0] || c.Done[1] || len(c.Attempts) != 1 || c.Attempts[0].Machine != "n-1" {
 		t.Errorf("attempts %+v", c)
 	}
-	if got.Over["j-4"].Cores != 2 || got.Catalog == nil || got.Demand == nil || got.Demand.Cores != 3 {
-		t.Errorf("final states %+v, catalogue %+v, demand %+v", got.Over, got.Catalog, got.Demand)
+	if got.FinalStates["j-4"].Cores != 2 || got.Catalog == nil || got.Demand == nil || got.Demand.Cores != 3 {
+		t.Errorf("final states %+v, catalogue %+v, demand %+v", got.FinalStates, got.Catalog, got.Demand)
 	}
 	if len(got.Damaged) != 0 {
 		t.Errorf("damaged: %+v", got.Damaged)
 	}
 }
 
-// Each record may be damaged, alone: it is listed, and everything else is read.
-func TestDamagedRecordsKeepNothingUp(t *testing.T) {
-	const torn = "not a record"
+// A damaged record is listed, and every other record is read.
+func TestReadDamagedRecords(t *testing.T) {
+	const garbage = "not a record"
 	for _, tt := range []struct {
-		name  string
-		harm  func(r *records)
-		kind  DamageKind
-		key   string
-		state func(r *Records) bool // that what follows for it is known
+		name   string
+		damage func(r *fakeSource)
+		kind   DamageKind
+		key    string
+		state  func(r *Records) bool // whether the record's state is what follows from the damage
 	}{
-		{"a job", func(r *records) { r.put(t, "j/j-1", torn) }, DamageJob, "j/j-1", func(r *Records) bool { return r.States["j-1"] == JobUnreadable }},
-		{"a job's record under another's key", func(r *records) { r.put(t, "j/j-1", job("j-9", 1)) }, DamageJob, "j/j-1",
+		{"a job", func(r *fakeSource) { r.put(t, "j/j-1", garbage) }, DamageJob, "j/j-1", func(r *Records) bool { return r.States["j-1"] == JobUnreadable }},
+		{"a job's record under another's key", func(r *fakeSource) { r.put(t, "j/j-1", job("j-9", 1)) }, DamageJob, "j/j-1",
 			func(r *Records) bool { return r.States["j-1"] == JobUnreadable }},
-		{"a job of no tasks", func(r *records) { r.put(t, "j/j-1", job("j-1", 0)) }, DamageJob, "j/j-1", func(r *Records) bool { return r.States["j-1"] == JobUnreadable }},
-		{"a strange key among the jobs", func(r *records) { r.put(t, "j/../x", torn) }, DamageUnknownKey, "j/../x", func(r *Records) bool { return len(r.Jobs) == 2 }},
-		{"a missing job", func(r *records) { delete(r.rows, "j/j-1") }, DamageMissingJob, "j/j-1", func(r *Records) bool { return r.States["j-1"] == JobUnrecorded }},
-		{"attempts", func(r *records) { r.put(t, "p/j-1/00000", torn) }, DamageAttempts, "p/j-1/00000", func(r *Records) bool { return r.Chunks[0].Unreadable }},
-		{"attempts with a row that can't be", func(r *records) {
+		{"a job of no tasks", func(r *fakeSource) { r.put(t, "j/j-1", job("j-1", 0)) }, DamageJob, "j/j-1", func(r *Records) bool { return r.States["j-1"] == JobUnreadable }},
+		{"an unknown key among the jobs", func(r *fakeSource) { r.put(t, "j/../x", garbage) }, DamageUnknownKey, "j/../x", func(r *Records) bool { return len(r.Jobs) == 2 }},
+		{"a missing job", func(r *fakeSource) { delete(r.rows, "j/j-1") }, DamageMissingJob, "j/j-1", func(r *Records) bool { return r.States["j-1"] == JobUnrecorded }},
+		{"attempts", func(r *fakeSource) { r.put(t, "p/j-1/00000", garbage) }, DamageAttempts, "p/j-1/00000", func(r *Records) bool { return r.Chunks[0].Unreadable }},
+		{"attempts with an invalid row", func(r *fakeSource) {
 			r.put(t, "p/j-1/00000", store.ChunkRecord{Done: "0", Machines: []string{"n-1"}, Attempts: [][]int64{{1, 1, 5, 1}}})
-		}, DamageAttempts, "p/j-1/00000", func(r *Records) bool { return r.Chunks[0].Unreadable && len(r.Chunks[0].Runs) == 0 }},
-		{"attempts of tasks that the job lacks", func(r *records) {
+		}, DamageAttempts, "p/j-1/00000", func(r *Records) bool { return r.Chunks[0].Unreadable && len(r.Chunks[0].Attempts) == 0 }},
+		{"attempts of tasks that the job lacks", func(r *fakeSource) {
 			r.put(t, "p/j-1/00000", store.NewChunkRecord("w", make([]bool, 5), []store.TaskAttempt{{Index: 4, Attempt: 1, Machine: "n-1"}}))
-		}, DamageAttempts, "p/j-1/00000", func(r *Records) bool { return r.Chunks[0].Unreadable && len(r.Chunks[0].Runs) == 0 }},
-		{"attempts beyond the job", func(r *records) { r.put(t, "p/j-1/00003", store.NewChunkRecord("w", nil, nil)) }, DamageUnknownKey, "p/j-1/00003",
+		}, DamageAttempts, "p/j-1/00000", func(r *Records) bool { return r.Chunks[0].Unreadable && len(r.Chunks[0].Attempts) == 0 }},
+		{"attempts beyond the job", func(r *fakeSource) { r.put(t, "p/j-1/00003", store.NewChunkRecord("w", nil, nil)) }, DamageUnknownKey, "p/j-1/00003",
 			func(r *Records) bool { return len(r.Chunks) == 1 }},
-		{"a strange key among the attempts", func(r *records) { r.put(t, "p/j-1/x", torn) }, DamageUnknownKey, "p/j-1/x", func(r *Records) bool { return len(r.Chunks) == 1 }},
-		{"shared attempts", func(r *records) { r.put(t, "s/1.1", torn) }, DamageShared, "s/1.1", func(r *Records) bool { return r.Shared[0].Unreadable }},
-		{"a final state", func(r *records) { r.put(t, "f/j-4", torn) }, DamageFinalState, "f/j-4", func(r *Records) bool { return r.States["j-4"] == JobOver }},
-		{"the machine types", func(r *records) { r.put(t, "catalog", torn) }, DamageRebuilt, "catalog", func(r *Records) bool { return r.Catalog == nil }},
-		{"the demand", func(r *records) { r.put(t, "demand", torn) }, DamageRebuilt, "demand", func(r *Records) bool { return r.Demand == nil }},
+		{"an unknown key among the attempts", func(r *fakeSource) { r.put(t, "p/j-1/x", garbage) }, DamageUnknownKey, "p/j-1/x", func(r *Records) bool { return len(r.Chunks) == 1 }},
+		{"shared attempts", func(r *fakeSource) { r.put(t, "s/1.1", garbage) }, DamageShared, "s/1.1", func(r *Records) bool { return r.Shared[0].Unreadable }},
+		{"a final state", func(r *fakeSource) { r.put(t, "f/j-4", garbage) }, DamageFinalState, "f/j-4", func(r *Records) bool { return r.States["j-4"] == JobFinished }},
+		{"the machine types", func(r *fakeSource) { r.put(t, "catalog", garbage) }, DamageRebuilt, "catalog", func(r *Records) bool { return r.Catalog == nil }},
+		{"the demand", func(r *fakeSource) { r.put(t, "demand", garbage) }, DamageRebuilt, "demand", func(r *Records) bool { return r.Demand == nil }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			r := someRecords(t)
-			tt.harm(r)
+			r := newFakeSource(t)
+			tt.damage(r)
 			got, err := Read(t.Context(), r)
 			if err != nil {
-				t.Fatalf("nothing is read: %v", err)
+				t.Fatalf("read: %v", err)
 			}
 			if len(got.Damaged) != 1 || got.Damaged[0].Kind != tt.kind || got.Damaged[0].Key != tt.key {
 				t.Errorf("damaged %+v, want %s of kind %s", got.Damaged, tt.key, tt.kind)
 			}
 			if !tt.state(got) {
-				t.Errorf("what follows for it is not known: %+v", got)
+				t.Errorf("wrong state: %+v", got)
 			}
-			if got.States["j-2"] != JobActive || got.States["j-3"] != JobOver {
-				t.Errorf("the others: %v", got.States)
+			if got.States["j-2"] != JobActive || got.States["j-3"] != JobFinished {
+				t.Errorf("states of the other jobs: %v", got.States)
 			}
 			if tt.kind.Advice() == "" {
-				t.Error("operators are not told what they can do")
+				t.Error("no advice for operators")
 			}
 		})
 	}
 }
 
-// A state service that does not answer is no damage: the load fails and is tried again.
-func TestRefusedReadsAreErrors(t *testing.T) {
+// A read that fails is an error, not damage, so that it is retried.
+func TestReadFailures(t *testing.T) {
 	for _, prefix := range []string{"j/", "p/", "s/", "f/", "catalog", "demand"} {
-		r := someRecords(t)
-		r.fail = prefix
+		r := newFakeSource(t)
+		r.refusedPrefix = prefix
 		if got, err := Read(t.Context(), r); !errors.Is(err, errRefused) {
 			t.Errorf("%s refused: %+v, %v", prefix, got, err)
 		}
@@ -159,15 +159,15 @@
 }
 
 func TestReadJob(t *testing.T) {
-	r := someRecords(t)
-	r.put(t, "j/j-5", "torn")
-	r.put(t, "f/j-6", "torn")
-	for uid, want := range map[string]JobState{"j-1": JobActive, "j-3": JobOver, "j-4": JobOver, "j-5": JobUnreadable, "j-6": JobOver, "j-7": JobUnrecorded} {
+	r := newFakeSource(t)
+	r.put(t, "j/j-5", "not a record")
+	r.put(t, "f/j-6", "not a record")
+	for uid, want := range map[string]JobState{"j-1": JobActive, "j-3": JobFinished, "j-4": JobFinished, "j-5": JobUnreadable, "j-6": JobFinished, "j-7": JobUnrecorded} {
 		if got, _, err := ReadJob(t.Context(), r, uid); err != nil || got != want {
 			t.Errorf("%s: %v, %v, want %v", uid, got, err, want)
 		}
 	}
-	r.fail = "f/"
+	r.refusedPrefix = "f/"
 	if got, _, err := ReadJob(t.Context(), r, "j-7"); err == nil || got != JobNotRead {
 		t.Errorf("final states refused: %v, %v", got, err)
 	}
--- a/recovery/report.go
+++ b/recovery/report.go
@@ -2,24 +2,24 @@
 
 import "cedardoor/clock"
 
-// MachineCounts are the machines that had attempts of predecessors on record.
+// MachineCounts counts the machines with recorded attempts of predecessors.
 type MachineCounts struct {
-	Recorded   int `json:"recorded"` // the sum of the following
+	Recorded   int `json:"recorded"` // sum of the following
 	Awaited    int `json:"awaited"`
 	Reconciled int `json:"reconciled"`
 	Gone       int `json:"gone"`
 }
 
-// AttemptCounts are the attempts that the leader has on its books, its own included.
+// AttemptCounts counts the attempts that the leader has recorded or adopted, its own included.
 type AttemptCounts struct {
-	Awaited    int `json:"awaited"`    // recorded by a predecessor, on a machine that is not heard yet
-	InDoubt    int `json:"in_doubt"`   // not shown, and a command to start it may be under way
-	Running    int `json:"running"`    // shown
+	Awaited    int `json:"awaited"`    // recorded by a predecessor, on a machine that has not reported yet
+	InDoubt    int `json:"in_doubt"`   // not reported, and a command to start it may be in flight
+	Running    int `json:"running"`    // reported
 	Stopping   int `json:"stopping"`   // told to stop
-	Unreadable int `json:"unreadable"` // tasks whose record can't be decoded and that no machine has shown
+	Unreadable int `json:"unreadable"` // tasks whose record can't be decoded and that no machine has reported
 }
 
-// Unrecorded is a task that a worker shows and the records do not.
+// Unrecorded is an orphan: a task that a worker reports and that is not recorded.
 type Unrecorded struct {
 	Task    string `json:"task"`
 	Attempt uint64 `json:"attempt"`
@@ -28,16 +28,16 @@
 	Why     string `json:"why"`
 }
 
-// Report is what operators are told of a leader's recovery.
+// Report is the state of a leader's recovery, for operators.
 type Report struct {
-	Node       string        `json:"node"`   // the controller that answers
+	Node       string        `json:"node"`   // the controller that answered
 	Leader     string        `json:"leader"` // the controller whose recovery it shows
 	Fresh      bool          `json:"fresh"`  // it was read from the leader for this answer
 	AgeS       float64       `json:"age_s"`  // seconds since it was read from it
 	Stage      Stage         `json:"stage"`
-	RunsS      float64       `json:"runs_s"`      // seconds since this leader began
-	TookS      float64       `json:"took_s"`      // until it was complete; 0 before
-	AtLatestS  float64       `json:"at_latest_s"` // seconds until nothing recorded is awaited any more, at the latest; 0 when complete
+	RunsS      float64       `json:"runs_s"`      // seconds since the recovery started
+	TookS      float64       `json:"took_s"`      // seconds until it was complete; 0 before
+	AtLatestS  float64       `json:"at_latest_s"` // seconds until it is complete at the latest; 0 when it is
 	Machines   MachineCounts `json:"machines"`
 	Attempts   AttemptCounts `json:"attempts"`
 	Unrecorded []Unrecorded  `json:"unrecorded"`
@@ -45,33 +45,34 @@
 	Truncated  bool          `json:"truncated"` // there are more unrecorded tasks or damaged records than listed
 }
 
-// MostListed bounds each list of a report, so that it fits a message between controllers.
-const MostListed = 100
+const (
+	// MaxListed bounds each list of a report, so that it fits into a message between controllers.
+	MaxListed = 100
+	// maxDetailBytes bounds the detail of each damaged record in a report.
+	maxDetailBytes = 120
+)
 
-// Fill takes a recovery's progress into the report.
-func (p *Progress) Fill(r *Report, now clock.Micros) {
+// FillReport sets the report's fields that show the recovery's progress.
+func (p *Progress) FillReport(r *Report, now clock.Micros) {
 	r.Stage = p.Stage()
-	r.RunsS = (now - p.began).Seconds()
+	r.RunsS = (now - p.startedAt).Seconds()
 	r.Machines = MachineCounts{Recorded: len(p.machines), Awaited: p.counts[MachineAwaited],
 		Reconciled: p.counts[MachineReconciled], Gone: p.counts[MachineGone]}
-	if p.ended > 0 {
-		r.TookS = (p.ended - p.began).Seconds()
-	} else if p.most > 0 {
-		r.AtLatestS = max(0, (p.most - now).Seconds())
+	if p.completedAt > 0 {
+		r.TookS = (p.completedAt - p.startedAt).Seconds()
+	} else if p.deadline > 0 {
+		r.AtLatestS = max(0, (p.deadline - now).Seconds())
 	}
 }
 
-// List takes damaged records and unrecorded tasks into the report, as many as it holds.
-func (r *Report) List(unrecorded []Unrecorded, damaged []Damage) {
-	r.Truncated = len(unrecorded) > MostListed || len(damaged) > MostListed
-	r.Unrecorded = append([]Unrecorded{}, unrecorded[:min(len(unrecorded), MostListed)]...)
-	r.Damaged = append([]Damage{}, damaged[:min(len(damaged), MostListed)]...)
+// SetLists sets the lists of unrecorded tasks and damaged records, truncated to MaxListed.
+func (r *Report) SetLists(unrecorded []Unrecorded, damaged []Damage) {
+	r.Truncated = len(unrecorded) > MaxListed || len(damaged) > MaxListed
+	r.Unrecorded = append([]Unrecorded{}, unrecorded[:min(len(unrecorded), MaxListed)]...)
+	r.Damaged = append([]Damage{}, damaged[:min(len(damaged), MaxListed)]...)
 	for i := range r.Damaged {
-		if detail := r.Damaged[i].Detail; len(detail) > maxDetail {
-			r.Damaged[i].Detail = detail[:maxDetail]
+		if detail := r.Damaged[i].Detail; len(detail) > maxDetailBytes {
+			r.Damaged[i].Detail = detail[:maxDetailBytes]
 		}
 	}
 }
-
-// maxDetail bounds what is told of one damaged record.
-const maxDetail = 120
--- a/recovery_scenes_test.go
+++ b/recovery_scenes_test.go
@@ -372,7 +372,7 @@
 func TestCheckerSeesALeaderThatStartsAtOnce(t *testing.T) {
 	forget := func(r *recovery.Records) {
 		for i := range r.Chunks {
-			r.Chunks[i].Runs = nil
+			r.Chunks[i].Attempts = nil
 		}
 		r.Shared = nil
 	}
--- a/service.go
+++ b/service.go
@@ -179,7 +179,7 @@
 	s.store.SetLeading(len(s.cfg.Others) == 0)
 }
 
-// Heartbeat implements agent.Steward.
+// Heartbeat implements agent.HeartbeatReceiver.
 func (s *Service) Heartbeat(report *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
 	l := s.current.Load()
 	if l == nil {
@@ -188,7 +188,7 @@
 	return l.Heartbeat(report)
 }
 
-// Leader implements agent.Steward.
+// Leader implements agent.HeartbeatReceiver.
 func (s *Service) Leader() string {
 	if name := s.elector.Leader(); name != s.cfg.Node {
 		return name
