--- a/api/intake.go
+++ b/api/intake.go
@@ -60,7 +60,7 @@
 	if priority == wire.PriorityLow {
 		wait = lowPatience
 	}
-	if err := in.admission.Admit(ctx, rec.Spec.Team, wait); errors.Is(err, quota.ErrCrowded) {
+	if err := in.admission.Admit(ctx, rec.Spec.Team, wait); errors.Is(err, quota.ErrOverloaded) {
 		return fmt.Errorf("%w: %w", store.ErrOverloaded, err)
 	} else if err != nil {
 		return fmt.Errorf("%w: %w", store.ErrRefused, err)
@@ -189,9 +189,9 @@
 		busy := errors.Is(err, store.ErrOverloaded)
 		switch {
 		case busy:
-			admission.Refused()
+			admission.ReportOverload()
 		case err == nil:
-			admission.Taken()
+			admission.ReportSuccess()
 		}
 		if !busy || try >= busyTries {
 			return epoch, err
--- a/autoscaler/catalog.go
+++ b/autoscaler/catalog.go
@@ -50,7 +50,7 @@
 		most.Cores, most.Accelerators = max(most.Cores, machine.Cores), max(most.Accelerators, machine.Accelerators)
 	}
 	most = most.Times(a.Operator.Fleet.MaxMachines)
-	if sum := a.Quota.GuaranteedInAll(); sum.Cores > most.Cores || sum.Accelerators > most.Accelerators {
+	if sum := a.Quota.TotalGuarantee(); sum.Cores > most.Cores || sum.Accelerators > most.Accelerators {
 		a.Log.Info("guarantees add up to more than fleet.max_machines can hold", "cores", sum.Cores.Decimal(), "accelerators", sum.Accelerators.Decimal())
 	}
 }
--- a/autoscaler/demand.go
+++ b/autoscaler/demand.go
@@ -114,7 +114,7 @@
 func (a *Autoscaler) grantableShares(table *jobs.Table) teamShares {
 	waiting := map[string]quota.Amount{}
 	for job := range table.Waiting() {
-		if job.Cancelled || job.Failures.Failing() || !a.Quota.Limits(job.Spec.Team).Limited() || !a.fitsTeamLimit(job) {
+		if job.Cancelled || job.Failures.Failing() || !a.Quota.Limits(job.Spec.Team).HasLimit() || !a.fitsTeamLimit(job) {
 			continue
 		}
 		_, unplaced := job.CountUnfinished()
@@ -122,7 +122,7 @@
 	}
 	shares := make(teamShares, len(waiting))
 	for team, amount := range waiting {
-		shares[team] = a.Quota.Part(team, amount)
+		shares[team] = a.Quota.RunnableShare(team, amount)
 	}
 	return shares
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -422,7 +422,7 @@
 // MarkDurable notes that an attempt is durable: its run may be sent.
 func (f *Fleet) MarkDurable(allocation *Allocation) {
 	allocation.Durable = true
-	allocation.reservation.Confirm()
+	allocation.reservation.MarkRecorded()
 }
 
 // setUnfenced notes up to which token a run of b may still arrive at its worker,
@@ -600,7 +600,7 @@
 		}
 		allocation.Status = p.Status
 		if p.Status != wire.TaskEnded {
-			allocation.reservation.Shown()
+			allocation.reservation.MarkRunning()
 		}
 		if p.Status == wire.TaskRunning && !m.Images[allocation.Image] {
 			m.Images[allocation.Image] = true
@@ -713,7 +713,7 @@
 		m.Unresponsive = false
 		m.EachAllocation(func(allocation *Allocation) {
 			if allocation.Status != "" {
-				allocation.reservation.Shown()
+				allocation.reservation.MarkRunning()
 			}
 		})
 		f.MachineChanged(m)
@@ -758,7 +758,7 @@
 		// What is in doubt may yet be started by the new process, under its session.
 		m.EachAllocation(func(allocation *Allocation) {
 			allocation.Incarnation, allocation.Status = report.Incarnation, ""
-			allocation.reservation.Doubt()
+			allocation.reservation.MarkInDoubt()
 		})
 		f.MachineChanged(m)
 	}
@@ -806,7 +806,7 @@
 		return
 	}
 	m.Unresponsive = true
-	m.EachAllocation(func(allocation *Allocation) { allocation.reservation.Doubt() })
+	m.EachAllocation(func(allocation *Allocation) { allocation.reservation.MarkInDoubt() })
 	f.MachineChanged(m)
 }
 
@@ -997,7 +997,7 @@
 	}
 	if !allocation.Stopping {
 		allocation.Stopping, allocation.StopRequestedAt, allocation.Grace = true, now, leeway
-		allocation.reservation.Stop()
+		allocation.reservation.MarkStopping()
 		allocation.Machine.unchanged = false
 		f.MachineChanged(allocation.Machine)
 	}
--- a/fleet/unbooked.go
+++ b/fleet/unbooked.go
@@ -130,7 +130,7 @@
 	if shown.observation() != recovery.ObservedRunning {
 		return
 	}
-	allocation.reservation.Shown()
+	allocation.reservation.MarkRunning()
 	m.runningOrphans--
 	f.removeOrphan(m, allocation.Task)
 }
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -207,7 +207,7 @@
 	}
 	pl := &planner{Snapshot: p, rules: Rules(), rng: rand.New(rand.NewPCG(p.Seed, 1))}
 	p.draft = p.Quota.Draft()
-	p.binding = p.draft.Binding()
+	p.binding = p.draft.HasQuotas()
 	pl.out.Unplaced = map[string]int{}
 	services, others := byShape(pl.launchOwed())
 	pl.launch(services)
@@ -260,7 +260,7 @@
 	for i := range pl.Waiting {
 		waiting = append(waiting, &pl.Waiting[i])
 	}
-	if !pl.Quota.Guarantees() {
+	if !pl.Quota.HasGuarantees() {
 		return waiting
 	}
 	sort.SliceStable(waiting, func(i, j int) bool {
@@ -289,7 +289,7 @@
 // starts only whole is whole or not at all.
 func (pl *planner) owedTasks(w *Waiting) int {
 	j := w.Job
-	owed := pl.draft.Owed(j.Team)
+	owed := pl.draft.RemainingGuarantee(j.Team)
 	if owed == (quota.Amount{}) {
 		return 0
 	}
--- a/plan/preempt.go
+++ b/plan/preempt.go
@@ -100,7 +100,7 @@
 			continue
 		}
 		cores, accel, ram = cores+v.Cores, accel+v.Accelerators, ram+v.RAM
-		if pl.Quota.Guarantees() {
+		if pl.Quota.HasGuarantees() {
 			if stopped == nil {
 				stopped = map[string]quota.Amount{}
 			}
@@ -167,7 +167,7 @@
 // for such work of higher priority, or either would take the other's place in turn. A
 // replica makes way only for a guarantee.
 func (pl *planner) mayStop(j *Job, v *Victim, besides quota.Amount) bool {
-	if !pl.Quota.Guarantees() {
+	if !pl.Quota.HasGuarantees() {
 		return !v.Replica && v.Priority < j.Priority
 	}
 	others := v.Job != nil && v.Job.Team != j.Team
@@ -175,7 +175,7 @@
 	switch {
 	case v.Replica:
 		return others && pl.withinGuarantee && borrowed
-	case others && !pl.withinGuarantee && !borrowed && pl.Quota.Limits(v.Job.Team).Guaranteed():
+	case others && !pl.withinGuarantee && !borrowed && pl.Quota.Limits(v.Job.Team).HasGuarantee():
 		return false
 	}
 	return v.Priority < j.Priority || pl.withinGuarantee && borrowed
@@ -187,7 +187,7 @@
 	if v.Borrowed || v.Job == nil {
 		return v.Borrowed
 	}
-	return pl.draft.Borrows(v.Job.Team, besides.Plus(v.amount()))
+	return pl.draft.BeyondGuarantee(v.Job.Team, besides.Plus(v.amount()))
 }
 
 // claim takes room off what is coming free first, and off what is free for the rest.
--- a/planinput/machines.go
+++ b/planinput/machines.go
@@ -70,7 +70,7 @@
 func (in *Input) refreshTasks(planned *plan.Machine, machine *fleet.Machine, now clock.Micros) (stopping bool) {
 	planned.StoppingCores, planned.StoppingAccelerators, planned.StoppingRAM = 0, 0, 0
 	planned.Victims = planned.Victims[:0]
-	guarantees := in.Quota.Guarantees()
+	guarantees := in.Quota.HasGuarantees()
 	machine.EachAllocation(func(allocation *fleet.Allocation) {
 		switch {
 		case !allocation.Live():
--- a/planinput/snapshot.go
+++ b/planinput/snapshot.go
@@ -111,7 +111,7 @@
 // markEntitled marks the jobs that fit into their team's guarantee together with the team's
 // earlier ones, where there are guarantees at all, now and then.
 func (in *Input) markEntitled(v View) {
-	if !in.Quota.Guarantees() || v.Now-in.entitledAt < entitlementInterval && !v.Jobs.Changed() {
+	if !in.Quota.HasGuarantees() || v.Now-in.entitledAt < entitlementInterval && !v.Jobs.Changed() {
 		return
 	}
 	in.entitledAt = v.Now
--- a/quota/admission_test.go
+++ b/quota/admission_test.go
@@ -36,16 +36,16 @@
 	}
 }
 
-// admitted counts what a flood and a steady trickle get through one controller in a
+// floodResult counts what a flood and a steady trickle get through one controller in a
 // minute, with the longest that the trickle was kept waiting.
-type admitted struct {
-	flood, refused, trickle, starved int64
-	longest                          time.Duration
+type floodResult struct {
+	admittedFlood, refusedFlood, admittedSteady, refusedSteady int64
+	longestWait                                                time.Duration
 }
 
-// playFlood lets one team submit from a hundred senders at once, without a pause but for
+// runFlood lets one team submit from a hundred senders at once, without a pause but for
 // the second after a refusal, and another four times a second.
-func playFlood(a *Admission) (out admitted) {
+func runFlood(a *Admission) (out floodResult) {
 	const patience = 1500 * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -67,14 +67,14 @@
 		time.Sleep(250 * time.Millisecond)
 		began := time.Now()
 		if err := a.Admit(ctx, "trickle", patience); err == nil {
-			out.trickle++
+			out.admittedSteady++
 		} else if ctx.Err() == nil {
-			out.starved++
+			out.refusedSteady++
 		}
-		out.longest = max(out.longest, time.Since(began))
+		out.longestWait = max(out.longestWait, time.Since(began))
 	}
 	wg.Wait()
-	out.flood, out.refused = flood.Load(), refused.Load()
+	out.admittedFlood, out.refusedFlood = flood.Load(), refused.Load()
 	return out
 }
 
@@ -83,17 +83,17 @@
 func TestFloodLeavesOtherTeamsTheirShare(t *testing.T) {
 	const most = 10 // changes a second
 	synctest.Test(t, func(t *testing.T) {
-		got := playFlood(NewAdmission(map[string]Limits{"flood": {}, "trickle": {Guarantee: NewAmount(4, 0)}}, most, 1))
+		got := runFlood(NewAdmission(map[string]Limits{"flood": {}, "trickle": {Guarantee: NewAmount(4, 0)}}, most, 1))
 		t.Logf("with shares: %+v", got)
-		if got.starved > 0 || got.longest > 0 || got.trickle < 230 {
+		if got.refusedSteady > 0 || got.longestWait > 0 || got.admittedSteady < 230 {
 			t.Errorf("the trickle: %+v, want all at once", got)
 		}
-		if got.flood < 60*(most-4)*9/10 || got.flood+got.trickle > 60*most+3*most || got.refused == 0 {
+		if got.admittedFlood < 60*(most-4)*9/10 || got.admittedFlood+got.admittedSteady > 60*most+3*most || got.refusedFlood == 0 {
 			t.Errorf("the flood: %+v, want what the trickle leaves", got)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		if got := playFlood(NewAdmission(nil, most, 1)); got.starved == 0 && got.longest < time.Second {
+		if got := runFlood(NewAdmission(nil, most, 1)); got.refusedSteady == 0 && got.longestWait < time.Second {
 			t.Errorf("without shares the flood keeps nobody out: %+v", got)
 		}
 	})
@@ -127,7 +127,7 @@
 				break
 			}
 		}
-		if !errors.Is(err, ErrCrowded) || time.Since(began) > 0 {
+		if !errors.Is(err, ErrOverloaded) || time.Since(began) > 0 {
 			t.Fatalf("after %v: %v", time.Since(began), err)
 		}
 		if err := a.Admit(t.Context(), "unknown", time.Second); err != nil {
@@ -141,15 +141,15 @@
 func TestRateFollowsTheService(t *testing.T) {
 	a := NewAdmission(map[string]Limits{"a": {}, "b": {}}, 100, 20)
 	for range 20 {
-		a.Refused()
+		a.ReportOverload()
 	}
-	if got, own := a.common.Limit(), a.teams["a"].limiter.Limit(); got != 20 || own != 10 {
+	if got, own := a.total.Limit(), a.teams["a"].limiter.Limit(); got != 20 || own != 10 {
 		t.Errorf("refused again and again: %v, own %v", got, own)
 	}
 	for range 40 {
-		a.Taken()
+		a.ReportSuccess()
 	}
-	if got, own := a.common.Limit(), a.teams["a"].limiter.Limit(); got != 100 || own != 50 {
+	if got, own := a.total.Limit(), a.teams["a"].limiter.Limit(); got != 100 || own != 50 {
 		t.Errorf("taken again and again: %v, own %v", got, own)
 	}
 }
--- a/quota/amount.go
+++ b/quota/amount.go
@@ -78,13 +78,13 @@
 
 func within(total, limit Units) bool { return limit == 0 || total <= limit }
 
-// Guaranteed tells whether the team has any guarantee.
-func (l Limits) Guaranteed() bool { return l.Guarantee != (Amount{}) }
+// HasGuarantee tells whether the team has any guarantee.
+func (l Limits) HasGuarantee() bool { return l.Guarantee != (Amount{}) }
 
 // Covers tells whether a total of use stays within the guarantee.
 func (l Limits) Covers(total Amount) bool {
 	return total.Cores <= l.Guarantee.Cores && total.Accelerators <= l.Guarantee.Accelerators
 }
 
-// Limited tells whether the team has any limit.
-func (l Limits) Limited() bool { return l.Limit != (Amount{}) }
+// HasLimit tells whether the team has any limit.
+func (l Limits) HasLimit() bool { return l.Limit != (Amount{}) }
--- a/quota/draft.go
+++ b/quota/draft.go
@@ -16,13 +16,15 @@
 // Draft begins a draft. A nil ledger knows no limits and no guarantees.
 func (l *Ledger) Draft() *Draft { return &Draft{ledger: l, deltas: map[string]*delta{}} }
 
-// ignores tells whether nothing depends on what the draft does to a team's use.
-func (d *Draft) ignores(team string) bool {
-	return !d.Binding() || !d.ledger.guarantees && !d.ledger.Limits(team).Limited()
+// isIrrelevant tells whether nothing depends on what the draft does to a team's use.
+func (d *Draft) isIrrelevant(team string) bool {
+	return !d.HasQuotas() || !d.ledger.hasGuarantees && !d.ledger.Limits(team).HasLimit()
 }
 
-// Binding tells whether any team has a limit or a guarantee.
-func (d *Draft) Binding() bool { return d.ledger != nil && (d.ledger.limits || d.ledger.guarantees) }
+// HasQuotas tells whether any team has a limit or a guarantee.
+func (d *Draft) HasQuotas() bool {
+	return d.ledger != nil && (d.ledger.hasLimits || d.ledger.hasGuarantees)
+}
 
 func (d *Draft) delta(team string) *delta {
 	x := d.deltas[team]
@@ -33,8 +35,8 @@
 	return x
 }
 
-// use is the team's account and its use with the draft's steps.
-func (d *Draft) use(team string) (account *account, total, stopping Amount) {
+// usage is the team's account and its use with the draft's steps.
+func (d *Draft) usage(team string) (account *account, total, stopping Amount) {
 	if d.ledger == nil {
 		return nil, Amount{}, Amount{}
 	}
@@ -49,23 +51,23 @@
 	return account, total, stopping
 }
 
-// lasting is what is left of a team's use when all that is being stopped is gone.
-func (a *account) lasting(total, stopping Amount) Amount {
+// withoutStopping is what is left of a team's use when all that is being stopped is gone.
+func (a *account) withoutStopping(total, stopping Amount) Amount {
 	return total.Minus(stopping).Minus(a.states[Stopping].Amount)
 }
 
 // Fits tells whether a team may use so much more.
 func (d *Draft) Fits(team string, more Amount) bool {
-	if d.ignores(team) {
+	if d.isIrrelevant(team) {
 		return true
 	}
-	account, total, _ := d.use(team)
+	account, total, _ := d.usage(team)
 	return account == nil || account.limits.Admit(total.Plus(more))
 }
 
 // Add takes a task that the plan starts into its team's use.
 func (d *Draft) Add(team string, amount Amount) {
-	if d.ignores(team) {
+	if d.isIrrelevant(team) {
 		return
 	}
 	x := d.delta(team)
@@ -75,7 +77,7 @@
 // Remove takes a task that the plan no longer starts, or looks at elsewhere, off its
 // team's use.
 func (d *Draft) Remove(team string, amount Amount) {
-	if d.ignores(team) {
+	if d.isIrrelevant(team) {
 		return
 	}
 	x := d.delta(team)
@@ -85,7 +87,7 @@
 // Stop notes that the plan stops a task. Its team is no longer beyond its guarantee by
 // it, though it counts for the limit until it is proved gone.
 func (d *Draft) Stop(team string, amount Amount) {
-	if d.ignores(team) {
+	if d.isIrrelevant(team) {
 		return
 	}
 	x := d.delta(team)
@@ -94,35 +96,35 @@
 
 // Resume takes a Stop back.
 func (d *Draft) Resume(team string, amount Amount) {
-	if d.ignores(team) {
+	if d.isIrrelevant(team) {
 		return
 	}
 	x := d.delta(team)
 	x.stopping = x.stopping.Minus(amount)
 }
 
-// Borrows tells whether tasks of a team that take so much together are beyond its guarantee:
+// BeyondGuarantee tells whether tasks of a team that take so much together are beyond its guarantee:
 // stopping them leaves it what it is guaranteed, in a resource that they take. Such
 // work may be stopped to give another team its guarantee. What is being stopped already counts no
 // more, or a team would lose its own guarantee while the stops of its work are under way.
-func (d *Draft) Borrows(team string, tasks Amount) bool {
-	account, total, stopping := d.use(team)
+func (d *Draft) BeyondGuarantee(team string, tasks Amount) bool {
+	account, total, stopping := d.usage(team)
 	if account == nil {
 		return false
 	}
-	left := account.lasting(total, stopping).Minus(tasks)
+	left := account.withoutStopping(total, stopping).Minus(tasks)
 	guarantee := account.limits.Guarantee
 	return tasks.Cores > 0 && left.Cores >= guarantee.Cores ||
 		tasks.Accelerators > 0 && left.Accelerators >= guarantee.Accelerators
 }
 
-// Owed is how much more a team may run within its guarantee. What is being stopped
+// RemainingGuarantee is how much more a team may run within its guarantee. What is being stopped
 // counts no more.
-func (d *Draft) Owed(team string) Amount {
-	account, total, stopping := d.use(team)
+func (d *Draft) RemainingGuarantee(team string) Amount {
+	account, total, stopping := d.usage(team)
 	if account == nil {
 		return Amount{}
 	}
-	owed := account.limits.Guarantee.Minus(account.lasting(total, stopping))
+	owed := account.limits.Guarantee.Minus(account.withoutStopping(total, stopping))
 	return Amount{Cores: max(0, owed.Cores), Accelerators: max(0, owed.Accelerators)}
 }
--- a/quota/entitlement.go
+++ b/quota/entitlement.go
@@ -13,7 +13,7 @@
 	sums := map[string]Amount{}
 	for i, job := range jobs {
 		limits := l.Limits(job.Team)
-		if !limits.Guaranteed() {
+		if !limits.HasGuarantee() {
 			continue
 		}
 		sum := sums[job.Team].Plus(job.Amount)
@@ -23,11 +23,11 @@
 	return entitled
 }
 
-// Guarantees tells whether any team has a guarantee.
-func (l *Ledger) Guarantees() bool { return l != nil && l.guarantees }
+// HasGuarantees tells whether any team has a guarantee.
+func (l *Ledger) HasGuarantees() bool { return l != nil && l.hasGuarantees }
 
-// GuaranteedInAll is the sum of all guarantees.
-func (l *Ledger) GuaranteedInAll() (sum Amount) {
+// TotalGuarantee is the sum of all guarantees.
+func (l *Ledger) TotalGuarantee() (sum Amount) {
 	for _, a := range l.accounts {
 		sum = sum.Plus(a.limits.Guarantee)
 	}
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -21,8 +21,8 @@
 
 // The states of a reservation, in the order in which an attempt usually passes them.
 const (
-	// Booked: room is taken; nothing is recorded and nothing was sent.
-	Booked State = iota
+	// Allocated: room is taken; nothing is recorded and nothing was sent.
+	Allocated State = iota
 	// InDoubt: recorded, so a command to start it may be under way, or its machine
 	// does not answer: it may or may not run.
 	InDoubt
@@ -33,13 +33,13 @@
 	// Released: proved gone. It takes nothing any more, and never will again.
 	Released
 
-	stateCount
+	states
 )
 
 // String names the state for operators.
 func (s State) String() string {
 	switch s {
-	case Booked:
+	case Allocated:
 		return "booked"
 	case InDoubt:
 		return "in_doubt"
@@ -57,7 +57,7 @@
 type account struct {
 	limits Limits
 	total  Amount
-	states [stateCount]Use
+	states [states]Use
 }
 
 // Use is what the tasks in one state take.
@@ -77,9 +77,9 @@
 
 // Ledger is what all teams use. It has no lock: the leader's own guards it.
 type Ledger struct {
-	accounts   map[string]*account
-	guarantees bool // some team has one
-	limits     bool // some team has one
+	accounts      map[string]*account
+	hasGuarantees bool // some team has one
+	hasLimits     bool // some team has one
 }
 
 // NewLedger makes an empty ledger of teams with the given limits.
@@ -87,8 +87,8 @@
 	l := &Ledger{accounts: make(map[string]*account, len(teams))}
 	for name, limits := range teams {
 		l.accounts[name] = &account{limits: limits}
-		l.guarantees = l.guarantees || limits.Guaranteed()
-		l.limits = l.limits || limits.Limited()
+		l.hasGuarantees = l.hasGuarantees || limits.HasGuarantee()
+		l.hasLimits = l.hasLimits || limits.HasLimit()
 	}
 	return l
 }
@@ -116,7 +116,7 @@
 	if !l.Fits(team, amount) {
 		return nil, fmt.Errorf("reserve for team %q: %w", team, ErrOverLimit)
 	}
-	return l.account(team).add(amount, Booked), nil
+	return l.account(team).add(amount, Allocated), nil
 }
 
 // Adopt takes in an attempt that a predecessor recorded. It counts even beyond the
@@ -128,55 +128,55 @@
 func (a *account) add(amount Amount, state State) *Reservation {
 	r := &Reservation{account: a, amount: amount, state: state}
 	a.total = a.total.Plus(amount)
-	a.states[state].grow(amount)
+	a.states[state].add(amount)
 	return r
 }
 
-func (u *Use) grow(amount Amount) {
+func (u *Use) add(amount Amount) {
 	u.Tasks++
 	u.Amount = u.Amount.Plus(amount)
 }
 
-func (u *Use) shrink(amount Amount) {
+func (u *Use) remove(amount Amount) {
 	u.Tasks--
 	u.Amount = u.Amount.Minus(amount)
 }
 
-// move changes the state, with the counts by state.
-func (r *Reservation) move(to State) {
-	r.account.states[r.state].shrink(r.amount)
-	r.account.states[to].grow(r.amount)
+// setState changes the state, with the counts by state.
+func (r *Reservation) setState(to State) {
+	r.account.states[r.state].remove(r.amount)
+	r.account.states[to].add(r.amount)
 	r.state = to
 }
 
 // State is how far the reservation is.
 func (r *Reservation) State() State { return r.state }
 
-// Confirm notes that the attempt is durable: a command to start it may be sent.
-func (r *Reservation) Confirm() {
-	if r.state == Booked {
-		r.move(InDoubt)
+// MarkRecorded notes that the attempt is durable: a command to start it may be sent.
+func (r *Reservation) MarkRecorded() {
+	if r.state == Allocated {
+		r.setState(InDoubt)
 	}
 }
 
-// Shown notes that the attempt's worker has reported it under this leader.
-func (r *Reservation) Shown() {
-	if r.state == Booked || r.state == InDoubt {
-		r.move(Running)
+// MarkRunning notes that the attempt's worker has reported it under this leader.
+func (r *Reservation) MarkRunning() {
+	if r.state == Allocated || r.state == InDoubt {
+		r.setState(Running)
 	}
 }
 
-// Doubt notes that the attempt's machine does not answer.
-func (r *Reservation) Doubt() {
+// MarkInDoubt notes that the attempt's machine does not answer.
+func (r *Reservation) MarkInDoubt() {
 	if r.state == Running {
-		r.move(InDoubt)
+		r.setState(InDoubt)
 	}
 }
 
-// Stop notes that the attempt was told to stop. It counts until it is released.
-func (r *Reservation) Stop() {
+// MarkStopping notes that the attempt was told to stop. It counts until it is released.
+func (r *Reservation) MarkStopping() {
 	if r.state != Released {
-		r.move(Stopping)
+		r.setState(Stopping)
 	}
 }
 
@@ -187,7 +187,7 @@
 		return
 	}
 	r.account.total = r.account.total.Minus(r.amount)
-	r.account.states[r.state].shrink(r.amount)
+	r.account.states[r.state].remove(r.amount)
 	r.state = Released
 }
 
@@ -197,7 +197,7 @@
 	Limits Limits
 	Total  Amount
 	// By state; Released is always empty.
-	States [stateCount]Use
+	States [states]Use
 }
 
 // Of is the use in one state.
@@ -226,17 +226,17 @@
 	return Limits{}
 }
 
-// Part tells which part of waiting work a team's limit lets run beside what it uses.
-func (l *Ledger) Part(team string, waiting Amount) float64 {
+// RunnableShare tells which part of waiting work a team's limit lets run beside what it uses.
+func (l *Ledger) RunnableShare(team string, waiting Amount) float64 {
 	a := l.accounts[team]
 	if a == nil {
 		return 1
 	}
-	return min(part(a.limits.Limit.Cores, a.total.Cores, waiting.Cores),
-		part(a.limits.Limit.Accelerators, a.total.Accelerators, waiting.Accelerators))
+	return min(runnableShare(a.limits.Limit.Cores, a.total.Cores, waiting.Cores),
+		runnableShare(a.limits.Limit.Accelerators, a.total.Accelerators, waiting.Accelerators))
 }
 
-func part(limit, used, waiting Units) float64 {
+func runnableShare(limit, used, waiting Units) float64 {
 	if limit == 0 || used+waiting <= limit {
 		return 1
 	}
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -30,30 +30,30 @@
 	handle *Reservation
 }
 
-// ledgerMachine plays random transitions on a ledger and on a plain model of it: a
+// ledgerModel plays random transitions on a ledger and on a plain model of it: a
 // list of all attempts ever made, summed up anew at every look.
-type ledgerMachine struct {
+type ledgerModel struct {
 	ledger   *Ledger
 	teams    map[string]Limits
 	attempts []*modelReservation
 }
 
-func (m *ledgerMachine) sum(team string, states ...State) (use Use) {
+func (m *ledgerModel) sum(team string, states ...State) (use Use) {
 	for _, r := range m.attempts {
 		for _, s := range states {
 			if r.team == team && r.state == s {
-				use.grow(r.amount)
+				use.add(r.amount)
 			}
 		}
 	}
 	return use
 }
 
-func (m *ledgerMachine) total(team string) Amount {
-	return m.sum(team, Booked, InDoubt, Running, Stopping).Amount
+func (m *ledgerModel) total(team string) Amount {
+	return m.sum(team, Allocated, InDoubt, Running, Stopping).Amount
 }
 
-func (m *ledgerMachine) any(t *rapid.T) *modelReservation {
+func (m *ledgerModel) drawReservation(t *rapid.T) *modelReservation {
 	if len(m.attempts) == 0 {
 		t.Skip("nothing is reserved yet")
 	}
@@ -61,7 +61,7 @@
 }
 
 // Check is the invariant after every transition.
-func (m *ledgerMachine) Check(t *rapid.T) {
+func (m *ledgerModel) Check(t *rapid.T) {
 	for team, limits := range m.teams {
 		got := m.ledger.Usage(team)
 		if got.Total != m.total(team) {
@@ -73,7 +73,7 @@
 		if !limits.Admit(got.Total) {
 			t.Fatalf("%s uses %+v, beyond %+v", team, got.Total, limits.Limit)
 		}
-		for s := Booked; s < Released; s++ {
+		for s := Allocated; s < Released; s++ {
 			if want := m.sum(team, s); got.Of(s) != want {
 				t.Fatalf("%s has %+v %v, the model says %+v", team, got.Of(s), s, want)
 			}
@@ -88,12 +88,12 @@
 	return NewAmount(float64(rapid.IntRange(0, 80).Draw(t, "tenths of cores"))/10, float64(rapid.IntRange(0, 2).Draw(t, "accelerators")))
 }
 
-func (m *ledgerMachine) drawTeam(t *rapid.T) string {
+func (m *ledgerModel) drawTeam(t *rapid.T) string {
 	return rapid.SampledFrom([]string{"tight", "guaranteed", "free"}).Draw(t, "team")
 }
 
 // Reserve asks for room: the ledger grants it exactly where the model has some.
-func (m *ledgerMachine) Reserve(t *rapid.T) {
+func (m *ledgerModel) Reserve(t *rapid.T) {
 	team, amount := m.drawTeam(t), drawAmount(t)
 	fits := m.teams[team].Admit(m.total(team).Plus(amount))
 	handle, err := m.ledger.Reserve(team, amount)
@@ -106,65 +106,65 @@
 		}
 		return
 	}
-	m.attempts = append(m.attempts, &modelReservation{team, amount, Booked, handle})
+	m.attempts = append(m.attempts, &modelReservation{team, amount, Allocated, handle})
 }
 
 // Transitions that come late, twice, or of an attempt that is long gone.
 
-func (m *ledgerMachine) Confirm(t *rapid.T) {
-	r := m.any(t)
-	r.handle.Confirm()
-	if r.state == Booked {
+func (m *ledgerModel) Confirm(t *rapid.T) {
+	r := m.drawReservation(t)
+	r.handle.MarkRecorded()
+	if r.state == Allocated {
 		r.state = InDoubt
 	}
 }
 
-func (m *ledgerMachine) Shown(t *rapid.T) {
-	r := m.any(t)
-	r.handle.Shown()
-	if r.state == Booked || r.state == InDoubt {
+func (m *ledgerModel) Run(t *rapid.T) {
+	r := m.drawReservation(t)
+	r.handle.MarkRunning()
+	if r.state == Allocated || r.state == InDoubt {
 		r.state = Running
 	}
 }
 
-func (m *ledgerMachine) Doubt(t *rapid.T) {
-	r := m.any(t)
-	r.handle.Doubt()
+func (m *ledgerModel) Doubt(t *rapid.T) {
+	r := m.drawReservation(t)
+	r.handle.MarkInDoubt()
 	if r.state == Running {
 		r.state = InDoubt
 	}
 }
 
-func (m *ledgerMachine) Stop(t *rapid.T) {
-	r := m.any(t)
-	r.handle.Stop()
+func (m *ledgerModel) Stop(t *rapid.T) {
+	r := m.drawReservation(t)
+	r.handle.MarkStopping()
 	if r.state != Released {
 		r.state = Stopping
 	}
 }
 
-func (m *ledgerMachine) Release(t *rapid.T) {
-	r := m.any(t)
+func (m *ledgerModel) Release(t *rapid.T) {
+	r := m.drawReservation(t)
 	r.handle.Release()
 	r.state = Released
 }
 
 // Succeed lets a new leader build its ledger from what is recorded: all but what was
 // only booked, which nobody was ever told of. Cancelled work is told to stop anew.
-func (m *ledgerMachine) Succeed(t *rapid.T) {
+func (m *ledgerModel) Succeed(t *rapid.T) {
 	before := map[string]Amount{}
 	for team := range m.teams {
-		before[team] = m.total(team).Minus(m.sum(team, Booked).Amount)
+		before[team] = m.total(team).Minus(m.sum(team, Allocated).Amount)
 	}
 	m.ledger = NewLedger(m.teams)
 	kept := m.attempts[:0]
 	for _, r := range m.attempts {
-		if r.state == Booked || r.state == Released {
+		if r.state == Allocated || r.state == Released {
 			continue
 		}
 		r.handle = m.ledger.Adopt(r.team, r.amount)
 		if r.state == Stopping {
-			r.handle.Stop()
+			r.handle.MarkStopping()
 		} else {
 			r.state = InDoubt
 		}
@@ -182,7 +182,7 @@
 // above its limit or below nothing, and a rebuilt ledger equals the one kept all along.
 func TestLedgerAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &ledgerMachine{teams: map[string]Limits{
+		m := &ledgerModel{teams: map[string]Limits{
 			"tight":      {Limit: NewAmount(10, 3)},
 			"guaranteed": {Guarantee: NewAmount(4, 0), Limit: NewAmount(8, 0)},
 			"free":       {},
@@ -195,13 +195,13 @@
 // A ledger without its check of the limit is caught by the model's: the property
 // test can fail.
 func TestModelCatchesALedgerWithoutLimit(t *testing.T) {
-	m := &ledgerMachine{teams: map[string]Limits{"tight": {Limit: NewAmount(1, 0)}}}
+	m := &ledgerModel{teams: map[string]Limits{"tight": {Limit: NewAmount(1, 0)}}}
 	m.ledger = NewLedger(nil) // it knows no limits
 	handle, err := m.ledger.Reserve("tight", NewAmount(2, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.attempts = append(m.attempts, &modelReservation{"tight", NewAmount(2, 0), Booked, handle})
+	m.attempts = append(m.attempts, &modelReservation{"tight", NewAmount(2, 0), Allocated, handle})
 	if m.teams["tight"].Admit(m.ledger.Usage("tight").Total) {
 		t.Error("a team at twice its limit passes the check")
 	}
@@ -219,7 +219,7 @@
 		if got, want := l.Fits("team", NewAmount(2, 0)), gone == 3; got != want {
 			t.Errorf("%d of 4 gone: room for one more %v, want %v", gone, got, want)
 		}
-		old[gone].Stop()
+		old[gone].MarkStopping()
 		old[gone].Release()
 		old[gone].Release() // a second proof of the same
 	}
@@ -266,29 +266,29 @@
 	var running []*Reservation
 	for range 4 {
 		r := l.Adopt("team", task)
-		r.Shown()
+		r.MarkRunning()
 		running = append(running, r)
 	}
 	draft := l.Draft()
 	for stopped := range 2 {
-		if !draft.Borrows("team", task) {
+		if !draft.BeyondGuarantee("team", task) {
 			t.Errorf("%d of 4 tasks stopped: not beyond two tasks' guarantee", stopped)
 		}
 		draft.Stop("team", task)
 	}
-	if draft.Borrows("team", task) {
+	if draft.BeyondGuarantee("team", task) {
 		t.Error("two of four tasks stopped by the plan: still beyond two tasks' guarantee")
 	}
-	running[0].Stop()
-	running[1].Stop()
-	if l.Draft().Borrows("team", task) {
+	running[0].MarkStopping()
+	running[1].MarkStopping()
+	if l.Draft().BeyondGuarantee("team", task) {
 		t.Error("two of four tasks are being stopped: still beyond two tasks' guarantee")
 	}
-	if draft := l.Draft(); draft.Borrows("team", NewAmount(0, 1)) {
+	if draft := l.Draft(); draft.BeyondGuarantee("team", NewAmount(0, 1)) {
 		t.Error("a team without accelerators borrows some")
 	}
 	var none *Ledger
-	if d := none.Draft(); !d.Fits("team", task) || d.Borrows("team", task) {
+	if d := none.Draft(); !d.Fits("team", task) || d.BeyondGuarantee("team", task) {
 		t.Error("without a ledger there is a limit, or a guarantee")
 	}
 }
@@ -322,7 +322,7 @@
 	if diff := cmp.Diff([]bool{true, false, false, true, false, false}, got); diff != "" {
 		t.Error(diff)
 	}
-	if !l.Guarantees() || NewLedger(map[string]Limits{"b": {Limit: NewAmount(1, 0)}}).Guarantees() {
+	if !l.HasGuarantees() || NewLedger(map[string]Limits{"b": {Limit: NewAmount(1, 0)}}).HasGuarantees() {
 		t.Error("guarantees are seen where there are none, or not where there are")
 	}
 }
@@ -336,9 +336,9 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		r.Confirm()
-		r.Shown()
-		r.Stop()
+		r.MarkRecorded()
+		r.MarkRunning()
+		r.MarkStopping()
 		r.Release()
 	}
 }
--- a/quota/report.go
+++ b/quota/report.go
@@ -78,7 +78,7 @@
 func (u Usage) Report() TeamReport {
 	return TeamReport{
 		Team: u.Team,
-		Tasks: TasksReport{Booked: u.Of(Booked).Tasks, InDoubt: u.Of(InDoubt).Tasks,
+		Tasks: TasksReport{Booked: u.Of(Allocated).Tasks, InDoubt: u.Of(InDoubt).Tasks,
 			Running: u.Of(Running).Tasks, Stopping: u.Of(Stopping).Tasks},
 		Cores:        u.resource(func(a Amount) Units { return a.Cores }),
 		Accelerators: u.resource(func(a Amount) Units { return a.Accelerators }),
@@ -90,7 +90,7 @@
 		Limit:     of(u.Limits.Limit).Decimal(),
 		Guarantee: of(u.Limits.Guarantee).Decimal(),
 		InUse:     of(u.Total).Decimal(),
-		Booked:    of(u.Of(Booked).Amount).Decimal(),
+		Booked:    of(u.Of(Allocated).Amount).Decimal(),
 		InDoubt:   of(u.Of(InDoubt).Amount).Decimal(),
 		Running:   of(u.Of(Running).Amount).Decimal(),
 		Stopping:  of(u.Of(Stopping).Amount).Decimal(),
--- a/quota_test.go
+++ b/quota_test.go
@@ -40,7 +40,7 @@
 	s.resync(ga)
 	ga.mu.Lock()
 	ga.runPlan(ga.clock.Now())
-	reserved := ga.quota.Usage("team").Of(quota.Booked)
+	reserved := ga.quota.Usage("team").Of(quota.Allocated)
 	held := ga.buildTransaction()
 	ga.mu.Unlock()
 	if reserved.Tasks != 2 || held == nil {
