--- a/quota/admission.go
+++ b/quota/admission.go
@@ -10,63 +10,61 @@
 	"golang.org/x/time/rate"
 )
 
-// ErrOverloaded means that a submission can't be taken now: it would have to wait for
-// longer than its sender may be kept waiting.
+// ErrOverloaded means that a submission is not admitted now: it would have to wait longer than its
+// sender may be kept waiting.
 var ErrOverloaded = errors.New("too many submissions")
 
-// equalShare is the part of the changes that is shared equally among the teams, whatever
-// they are guaranteed: a team without a guarantee is heard, too.
-const equalShare = 0.5
-
-// teamBurstSeconds is how many seconds' worth of a team's own share it may use at once.
-const teamBurstSeconds = 0.25
-
-// minBurst is how many submissions a controller takes at once at the least.
-const minBurst = 4
-
-// rateGrowth is the part of the most that the rate grows by with each change that the state
-// service takes, and shrink the part that is left when it refuses one.
 const (
+	// equalShare is the share of the rate that is divided equally among the teams, so that teams
+	// without a guarantee have a share, too.
+	equalShare = 0.5
+	// teamBurstSeconds is how many seconds' worth of its own share a team may use at once.
+	teamBurstSeconds = 0.25
+	// minBurst is the least number of submissions that a controller admits at once.
+	minBurst = 4
+	// rateGrowth is what each change that the state service takes adds to the rate, as a share of
+	// the highest rate.
 	rateGrowth = 0.03
+	// rateShrink is the factor by which the rate falls when the state service is overloaded.
 	rateShrink = 0.6
 )
 
-// Admission divides the changes that one controller may ask of the state service for
-// its users' sake among teams. A team's own share is always there for it; what the
-// others leave of theirs, any team may use, first come first served. Controllers need
-// not talk to each other for it: each divides its own part alike.
+// Admission divides the rate of changes that one controller may request of the state service for its
+// users among the teams. A team's own share is always available to it; what is not used of it is
+// available to all teams, first come first served. Controllers need not coordinate: each divides its
+// own rate in the same way.
 type Admission struct {
 	maxRate, minRate rate.Limit
-	total            *rate.Limiter // counts every submission that is let in
+	total            *rate.Limiter // of all submissions that are admitted
 	teams            map[string]*teamShare
 
-	mu sync.Mutex // guards the limiters: a decision and a change of rate are whole
+	mu sync.Mutex // guards the limiters: decisions and changes of the rate are atomic
 }
 
-// teamShare is what is kept for one team.
+// teamShare is one team's own share of the rate.
 type teamShare struct {
 	share   float64
 	limiter *rate.Limiter
 }
 
-// NewAdmission makes an Admission of at most so many changes a second. Where the state
-// service refuses changes they become fewer, but not less than least.
-func NewAdmission(teams map[string]Limits, most, least float64) *Admission {
-	burst := max(minBurst, int(most))
-	a := &Admission{maxRate: rate.Limit(most), minRate: rate.Limit(least), total: rate.NewLimiter(rate.Limit(most), burst),
+// NewAdmission makes an Admission of at most maxRate changes per second. While the state service is
+// overloaded it admits fewer, down to minRate.
+func NewAdmission(teams map[string]Limits, maxRate, minRate float64) *Admission {
+	burst := max(minBurst, int(maxRate))
+	a := &Admission{maxRate: rate.Limit(maxRate), minRate: rate.Limit(minRate), total: rate.NewLimiter(rate.Limit(maxRate), burst),
 		teams: make(map[string]*teamShare, len(teams))}
-	for name, part := range shares(teams) {
-		a.teams[name] = &teamShare{part, rate.NewLimiter(rate.Limit(part*most), max(1, int(part*most*teamBurstSeconds)))}
+	for name, share := range shares(teams) {
+		a.teams[name] = &teamShare{share, rate.NewLimiter(rate.Limit(share*maxRate), max(1, int(share*maxRate*teamBurstSeconds)))}
 	}
 	return a
 }
 
-// shares divides one among the teams: a part equally, the rest by what they are
-// guaranteed of each resource.
+// shares are the teams' shares of the rate, which add up to one: a part is divided equally, the rest
+// in proportion to their guarantees of each resource.
 func shares(teams map[string]Limits) map[string]float64 {
 	var sum Amount
-	for _, l := range teams {
-		sum = sum.Plus(l.Guarantee)
+	for _, limits := range teams {
+		sum = sum.Plus(limits.Guarantee)
 	}
 	resources := 0.0
 	for _, units := range []Units{sum.Cores, sum.Accelerators} {
@@ -79,10 +77,10 @@
 		equal = 1
 	}
 	out := make(map[string]float64, len(teams))
-	for name, l := range teams {
+	for name, limits := range teams {
 		out[name] = equal / float64(len(teams))
 		if resources > 0 {
-			guaranteed := fraction(l.Guarantee.Cores, sum.Cores) + fraction(l.Guarantee.Accelerators, sum.Accelerators)
+			guaranteed := fraction(limits.Guarantee.Cores, sum.Cores) + fraction(limits.Guarantee.Accelerators, sum.Accelerators)
 			out[name] += (1 - equal) * guaranteed / resources
 		}
 	}
@@ -96,10 +94,10 @@
 	return float64(part) / float64(whole)
 }
 
-// Admit lets a submission of a team in: at once by the team's own share, or when its
-// turn comes, if that is within the given patience. Otherwise it is refused at once.
-func (a *Admission) Admit(ctx context.Context, team string, patience time.Duration) error {
-	turn, wait, ok := a.reserveTurn(team, patience)
+// Admit admits a submission of a team: at once by the team's own share, otherwise when its turn
+// comes. If that takes longer than maxWait it returns ErrOverloaded at once.
+func (a *Admission) Admit(ctx context.Context, team string, maxWait time.Duration) error {
+	turn, wait, ok := a.reserveTurn(team, maxWait)
 	if !ok {
 		return fmt.Errorf("team %q: %w", team, ErrOverloaded)
 	}
@@ -117,44 +115,43 @@
 	}
 }
 
-// reserveTurn finds a submission its turn. One at a time: a turn that is given back while
-// others are being taken would be lost to all.
-func (a *Admission) reserveTurn(team string, patience time.Duration) (turn *rate.Reservation, wait time.Duration, ok bool) {
+// reserveTurn reserves a submission's turn. The lock makes it one at a time: the limiter would lose
+// a turn that is cancelled while others are being reserved.
+func (a *Admission) reserveTurn(team string, maxWait time.Duration) (turn *rate.Reservation, wait time.Duration, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
 	own := a.teams[team]
-	mine := own != nil && own.limiter.AllowN(now, 1)
+	byOwnShare := own != nil && own.limiter.AllowN(now, 1)
 	turn = a.total.ReserveN(now, 1)
-	if mine {
-		return turn, 0, true // counted, not waited for
+	if byOwnShare {
+		return turn, 0, true // it counts for the total, but does not wait for it
 	}
 	wait = turn.DelayFrom(now)
-	if !turn.OK() || wait > patience {
+	if !turn.OK() || wait > maxWait {
 		turn.CancelAt(now)
 		return nil, 0, false
 	}
 	return turn, wait, true
 }
 
-// ReportOverload notes that the state service had too much to do for a user's change: fewer
-// submissions are let in from now on.
+// ReportOverload lowers the rate: the state service was too busy for a user's change.
 func (a *Admission) ReportOverload() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.setRate(max(a.minRate, rateShrink*a.total.Limit()))
 }
 
-// ReportSuccess notes that the state service took a user's change: more are let in again.
+// ReportSuccess raises the rate, up to its maximum: the state service took a user's change.
 func (a *Admission) ReportSuccess() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if now := a.total.Limit(); now < a.maxRate {
-		a.setRate(min(a.maxRate, now+rateGrowth*a.maxRate))
+	if current := a.total.Limit(); current < a.maxRate {
+		a.setRate(min(a.maxRate, current+rateGrowth*a.maxRate))
 	}
 }
 
-// setRate changes how much is let in. The caller holds mu.
+// setRate sets the rate, and with it the teams' own. The caller holds mu.
 func (a *Admission) setRate(total rate.Limit) {
 	a.total.SetLimit(total)
 	for _, own := range a.teams {
--- a/quota/admission_test.go
+++ b/quota/admission_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Shares follow the guarantees, leave none without, and add up to all.
+// Shares follow the guarantees, are never zero, and add up to one.
 func TestShares(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -36,26 +36,26 @@
 	}
 }
 
-// floodResult counts what a flood and a steady trickle get through one controller in a
-// minute, with the longest that the trickle was kept waiting.
+// floodResult counts the submissions of a flooding and of a steady team at one controller in a minute.
 type floodResult struct {
-	admittedFlood, refusedFlood, admittedSteady, refusedSteady int64
-	longestWait                                                time.Duration
+	admittedFlood, refusedFlood   int64
+	admittedSteady, refusedSteady int64
+	longestWait                   time.Duration // of the steady team
 }
 
-// runFlood lets one team submit from a hundred senders at once, without a pause but for
-// the second after a refusal, and another four times a second.
-func runFlood(a *Admission) (out floodResult) {
-	const patience = 1500 * time.Millisecond
+// runFlood has one team submit from a hundred senders, with no pause but a second after each refusal,
+// and another team four times a second.
+func runFlood(a *Admission) (result floodResult) {
+	const maxWait = 1500 * time.Millisecond
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	var flood, refused atomic.Int64
+	var admitted, refused atomic.Int64
 	var wg sync.WaitGroup
 	for range 100 {
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				if err := a.Admit(ctx, "flood", patience); err == nil {
-					flood.Add(1)
+				if err := a.Admit(ctx, "flood", maxWait); err == nil {
+					admitted.Add(1)
 				} else {
 					refused.Add(1)
 					time.Sleep(time.Second)
@@ -65,91 +65,90 @@
 	}
 	for ctx.Err() == nil {
 		time.Sleep(250 * time.Millisecond)
-		began := time.Now()
-		if err := a.Admit(ctx, "trickle", patience); err == nil {
-			out.admittedSteady++
+		start := time.Now()
+		if err := a.Admit(ctx, "steady", maxWait); err == nil {
+			result.admittedSteady++
 		} else if ctx.Err() == nil {
-			out.refusedSteady++
+			result.refusedSteady++
 		}
-		out.longestWait = max(out.longestWait, time.Since(began))
+		result.longestWait = max(result.longestWait, time.Since(start))
 	}
 	wg.Wait()
-	out.admittedFlood, out.refusedFlood = flood.Load(), refused.Load()
-	return out
+	result.admittedFlood, result.refusedFlood = admitted.Load(), refused.Load()
+	return result
 }
 
-// One team's flood neither keeps another from its share nor gets more through than the
-// state service takes; without shares, it does keep it out.
+// One team's flood neither keeps another team from its share nor exceeds what the state service
+// takes. Without shares it does delay the other team.
 func TestFloodLeavesOtherTeamsTheirShare(t *testing.T) {
-	const most = 10 // changes a second
+	const maxRate = 10 // changes per second
 	synctest.Test(t, func(t *testing.T) {
-		got := runFlood(NewAdmission(map[string]Limits{"flood": {}, "trickle": {Guarantee: NewAmount(4, 0)}}, most, 1))
+		got := runFlood(NewAdmission(map[string]Limits{"flood": {}, "steady": {Guarantee: NewAmount(4, 0)}}, maxRate, 1))
 		t.Logf("with shares: %+v", got)
 		if got.refusedSteady > 0 || got.longestWait > 0 || got.admittedSteady < 230 {
-			t.Errorf("the trickle: %+v, want all at once", got)
+			t.Errorf("steady team: %+v, want all admitted at once", got)
 		}
-		if got.admittedFlood < 60*(most-4)*9/10 || got.admittedFlood+got.admittedSteady > 60*most+3*most || got.refusedFlood == 0 {
-			t.Errorf("the flood: %+v, want what the trickle leaves", got)
+		if got.admittedFlood < 60*(maxRate-4)*9/10 || got.admittedFlood+got.admittedSteady > 60*maxRate+3*maxRate || got.refusedFlood == 0 {
+			t.Errorf("flooding team: %+v, want what the steady team leaves", got)
 		}
 	})
 	synctest.Test(t, func(t *testing.T) {
-		if got := runFlood(NewAdmission(nil, most, 1)); got.refusedSteady == 0 && got.longestWait < time.Second {
-			t.Errorf("without shares the flood keeps nobody out: %+v", got)
+		if got := runFlood(NewAdmission(nil, maxRate, 1)); got.refusedSteady == 0 && got.longestWait < time.Second {
+			t.Errorf("without shares the steady team is not delayed: %+v", got)
 		}
 	})
 }
 
-// A share that nobody uses goes to whoever asks.
+// Other teams may use what a team leaves of its share.
 func TestUnusedShareGoesToOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const most = 10
-		a := NewAdmission(map[string]Limits{"a": {}, "b": {Guarantee: NewAmount(100, 0)}}, most, 1)
+		const maxRate = 10
+		a := NewAdmission(map[string]Limits{"a": {}, "b": {Guarantee: NewAmount(100, 0)}}, maxRate, 1)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		n := 0
 		for a.Admit(ctx, "a", time.Minute) == nil {
 			n++
 		}
-		if n < 60*most*9/10 {
-			t.Errorf("%d in a minute, want nearly all of %d", n, 60*most)
+		if n < 60*maxRate*9/10 {
+			t.Errorf("%d in a minute, want nearly all of %d", n, 60*maxRate)
 		}
 	})
 }
 
-// What can't be taken is refused at once, and costs those who wait nothing.
-func TestRefusedAtOnce(t *testing.T) {
+// A submission that would wait too long is refused at once, and takes no turn of those that wait.
+func TestRefusalIsImmediate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := NewAdmission(map[string]Limits{"a": {}}, 4, 1)
-		began := time.Now()
+		start := time.Now()
 		var err error
 		for range 100 {
 			if err = a.Admit(t.Context(), "a", 0); err != nil {
 				break
 			}
 		}
-		if !errors.Is(err, ErrOverloaded) || time.Since(began) > 0 {
-			t.Fatalf("after %v: %v", time.Since(began), err)
+		if !errors.Is(err, ErrOverloaded) || time.Since(start) > 0 {
+			t.Fatalf("after %v: %v", time.Since(start), err)
 		}
 		if err := a.Admit(t.Context(), "unknown", time.Second); err != nil {
-			t.Errorf("with a second's patience: %v", err)
+			t.Errorf("with a second's wait: %v", err)
 		}
 	})
 }
 
-// The rate follows what the state service takes, between its bounds, and the own
-// shares follow the rate.
-func TestRateFollowsTheService(t *testing.T) {
+// The rate follows what the state service takes, between its bounds, and the teams' own rates with it.
+func TestRateFollowsStateService(t *testing.T) {
 	a := NewAdmission(map[string]Limits{"a": {}, "b": {}}, 100, 20)
 	for range 20 {
 		a.ReportOverload()
 	}
 	if got, own := a.total.Limit(), a.teams["a"].limiter.Limit(); got != 20 || own != 10 {
-		t.Errorf("refused again and again: %v, own %v", got, own)
+		t.Errorf("after overloads: %v, own %v", got, own)
 	}
 	for range 40 {
 		a.ReportSuccess()
 	}
 	if got, own := a.total.Limit(), a.teams["a"].limiter.Limit(); got != 100 || own != 50 {
-		t.Errorf("taken again and again: %v, own %v", got, own)
+		t.Errorf("after successes: %v, own %v", got, own)
 	}
 }
--- a/quota/draft.go
+++ b/quota/draft.go
@@ -1,41 +1,42 @@
 package quota
 
-// Draft is the ledger as it would be after the steps of a plan that is being made.
-// It leaves the ledger as it is: a plan takes effect only by reservations.
+// Draft is the ledger as it would be after the steps of a plan in the making. It leaves the ledger
+// unchanged: a plan takes effect by reservations only.
 type Draft struct {
-	ledger *Ledger
-	deltas map[string]*delta
+	ledger  *Ledger
+	changes map[string]*planChange
 }
 
-// delta is what a plan changes of one team's use.
-type delta struct {
-	planned  Amount // started by the plan, less what it takes off
-	stopping Amount // told to stop by the plan: it counts for the limit until it is gone
+// planChange is what a plan changes of one team's usage.
+type planChange struct {
+	started  Amount // by the plan, less what it removes
+	stopping Amount // by the plan; it counts for the limit until it is released
 }
 
-// Draft begins a draft. A nil ledger knows no limits and no guarantees.
-func (l *Ledger) Draft() *Draft { return &Draft{ledger: l, deltas: map[string]*delta{}} }
-
-// isIrrelevant tells whether nothing depends on what the draft does to a team's use.
-func (d *Draft) isIrrelevant(team string) bool {
-	return !d.HasQuotas() || !d.ledger.hasGuarantees && !d.ledger.Limits(team).HasLimit()
-}
+// Draft starts a draft. A nil ledger has no limits and no guarantees.
+func (l *Ledger) Draft() *Draft { return &Draft{ledger: l, changes: map[string]*planChange{}} }
 
 // HasQuotas tells whether any team has a limit or a guarantee.
 func (d *Draft) HasQuotas() bool {
 	return d.ledger != nil && (d.ledger.hasLimits || d.ledger.hasGuarantees)
 }
 
-func (d *Draft) delta(team string) *delta {
-	x := d.deltas[team]
-	if x == nil {
-		x = &delta{}
-		d.deltas[team] = x
+// isIrrelevant tells whether no answer of the draft depends on what the plan changes of a team's usage.
+func (d *Draft) isIrrelevant(team string) bool {
+	return !d.HasQuotas() || !d.ledger.hasGuarantees && !d.ledger.Limits(team).HasLimit()
+}
+
+// change is the plan's change to a team's usage, added if there is none.
+func (d *Draft) change(team string) *planChange {
+	change := d.changes[team]
+	if change == nil {
+		change = &planChange{}
+		d.changes[team] = change
 	}
-	return x
+	return change
 }
 
-// usage is the team's account and its use with the draft's steps.
+// usage is the team's account, nil if it has none, and its usage after the plan's steps.
 func (d *Draft) usage(team string) (account *account, total, stopping Amount) {
 	if d.ledger == nil {
 		return nil, Amount{}, Amount{}
@@ -45,18 +46,19 @@
 		return nil, Amount{}, Amount{}
 	}
 	total = account.total
-	if x := d.deltas[team]; x != nil {
-		total, stopping = total.Plus(x.planned), x.stopping
+	if change := d.changes[team]; change != nil {
+		total, stopping = total.Plus(change.started), change.stopping
 	}
 	return account, total, stopping
 }
 
-// withoutStopping is what is left of a team's use when all that is being stopped is gone.
+// withoutStopping is what remains of a team's usage when everything that is being stopped, by the
+// plan or by earlier ones, is released.
 func (a *account) withoutStopping(total, stopping Amount) Amount {
 	return total.Minus(stopping).Minus(a.states[Stopping].Amount)
 }
 
-// Fits tells whether a team may use so much more.
+// Fits tells whether a team's limit allows it to use more by the given amount.
 func (d *Draft) Fits(team string, more Amount) bool {
 	if d.isIrrelevant(team) {
 		return true
@@ -65,66 +67,65 @@
 	return account == nil || account.limits.Admit(total.Plus(more))
 }
 
-// Add takes a task that the plan starts into its team's use.
+// Add adds a task that the plan starts to its team's usage.
 func (d *Draft) Add(team string, amount Amount) {
 	if d.isIrrelevant(team) {
 		return
 	}
-	x := d.delta(team)
-	x.planned = x.planned.Plus(amount)
+	change := d.change(team)
+	change.started = change.started.Plus(amount)
 }
 
-// Remove takes a task that the plan no longer starts, or looks at elsewhere, off its
-// team's use.
+// Remove removes a task from its team's usage that the plan no longer starts, or starts elsewhere.
 func (d *Draft) Remove(team string, amount Amount) {
 	if d.isIrrelevant(team) {
 		return
 	}
-	x := d.delta(team)
-	x.planned = x.planned.Minus(amount)
+	change := d.change(team)
+	change.started = change.started.Minus(amount)
 }
 
-// Stop notes that the plan stops a task. Its team is no longer beyond its guarantee by
-// it, though it counts for the limit until it is proved gone.
+// Stop notes that the plan stops a task. The task no longer counts as beyond its team's guarantee,
+// but for the limit until it is released.
 func (d *Draft) Stop(team string, amount Amount) {
 	if d.isIrrelevant(team) {
 		return
 	}
-	x := d.delta(team)
-	x.stopping = x.stopping.Plus(amount)
+	change := d.change(team)
+	change.stopping = change.stopping.Plus(amount)
 }
 
-// Resume takes a Stop back.
+// Resume reverts a Stop.
 func (d *Draft) Resume(team string, amount Amount) {
 	if d.isIrrelevant(team) {
 		return
 	}
-	x := d.delta(team)
-	x.stopping = x.stopping.Minus(amount)
+	change := d.change(team)
+	change.stopping = change.stopping.Minus(amount)
 }
 
-// BeyondGuarantee tells whether tasks of a team that take so much together are beyond its guarantee:
-// stopping them leaves it what it is guaranteed, in a resource that they take. Such
-// work may be stopped to give another team its guarantee. What is being stopped already counts no
-// more, or a team would lose its own guarantee while the stops of its work are under way.
+// BeyondGuarantee tells whether tasks of a team that use the given amount together are beyond its
+// guarantee: without them the team still uses what it is guaranteed of a resource that they use. Such
+// tasks may be preempted for another team's guarantee. What is being stopped already does not count,
+// or a team would lose its own guarantee while its tasks are stopping.
 func (d *Draft) BeyondGuarantee(team string, tasks Amount) bool {
 	account, total, stopping := d.usage(team)
 	if account == nil {
 		return false
 	}
-	left := account.withoutStopping(total, stopping).Minus(tasks)
+	remaining := account.withoutStopping(total, stopping).Minus(tasks)
 	guarantee := account.limits.Guarantee
-	return tasks.Cores > 0 && left.Cores >= guarantee.Cores ||
-		tasks.Accelerators > 0 && left.Accelerators >= guarantee.Accelerators
+	return tasks.Cores > 0 && remaining.Cores >= guarantee.Cores ||
+		tasks.Accelerators > 0 && remaining.Accelerators >= guarantee.Accelerators
 }
 
-// RemainingGuarantee is how much more a team may run within its guarantee. What is being stopped
-// counts no more.
+// RemainingGuarantee is how much more a team may use within its guarantee. What is being stopped does
+// not count as used.
 func (d *Draft) RemainingGuarantee(team string) Amount {
 	account, total, stopping := d.usage(team)
 	if account == nil {
 		return Amount{}
 	}
-	owed := account.limits.Guarantee.Minus(account.withoutStopping(total, stopping))
-	return Amount{Cores: max(0, owed.Cores), Accelerators: max(0, owed.Accelerators)}
+	remaining := account.limits.Guarantee.Minus(account.withoutStopping(total, stopping))
+	return Amount{Cores: max(0, remaining.Cores), Accelerators: max(0, remaining.Accelerators)}
 }
--- a/quota/entitlement.go
+++ b/quota/entitlement.go
@@ -1,13 +1,13 @@
 package quota
 
-// Demand is what an unfinished job asks for.
+// Demand is what an unfinished job needs.
 type Demand struct {
 	Team   string
 	Amount Amount
 }
 
-// Entitled tells for each job, given in the order of acceptance, whether it fits into
-// its team's guarantee together with the team's earlier ones.
+// Entitled tells for each job, given in the order of acceptance, whether it fits into its team's
+// guarantee together with the team's earlier jobs.
 func (l *Ledger) Entitled(jobs []Demand) []bool {
 	entitled := make([]bool, len(jobs))
 	sums := map[string]Amount{}
@@ -26,10 +26,28 @@
 // HasGuarantees tells whether any team has a guarantee.
 func (l *Ledger) HasGuarantees() bool { return l != nil && l.hasGuarantees }
 
-// TotalGuarantee is the sum of all guarantees.
+// TotalGuarantee is the sum of all teams' guarantees.
 func (l *Ledger) TotalGuarantee() (sum Amount) {
-	for _, a := range l.accounts {
-		sum = sum.Plus(a.limits.Guarantee)
+	for _, account := range l.accounts {
+		sum = sum.Plus(account.limits.Guarantee)
 	}
 	return sum
 }
+
+// RunnableShare is the share of a team's waiting work that its limit allows to run in addition to
+// what it uses.
+func (l *Ledger) RunnableShare(team string, waiting Amount) float64 {
+	account := l.accounts[team]
+	if account == nil {
+		return 1
+	}
+	return min(runnableShare(account.limits.Limit.Cores, account.total.Cores, waiting.Cores),
+		runnableShare(account.limits.Limit.Accelerators, account.total.Accelerators, waiting.Accelerators))
+}
+
+func runnableShare(limit, used, waiting Units) float64 {
+	if limit == 0 || used+waiting <= limit {
+		return 1
+	}
+	return float64(max(0, limit-used)) / float64(waiting)
+}
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -22,7 +22,10 @@
 	os.Exit(m.Run())
 }
 
-// modelReservation is what the plain model keeps of one attempt.
+// newTeamLedger makes a ledger of one team, named team.
+func newTeamLedger(limits Limits) *Ledger { return NewLedger(map[string]Limits{"team": limits}) }
+
+// modelReservation is one attempt in the model, with its reservation in the ledger.
 type modelReservation struct {
 	team   string
 	amount Amount
@@ -30,8 +33,8 @@
 	handle *Reservation
 }
 
-// ledgerModel plays random transitions on a ledger and on a plain model of it: a
-// list of all attempts ever made, summed up anew at every look.
+// ledgerModel is a state machine that makes random transitions on a ledger and on a simple model of
+// it: a list of all attempts, summed up for each check.
 type ledgerModel struct {
 	ledger   *Ledger
 	teams    map[string]Limits
@@ -55,12 +58,12 @@
 
 func (m *ledgerModel) drawReservation(t *rapid.T) *modelReservation {
 	if len(m.attempts) == 0 {
-		t.Skip("nothing is reserved yet")
+		t.Skip("no reservations")
 	}
 	return m.attempts[rapid.IntRange(0, len(m.attempts)-1).Draw(t, "attempt")]
 }
 
-// Check is the invariant after every transition.
+// Check is the invariant that is checked after every transition.
 func (m *ledgerModel) Check(t *rapid.T) {
 	for team, limits := range m.teams {
 		got := m.ledger.Usage(team)
@@ -68,10 +71,10 @@
 			t.Fatalf("%s uses %+v, the model says %+v", team, got.Total, m.total(team))
 		}
 		if got.Total.Cores < 0 || got.Total.Accelerators < 0 {
-			t.Fatalf("%s uses less than nothing: %+v", team, got.Total)
+			t.Fatalf("%s has negative usage: %+v", team, got.Total)
 		}
 		if !limits.Admit(got.Total) {
-			t.Fatalf("%s uses %+v, beyond %+v", team, got.Total, limits.Limit)
+			t.Fatalf("%s uses %+v, limit %+v", team, got.Total, limits.Limit)
 		}
 		for s := Allocated; s < Released; s++ {
 			if want := m.sum(team, s); got.Of(s) != want {
@@ -92,24 +95,24 @@
 	return rapid.SampledFrom([]string{"tight", "guaranteed", "free"}).Draw(t, "team")
 }
 
-// Reserve asks for room: the ledger grants it exactly where the model has some.
+// Reserve makes a reservation, which succeeds if and only if it fits the limit in the model.
 func (m *ledgerModel) Reserve(t *rapid.T) {
 	team, amount := m.drawTeam(t), drawAmount(t)
 	fits := m.teams[team].Admit(m.total(team).Plus(amount))
 	handle, err := m.ledger.Reserve(team, amount)
 	if (err == nil) != fits {
-		t.Fatalf("reserve %+v for %s: %v, and it fits: %v", amount, team, err, fits)
+		t.Fatalf("reserve %+v for %s: %v, want success: %v", amount, team, err, fits)
 	}
 	if err != nil {
 		if !errors.Is(err, ErrOverLimit) {
-			t.Fatalf("refused with %v", err)
+			t.Fatalf("error %v, want ErrOverLimit", err)
 		}
 		return
 	}
 	m.attempts = append(m.attempts, &modelReservation{team, amount, Allocated, handle})
 }
 
-// Transitions that come late, twice, or of an attempt that is long gone.
+// The following transitions may come late, twice, or after the attempt was released.
 
 func (m *ledgerModel) Confirm(t *rapid.T) {
 	r := m.drawReservation(t)
@@ -149,8 +152,8 @@
 	r.state = Released
 }
 
-// Succeed lets a new leader build its ledger from what is recorded: all but what was
-// only booked, which nobody was ever told of. Cancelled work is told to stop anew.
+// Succeed replaces the ledger by that of a new leader, which adopts everything that is recorded:
+// attempts that were only allocated are not. Attempts that were stopping are told to stop again.
 func (m *ledgerModel) Succeed(t *rapid.T) {
 	before := map[string]Amount{}
 	for team := range m.teams {
@@ -173,13 +176,13 @@
 	m.attempts = kept
 	for team, want := range before {
 		if got := m.ledger.Usage(team).Total; got != want {
-			t.Fatalf("%s uses %+v under the successor, %+v before", team, got, want)
+			t.Fatalf("%s uses %+v after failover, %+v before", team, got, want)
 		}
 	}
 }
 
-// Whatever comes in whatever order, the ledger agrees with the plain model: no team is
-// above its limit or below nothing, and a rebuilt ledger equals the one kept all along.
+// After any transitions in any order the ledger agrees with the model, no team's usage is above its
+// limit or negative, and a ledger that is rebuilt after failover has the same totals.
 func TestLedgerAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &ledgerModel{teams: map[string]Limits{
@@ -192,11 +195,10 @@
 	})
 }
 
-// A ledger without its check of the limit is caught by the model's: the property
-// test can fail.
-func TestModelCatchesALedgerWithoutLimit(t *testing.T) {
+// The model's check of the limit fails for a ledger that does not enforce it.
+func TestModelDetectsLedgerWithoutLimits(t *testing.T) {
 	m := &ledgerModel{teams: map[string]Limits{"tight": {Limit: NewAmount(1, 0)}}}
-	m.ledger = NewLedger(nil) // it knows no limits
+	m.ledger = NewLedger(nil)
 	handle, err := m.ledger.Reserve("tight", NewAmount(2, 0))
 	if err != nil {
 		t.Fatal(err)
@@ -207,47 +209,47 @@
 	}
 }
 
-// Under limits that were lowered, what a predecessor recorded counts in full, and
-// nothing more is granted until enough of it is proved gone.
+// After a limit was lowered, recorded attempts count in full, and nothing more is reserved until enough
+// of them are released.
 func TestLowerLimitAfterRestart(t *testing.T) {
-	l := NewLedger(map[string]Limits{"team": {Limit: NewAmount(4, 0)}})
+	l := newTeamLedger(Limits{Limit: NewAmount(4, 0)})
 	var old []*Reservation
 	for range 4 {
 		old = append(old, l.Adopt("team", NewAmount(2, 0)))
 	}
-	for gone := range 4 {
-		if got, want := l.Fits("team", NewAmount(2, 0)), gone == 3; got != want {
-			t.Errorf("%d of 4 gone: room for one more %v, want %v", gone, got, want)
+	for released := range 4 {
+		if got, want := l.Fits("team", NewAmount(2, 0)), released == 3; got != want {
+			t.Errorf("%d of 4 released: one more fits %v, want %v", released, got, want)
 		}
-		old[gone].MarkStopping()
-		old[gone].Release()
-		old[gone].Release() // a second proof of the same
+		old[released].MarkStopping()
+		old[released].Release()
+		old[released].Release() // no effect
 	}
 	if got := l.Usage("team").Total; got != (Amount{}) {
-		t.Errorf("all is gone, and %+v is in use", got)
+		t.Errorf("all are released, and %+v is in use", got)
 	}
 }
 
-// A team that the settings no longer name keeps what it runs, without limits.
+// A team that was removed from the settings keeps its usage and has no limits.
 func TestTeamWithoutSettings(t *testing.T) {
 	l := NewLedger(map[string]Limits{"team": {}})
-	l.Adopt("gone", NewAmount(7, 0))
-	if got := l.Usage("gone").Total; got != NewAmount(7, 0) {
+	l.Adopt("removed", NewAmount(7, 0))
+	if got := l.Usage("removed").Total; got != NewAmount(7, 0) {
 		t.Errorf("uses %+v", got)
 	}
-	if diff := cmp.Diff([]string{"gone", "team"}, l.Teams()); diff != "" {
+	if diff := cmp.Diff([]string{"removed", "team"}, l.Teams()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Sums of decimals are exact, in whatever order, and no amount is absurd.
+// Decimal amounts are rounded and bounded, and their sums are exact.
 func TestUnits(t *testing.T) {
 	for decimal, want := range map[float64]Units{0.1: 100_000, 4: 4_000_000, 0.0000004: 0, -3: 0, math.NaN(): 0, math.Inf(1): maxUnits, 1e300: maxUnits} {
 		if got := ToUnits(decimal); got != want {
 			t.Errorf("%v: %d, want %d", decimal, got, want)
 		}
 	}
-	l := NewLedger(map[string]Limits{"team": {Limit: NewAmount(0.3, 0)}})
+	l := newTeamLedger(Limits{Limit: NewAmount(0.3, 0)})
 	for range 3 {
 		if _, err := l.Reserve("team", NewAmount(0.1, 0)); err != nil {
 			t.Fatal(err)
@@ -258,11 +260,11 @@
 	}
 }
 
-// Beyond its guarantee is only what is not being stopped: stops that are under way
-// count, those of the plan as well as those of earlier ones.
-func TestBorrowsLessWhatIsBeingStopped(t *testing.T) {
+// What is being stopped does not count as beyond the guarantee, whether the plan or an earlier one
+// stops it.
+func TestBeyondGuaranteeWithoutStopping(t *testing.T) {
 	task := NewAmount(4, 0)
-	l := NewLedger(map[string]Limits{"team": {Guarantee: NewAmount(8, 0)}})
+	l := newTeamLedger(Limits{Guarantee: NewAmount(8, 0)})
 	var running []*Reservation
 	for range 4 {
 		r := l.Adopt("team", task)
@@ -285,35 +287,35 @@
 		t.Error("two of four tasks are being stopped: still beyond two tasks' guarantee")
 	}
 	if draft := l.Draft(); draft.BeyondGuarantee("team", NewAmount(0, 1)) {
-		t.Error("a team without accelerators borrows some")
+		t.Error("a team without accelerators is beyond its guarantee of them")
 	}
 	var none *Ledger
 	if d := none.Draft(); !d.Fits("team", task) || d.BeyondGuarantee("team", task) {
-		t.Error("without a ledger there is a limit, or a guarantee")
+		t.Error("a nil ledger has a limit or a guarantee")
 	}
 }
 
-// A draft changes nothing but itself.
-func TestDraftLeavesTheLedger(t *testing.T) {
+// A draft leaves its ledger unchanged.
+func TestDraftLeavesLedgerUnchanged(t *testing.T) {
 	task := NewAmount(4, 1)
-	l := NewLedger(map[string]Limits{"team": {Limit: NewAmount(8, 0)}})
+	l := newTeamLedger(Limits{Limit: NewAmount(8, 0)})
 	l.Adopt("team", task)
 	before := l.Usage("team")
 	d := l.Draft()
 	d.Add("team", task)
 	if d.Fits("team", task) {
-		t.Error("three tasks fit where two may run")
+		t.Error("three tasks fit a limit of two")
 	}
 	d.Remove("team", task)
 	if !d.Fits("team", task) {
-		t.Error("what a plan took back still counts")
+		t.Error("a task that was removed still counts")
 	}
 	if diff := cmp.Diff(before, l.Usage("team")); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Jobs are within the guarantee together with the team's earlier ones.
+// A job is entitled if it fits into the guarantee together with the team's earlier jobs.
 func TestEntitled(t *testing.T) {
 	l := NewLedger(map[string]Limits{"a": {Guarantee: NewAmount(8, 0)}, "b": {}, "c": {Guarantee: NewAmount(4, 2)}})
 	got := l.Entitled([]Demand{
@@ -323,13 +325,13 @@
 		t.Error(diff)
 	}
 	if !l.HasGuarantees() || NewLedger(map[string]Limits{"b": {Limit: NewAmount(1, 0)}}).HasGuarantees() {
-		t.Error("guarantees are seen where there are none, or not where there are")
+		t.Error("HasGuarantees is wrong")
 	}
 }
 
-// BenchmarkReserve is the cost of an attempt's whole way through the ledger.
+// BenchmarkReserve is the cost of all transitions of one reservation.
 func BenchmarkReserve(b *testing.B) {
-	l := NewLedger(map[string]Limits{"team": {Limit: NewAmount(100, 0)}})
+	l := newTeamLedger(Limits{Limit: NewAmount(100, 0)})
 	amount := NewAmount(4, 0)
 	for b.Loop() {
 		r, err := l.Reserve("team", amount)
--- a/quota/report.go
+++ b/quota/report.go
@@ -1,27 +1,27 @@
 package quota
 
-// Reason is why tasks wait.
+// Reason is why a task waits.
 type Reason string
 
-// The reasons, in the order in which they are looked for.
+// The reasons, in the order in which they are checked.
 const (
-	// ReasonCancelling: its user has asked to cancel it, which is being confirmed.
+	// ReasonCancelling: its cancellation is pending.
 	ReasonCancelling Reason = "cancelling"
 	// ReasonLimit: its team is at its limit.
 	ReasonLimit Reason = "limit"
-	// ReasonRetry: an attempt failed, and the next waits for a while.
+	// ReasonRetry: an attempt failed, and the next is delayed.
 	ReasonRetry Reason = "retry"
-	// ReasonNew: it came a moment ago.
+	// ReasonNew: its job was accepted a moment ago.
 	ReasonNew Reason = "new"
-	// ReasonRoom: no machine that it may use has room.
+	// ReasonRoom: no machine that it may use has enough free resources.
 	ReasonRoom Reason = "room"
 )
 
-// ResourceReport is what a team may use and uses of one resource.
+// ResourceReport is a team's quota and usage of one resource.
 type ResourceReport struct {
 	Limit     float64 `json:"limit"`     // 0: none
 	Guarantee float64 `json:"guarantee"` // 0: none
-	InUse     float64 `json:"in_use"`    // the sum of the following
+	InUse     float64 `json:"in_use"`    // sum of the following
 	Booked    float64 `json:"booked"`
 	InDoubt   float64 `json:"in_doubt"`
 	Running   float64 `json:"running"`
@@ -36,15 +36,15 @@
 	Stopping int `json:"stopping"`
 }
 
-// WaitingReport is a team's work that waits.
+// WaitingReport counts a team's waiting work.
 type WaitingReport struct {
 	Jobs            int            `json:"jobs"`
 	Tasks           int            `json:"tasks"`
 	WithinGuarantee int            `json:"within_guarantee"` // tasks of jobs within the team's guarantee
-	Reasons         map[Reason]int `json:"reasons"`          // tasks by why they wait
+	Reasons         map[Reason]int `json:"reasons"`          // tasks by reason
 }
 
-// Add notes tasks of one job that wait for one reason.
+// Add counts tasks that wait for the same reason.
 func (w *WaitingReport) Add(reason Reason, tasks int) {
 	if tasks <= 0 {
 		return
@@ -56,7 +56,8 @@
 	w.Reasons[reason] += tasks
 }
 
-// TeamReport is what operators are told of a team.
+// TeamReport is one team's quota, usage and waiting work. Controllers send it to each other in gob,
+// which identifies fields by their Go names: they must not be renamed, here or in its parts.
 type TeamReport struct {
 	Team         string         `json:"team"`
 	Tasks        TasksReport    `json:"tasks"`
@@ -65,16 +66,16 @@
 	Waiting      WaitingReport  `json:"waiting"`
 }
 
-// Report is what operators are told of all teams.
+// Report is the quota, usage and waiting work of all teams, for operators.
 type Report struct {
-	Node   string       `json:"node"`   // the controller that answers
+	Node   string       `json:"node"`   // the controller that answered
 	Leader string       `json:"leader"` // the controller whose ledger it shows
 	Fresh  bool         `json:"fresh"`  // it was read from the leader's ledger for this answer
 	AgeS   float64      `json:"age_s"`  // seconds since it was read from it
 	Teams  []TeamReport `json:"teams"`
 }
 
-// Report gives a team's use as operators see it, without its waiting work.
+// Report is the team's report without its waiting work.
 func (u Usage) Report() TeamReport {
 	return TeamReport{
 		Team: u.Team,
@@ -85,6 +86,7 @@
 	}
 }
 
+// resource is the report of the resource that is chosen from an amount.
 func (u Usage) resource(of func(a Amount) Units) ResourceReport {
 	return ResourceReport{
 		Limit:     of(u.Limits.Limit).Decimal(),
