--- a/api/api.go
+++ b/api/api.go
@@ -294,7 +294,7 @@
 		return ""
 	}
 	if rest == "" {
-		return wire.UIDOf(body)
+		return wire.DecodeUID(body)
 	}
 	uid, _, _ := strings.Cut(rest[1:], "/")
 	return uid
@@ -342,7 +342,7 @@
 	spec, malformed := wire.DecodeSpec(body)
 	uid := spec.UID
 	if malformed != nil {
-		uid = wire.UIDOf(body)
+		uid = wire.DecodeUID(body)
 	}
 	verdict, why := http.StatusCreated, ""
 	if malformed != nil {
--- a/wire/state.go
+++ b/wire/state.go
@@ -2,7 +2,7 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// Row is a key of the state service.
+// Row is a key with its value in the state service.
 type Row struct {
 	Key         string             `msgpack:"path"`
 	Value       msgpack.RawMessage `msgpack:"v"`
@@ -17,13 +17,13 @@
 	Revision uint64 `msgpack:"epoch"`
 }
 
-// Condition is a condition of a transaction; stamp 0 means that the key must not exist.
+// Condition is a condition of a transaction: the key's revision, zero if it must not exist.
 type Condition struct {
 	Key         string `msgpack:"path"`
 	ModRevision uint64 `msgpack:"stamp"`
 }
 
-// Operation is one change of a transaction: a set or a delete.
+// Operation is one change of a transaction: Set or Delete names the key.
 type Operation struct {
 	Set    string `msgpack:"set,omitempty"`
 	Value  any    `msgpack:"v,omitempty"`
@@ -37,23 +37,24 @@
 	Operations []Operation `msgpack:"apply"`
 }
 
-// TxnResponse is the body of a transaction's 200 and 409.
+// TxnResponse is the response to a transaction: the revision that it was committed with, or the keys
+// whose conditions failed.
 type TxnResponse struct {
 	Revision uint64   `msgpack:"epoch"`
 	Failed   []string `msgpack:"failed"`
 }
 
-// LeaseRequest asks for a lease in the state service.
+// LeaseRequest requests a lease in the state service.
 type LeaseRequest struct {
 	TTLMillis int64 `msgpack:"ttl_ms"`
 }
 
-// LeaseResponse names a granted lease.
+// LeaseResponse is the response with the granted lease.
 type LeaseResponse struct {
 	Lease uint64 `msgpack:"hold"`
 }
 
-// Event is one change in a watch: Set or Delete names the key.
+// Event is one change of a key: Set or Delete names the key.
 type Event struct {
 	Set         string             `msgpack:"set"`
 	Delete      string             `msgpack:"delete"`
@@ -61,7 +62,7 @@
 	ModRevision uint64             `msgpack:"stamp"`
 }
 
-// WatchResponse is a watch's answer.
+// WatchResponse lists the changes up to a revision.
 type WatchResponse struct {
 	Revision uint64  `msgpack:"epoch"`
 	Events   []Event `msgpack:"events"`
--- a/wire/wire_test.go
+++ b/wire/wire_test.go
@@ -2,43 +2,48 @@
 
 import (
 	"errors"
+	"maps"
 	"math"
 	"testing"
 )
 
-func seeds(f *testing.F) {
-	raw, err := Marshal(map[string]any{"uid": "j-1", "lane": "l", "owner": "o", "shape": "batch", "rank": "low", "pieces": 3,
-		"cores": 1.5, "accelerators": 0, "ram_gb": 2.0, "bundle": "b", "image_gb": 1, "builds": nil, "yard": nil,
-		"same_place": false, "apart": true, "loaned": true, "expect_s": 3, "bookmark_s": 0, "stow_s": 0, "due_s": nil})
+// encodeSubmission encodes a valid submission with some fields changed.
+func encodeSubmission(tb testing.TB, changes map[string]any) []byte {
+	tb.Helper()
+	fields := map[string]any{"uid": "j-1", "lane": "l", "owner": "o", "shape": "batch", "rank": "low", "pieces": uint64(3),
+		"cores": 1, "accelerators": 0, "ram_gb": float32(2.5), "bundle": "b", "image_gb": 1,
+		"same_place": false, "apart": true, "loaned": true, "expect_s": 3, "bookmark_s": 0, "stow_s": 0, "due_s": 7}
+	maps.Copy(fields, changes)
+	raw, err := Marshal(fields)
 	if err != nil {
-		f.Fatal(err)
+		tb.Fatal(err)
 	}
-	f.Add(raw)
-	f.Add([]byte{0x81, 0xa3, 'u', 'i', 'd', 0xc0})
-	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
-	f.Add([]byte{0x81, 0xa6, 'b', 'u', 'i', 'l', 'd', 's', 0xdd, 0x7f, 0xff, 0xff, 0xff})
+	return raw
 }
 
 func FuzzDecodeSpec(f *testing.F) {
-	seeds(f)
+	f.Add(encodeSubmission(f, map[string]any{"pieces": 3, "cores": 1.5, "ram_gb": 2.0, "builds": nil, "yard": nil, "due_s": nil}))
+	f.Add([]byte{0x81, 0xa3, 'u', 'i', 'd', 0xc0})
+	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
+	f.Add([]byte{0x81, 0xa6, 'b', 'u', 'i', 'l', 'd', 's', 0xdd, 0x7f, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		s, err := DecodeSpec(raw)
+		spec, err := DecodeSpec(raw)
 		if err != nil {
 			if !errors.Is(err, ErrMalformed) {
 				t.Fatalf("error %v is not ErrMalformed", err)
 			}
 			return
 		}
-		if s.Tasks < 1 || s.Tasks > MaxTasks || s.Cores < 0 || math.IsNaN(s.RAM) || !ValidUID(s.UID) {
-			t.Fatalf("accepted %+v", s)
+		if spec.Tasks < 1 || spec.Tasks > MaxTasks || spec.Cores < 0 || math.IsNaN(spec.RAM) || !ValidUID(spec.UID) {
+			t.Fatalf("accepted %+v", spec)
 		}
-		if got := UIDOf(raw); got != s.UID {
-			t.Fatalf("UIDOf %q, want %q", got, s.UID)
+		if got := DecodeUID(raw); got != spec.UID {
+			t.Fatalf("DecodeUID %q, want %q", got, spec.UID)
 		}
 	})
 }
 
-func FuzzDecodeBeat(f *testing.F) {
+func FuzzDecodeHeartbeat(f *testing.F) {
 	raw, err := Marshal(Heartbeat{Machine: "n", Endpoint: "e", MachineType: "b", Zone: "y", Incarnation: 1, Sequence: 3, Tasks: []TaskReport{{Task: "j-1/0", Attempt: 1, Status: TaskRunning}}})
 	if err != nil {
 		f.Fatal(err)
@@ -46,40 +51,24 @@
 	f.Add(raw)
 	f.Add([]byte{0x80})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		b, err := DecodeHeartbeat(raw)
-		if err == nil && (b.Machine == "" || b.Incarnation == 0) {
-			t.Fatalf("accepted %+v", b)
+		heartbeat, err := DecodeHeartbeat(raw)
+		if err == nil && (heartbeat.Machine == "" || heartbeat.Incarnation == 0) {
+			t.Fatalf("accepted %+v", heartbeat)
 		}
 	})
 }
 
 func TestDecodeSpecNumbers(t *testing.T) {
-	base := map[string]any{"uid": "j-1", "lane": "l", "owner": "o", "shape": "batch", "rank": "low", "pieces": uint64(3),
-		"cores": 1, "accelerators": 0, "ram_gb": float32(2.5), "bundle": "b", "image_gb": 1,
-		"same_place": false, "apart": true, "loaned": true, "expect_s": 3, "bookmark_s": 0, "stow_s": 0, "due_s": 7}
-	raw, err := Marshal(base)
+	spec, err := DecodeSpec(encodeSubmission(t, nil))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := DecodeSpec(raw)
-	if err != nil {
-		t.Fatal(err)
+	if spec.Cores != 1 || spec.RAM != 2.5 || spec.DeadlineS == nil || *spec.DeadlineS != 7 || spec.Zone != "" || spec.MachineTypes != nil {
+		t.Errorf("decoded %+v", spec)
 	}
-	if s.Cores != 1 || s.RAM != 2.5 || s.DeadlineS == nil || *s.DeadlineS != 7 || s.Zone != "" || s.MachineTypes != nil {
-		t.Errorf("decoded %+v", s)
-	}
-	for field, bad := range map[string]any{"cores": math.NaN(), "ram_gb": math.Inf(1), "due_s": -1, "pieces": 100_001, "yard": 4, "loaned": 1} {
-		m := map[string]any{}
-		for k, v := range base {
-			m[k] = v
-		}
-		m[field] = bad
-		raw, err := Marshal(m)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := DecodeSpec(raw); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s=%v: error %v", field, bad, err)
+	for field, invalid := range map[string]any{"cores": math.NaN(), "ram_gb": math.Inf(1), "due_s": -1, "pieces": 100_001, "yard": 4, "loaned": 1} {
+		if _, err := DecodeSpec(encodeSubmission(t, map[string]any{field: invalid})); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%s=%v: error %v", field, invalid, err)
 		}
 	}
 }
