--- a/api/api.go
+++ b/api/api.go
@@ -29,8 +29,8 @@
 // errUnknownJob means that a job was never accepted.
 var errUnknownJob = errors.New("no such job")
 
-// Users answers users' requests.
-type Users struct {
+// Server answers users' requests.
+type Server struct {
 	Store   *store.Client
 	Clock   *clock.Clock
 	Node    string
@@ -39,24 +39,24 @@
 	// Counts tells how many tasks of jobs are done and running, for display.
 	Counts func(ctx context.Context, uids []string) map[string][2]int
 	Log    *slog.Logger
-	// Cancels is what this node has told users, or may be about to.
-	Cancels Cancels
-	// Cancelled, if set, is told of each cancel that this node has made.
-	Cancelled func(uid string)
-	// Observe, if set, is told of each submission's answer.
-	Observe func(took clock.Micros, status int)
-
-	// Pause is the least time between the reads that polls share, where that is
+	// Cancellations is what this node has told users, or may be about to.
+	Cancellations CancellationLog
+	// OnCancelled, if set, is told of each cancel that this node has made.
+	OnCancelled func(uid string)
+	// ObserveSubmission, if set, is told of each submission's answer.
+	ObserveSubmission func(took clock.Micros, status int)
+
+	// MinReadInterval is the least time between the reads that polls share, where that is
 	// more than what the state service asks for.
-	Pause clock.Micros
+	MinReadInterval clock.Micros
 
 	// Relay passes a request to another controller and gives its answer, unless
 	// none could serve it.
 	Relay func(ctx context.Context, method, path string, body []byte) (status int, answer []byte, ok bool)
 
-	// Alone, if set, tells that neither the state service nor any other controller
+	// Isolated, if set, tells that neither the state service nor any other controller
 	// can be reached, so that no user can be served.
-	Alone func(ctx context.Context) bool
+	Isolated func(ctx context.Context) bool
 
 	mu   sync.Mutex // guards the fields below
 	over map[string]store.FinalRecord
@@ -68,7 +68,7 @@
 const maxOver = 20_000
 
 // Routes adds the users' paths to a router.
-func (u *Users) Routes(r chi.Router) {
+func (u *Server) Routes(r chi.Router) {
 	r.Post(wire.PathJobs, u.relayed(u.submit))
 	r.Get(wire.PathJobs+"/{uid}", u.relayed(u.query))
 	r.Post(wire.PathJobs+"/{uid}/"+wire.SuffixCancel, u.relayed(u.abort))
@@ -78,8 +78,8 @@
 // health fails only where other nodes may do better: a node cut off from all
 // that it needs. In an outage of the state service every node answers alike,
 // and at once, so none is taken out.
-func (u *Users) health(w http.ResponseWriter, r *http.Request) {
-	if u.Alone != nil && u.Store.Failing() && u.Alone(r.Context()) {
+func (u *Server) health(w http.ResponseWriter, r *http.Request) {
+	if u.Isolated != nil && u.Store.Failing() && u.Isolated(r.Context()) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -88,32 +88,32 @@
 
 type relayKey struct{}
 
-// Relayed marks a request that another controller passed on: it is not passed on again.
-func Relayed(ctx context.Context) context.Context { return context.WithValue(ctx, relayKey{}, true) }
+// MarkRelayed marks a request that another controller passed on: it is not passed on again.
+func MarkRelayed(ctx context.Context) context.Context { return context.WithValue(ctx, relayKey{}, true) }
 
-// Kept is an answer held in memory until it is clear where it goes.
-type Kept struct {
-	Head   http.Header
+// BufferedResponse is an answer held in memory until it is clear where it goes.
+type BufferedResponse struct {
+	header   http.Header
 	Status int
 	Body   bytes.Buffer
 }
 
-// NewKept makes an empty answer.
-func NewKept() *Kept { return &Kept{Head: http.Header{}, Status: http.StatusOK} }
+// NewBufferedResponse makes an empty answer.
+func NewBufferedResponse() *BufferedResponse { return &BufferedResponse{header: http.Header{}, Status: http.StatusOK} }
 
 // Header implements http.ResponseWriter.
-func (k *Kept) Header() http.Header { return k.Head }
+func (k *BufferedResponse) Header() http.Header { return k.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (k *Kept) WriteHeader(status int) { k.Status = status }
+func (k *BufferedResponse) WriteHeader(status int) { k.Status = status }
 
 // Write implements http.ResponseWriter.
-func (k *Kept) Write(p []byte) (int, error) { return k.Body.Write(p) }
+func (k *BufferedResponse) Write(p []byte) (int, error) { return k.Body.Write(p) }
 
 // relayed serves a request here, or through another controller when the state
 // service does not serve this one: every request may be repeated, so one that
 // was half done here is simply done again there.
-func (u *Users) relayed(next http.HandlerFunc) http.HandlerFunc {
+func (u *Server) relayed(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if u.Relay == nil || r.Context().Value(relayKey{}) != nil {
 			next(w, r)
@@ -146,8 +146,8 @@
 				return
 			}
 		}
-		h := NewKept()
-		h.Head = w.Header()
+		h := NewBufferedResponse()
+		h.header = w.Header()
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		next(h, r)
 		if h.Status == http.StatusServiceUnavailable && !failing && u.Store.Failing() && relay() {
@@ -166,7 +166,7 @@
 }
 
 // unavailable answers at once that the request can't be taken now, and when to come back.
-func (u *Users) unavailable(w http.ResponseWriter, err error) {
+func (u *Server) unavailable(w http.ResponseWriter, err error) {
 	u.Log.Debug("request refused", "error", err)
 	refuse(w, http.StatusServiceUnavailable, 1, "try again")
 }
@@ -174,7 +174,7 @@
 // crowded answers at once that more is submitted than can be taken. Those that
 // are refused are told to come back at times spread out, the lowest priority later,
 // so that they are not all back together.
-func (u *Users) crowded(w http.ResponseWriter, priority string) {
+func (u *Server) crowded(w http.ResponseWriter, priority string) {
 	after := 1 + rand.IntN(2)
 	if r, _ := wire.ParsePriority(priority); r == wire.PriorityLow {
 		after = 2 + rand.IntN(8)
@@ -184,7 +184,7 @@
 
 // lookup reads what is durably known of a job. An unfinished job is looked for
 // before a finished one: a job moves only that way, in one transaction.
-func (u *Users) lookup(ctx context.Context, uid string) (job *wire.Row, over *store.FinalRecord, err error) {
+func (u *Server) lookup(ctx context.Context, uid string) (job *wire.Row, over *store.FinalRecord, err error) {
 	u.mu.Lock()
 	rec, cached := u.over[uid]
 	u.mu.Unlock()
@@ -212,9 +212,9 @@
 
 // remember keeps a final state, which is durable since the given epoch, before
 // anybody is told.
-func (u *Users) remember(uid string, rec store.FinalRecord, epoch uint64) {
+func (u *Server) remember(uid string, rec store.FinalRecord, epoch uint64) {
 	if rec.Status == wire.JobCancelled {
-		u.Cancels.Known(uid, epoch)
+		u.Cancellations.Record(uid, epoch)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -224,11 +224,11 @@
 	u.over[uid] = rec
 }
 
-func (u *Users) view(ctx context.Context, uid string) (wire.JobStatus, error) {
+func (u *Server) view(ctx context.Context, uid string) (wire.JobStatus, error) {
 	u.mu.Lock()
 	rec, cached := u.over[uid]
 	if u.jobs == nil {
-		u.jobs = &view{st: u.Store, ck: u.Clock, count: u.Counts, over: u.remember, pause: max(u.Store.ReadInterval(), u.Pause), live: map[string]standing{}}
+		u.jobs = &view{st: u.Store, ck: u.Clock, count: u.Counts, over: u.remember, pause: max(u.Store.ReadInterval(), u.MinReadInterval), live: map[string]standing{}}
 	}
 	jobs := u.jobs
 	u.mu.Unlock()
@@ -287,8 +287,8 @@
 // that nobody submitted included; the reads that answer all others share it.
 const maxLookups = 4
 
-// JobOf names the job that a request is about; empty when it names none.
-func JobOf(path string, body []byte) string {
+// JobOfRequest names the job that a request is about; empty when it names none.
+func JobOfRequest(path string, body []byte) string {
 	rest, found := strings.CutPrefix(path, wire.PathJobs)
 	if !found {
 		return ""
@@ -300,11 +300,11 @@
 	return uid
 }
 
-// IsAbort tells whether a path is that of an abort.
-func IsAbort(path string) bool { return strings.HasSuffix(path, "/"+wire.SuffixCancel) }
+// IsCancel tells whether a path is that of an abort.
+func IsCancel(path string) bool { return strings.HasSuffix(path, "/"+wire.SuffixCancel) }
 
 // finished reads a job's final state.
-func (u *Users) finished(ctx context.Context, uid string) (*store.FinalRecord, error) {
+func (u *Server) finished(ctx context.Context, uid string) (*store.FinalRecord, error) {
 	if u.Store.Waiting() > maxLookups {
 		return nil, fmt.Errorf("look up %s: %w", uid, store.ErrOverloaded)
 	}
@@ -323,15 +323,15 @@
 	return &rec, nil
 }
 
-func (u *Users) submit(w http.ResponseWriter, r *http.Request) {
+func (u *Server) submit(w http.ResponseWriter, r *http.Request) {
 	began := u.Clock.Now()
 	status := u.trySubmit(w, r)
-	if u.Observe != nil {
-		u.Observe(u.Clock.Now()-began, status)
+	if u.ObserveSubmission != nil {
+		u.ObserveSubmission(u.Clock.Now()-began, status)
 	}
 }
 
-func (u *Users) trySubmit(w http.ResponseWriter, r *http.Request) int {
+func (u *Server) trySubmit(w http.ResponseWriter, r *http.Request) int {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
 	if err != nil {
 		refuse(w, http.StatusBadRequest, 0, "body too large or cut short")
@@ -389,7 +389,7 @@
 }
 
 // taking is where submissions are made durable.
-func (u *Users) taking() *intake {
+func (u *Server) taking() *intake {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.in == nil {
@@ -400,7 +400,7 @@
 }
 
 // judge tells whether a well-formed job can ever run.
-func (u *Users) judge(ctx context.Context, s *wire.Spec) (status int, why string) {
+func (u *Server) judge(ctx context.Context, s *wire.Spec) (status int, why string) {
 	var team *config.Team
 	for i := range u.Teams {
 		if u.Teams[i].Name == s.Team {
@@ -422,15 +422,15 @@
 		return http.StatusServiceUnavailable, "machine types unknown"
 	}
 	for _, b := range cat.MachineTypes {
-		if Fits(s, b) {
+		if fitsMachineType(s, b) {
 			return http.StatusCreated, ""
 		}
 	}
 	return http.StatusUnprocessableEntity, "a task fits no allowed machine type"
 }
 
-// Fits tells whether a task of the job fits an empty machine of a type that the job allows.
-func Fits(s *wire.Spec, b wire.MachineType) bool {
+// fitsMachineType tells whether a task of the job fits an empty machine of a type that the job allows.
+func fitsMachineType(s *wire.Spec, b wire.MachineType) bool {
 	if s.MachineTypes != nil {
 		found := false
 		for _, sku := range s.MachineTypes {
@@ -453,7 +453,7 @@
 	return s.Cores <= b.Cores+slop && s.Accelerators <= b.Accelerators+slop && s.RAM <= b.RAM+slop
 }
 
-func (u *Users) query(w http.ResponseWriter, r *http.Request) {
+func (u *Server) query(w http.ResponseWriter, r *http.Request) {
 	uid := chi.URLParam(r, "uid")
 	if !wire.ValidUID(uid) {
 		refuse(w, http.StatusNotFound, 0, "no such job")
@@ -472,7 +472,7 @@
 	}
 }
 
-func (u *Users) abort(w http.ResponseWriter, r *http.Request) {
+func (u *Server) abort(w http.ResponseWriter, r *http.Request) {
 	uid := chi.URLParam(r, "uid")
 	if !wire.ValidUID(uid) {
 		refuse(w, http.StatusNotFound, 0, "no such job")
@@ -500,7 +500,7 @@
 			return
 		}
 		rec := store.NewFinalRecord(&job.Spec, wire.JobCancelled, u.Node)
-		u.Cancels.Expect(uid)
+		u.Cancellations.Expect(uid)
 		epoch, err := tryBusy(ctx, u.Store, u.Clock, u.taking().admission, wire.Txn{
 			Conditions: []wire.Condition{{Key: store.JobKey(uid), ModRevision: row.ModRevision}},
 			Operations: []wire.Operation{{Delete: store.JobKey(uid)}, {Set: store.FinalKey(uid), Value: rec}},
@@ -509,19 +509,19 @@
 		switch {
 		case err == nil:
 			u.remember(uid, rec, epoch)
-			if u.Cancelled != nil {
-				u.Cancelled(uid)
+			if u.OnCancelled != nil {
+				u.OnCancelled(uid)
 			}
 			agent.WriteResponse(w, http.StatusOK, wire.JobStatus{UID: uid, Status: wire.JobCancelled})
 			return
 		case !errors.As(err, &conflict):
 			if errors.Is(err, store.ErrRefused) {
-				u.Cancels.Refused(uid)
+				u.Cancellations.Discard(uid)
 			}
 			u.unavailable(w, err)
 			return
 		}
-		u.Cancels.Refused(uid)
+		u.Cancellations.Discard(uid)
 		// Done, cancelled or taken up in between: look again.
 	}
 	u.unavailable(w, errors.New("the job keeps changing"))
--- a/api/cancels.go
+++ b/api/cancels.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Cancels remembers which jobs this node has told users are cancelled, or may
+// CancellationLog remembers which jobs this node has told users are cancelled, or may
 // be about to tell them so, whether it made the cancel, passed it on or only
 // read it. A leader whom the state service refuses alone asks for them: it has
 // no other way to learn what was cancelled through the others meanwhile.
@@ -10,7 +10,7 @@
 // It is bounded. What it drops raises the epoch from which it can vouch, but for
 // what has an unknown outcome: nobody was told of that, and who is told later is
 // told from a record, whose epoch is noted first.
-type Cancels struct {
+type CancellationLog struct {
 	mu     sync.Mutex        // guards all below
 	epochs map[string]uint64 // of the changes that cancelled the jobs; zero where the outcome is unknown
 	oldest []string          // the same jobs, longest known first
@@ -25,13 +25,13 @@
 )
 
 // Expect notes a cancel that is about to be sent.
-func (c *Cancels) Expect(uid string) { c.note(uid, 0) }
+func (c *CancellationLog) Expect(uid string) { c.note(uid, 0) }
 
-// Known notes a cancel that is durable since the given epoch. Called before
+// Record notes a cancel that is durable since the given epoch. Called before
 // anybody is told.
-func (c *Cancels) Known(uid string, epoch uint64) { c.note(uid, epoch) }
+func (c *CancellationLog) Record(uid string, epoch uint64) { c.note(uid, epoch) }
 
-func (c *Cancels) note(uid string, epoch uint64) {
+func (c *CancellationLog) note(uid string, epoch uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.epochs == nil {
@@ -53,8 +53,8 @@
 	}
 }
 
-// Refused notes that a cancel was not carried out.
-func (c *Cancels) Refused(uid string) {
+// Discard notes that a cancel was not carried out.
+func (c *CancellationLog) Discard(uid string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if epoch, there := c.epochs[uid]; there && epoch == 0 {
@@ -68,8 +68,8 @@
 	}
 }
 
-// Epoch is that of a job's cancel; zero when it is not known here.
-func (c *Cancels) Epoch(uid string) uint64 {
+// Revision is that of a job's cancel; zero when it is not known here.
+func (c *CancellationLog) Revision(uid string) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.epochs[uid]
@@ -79,7 +79,7 @@
 // unknown outcome. It is false when the list would not be whole: some were
 // dropped, there are too many for a message, or this process, whose first answer
 // from the state service named the epoch first (zero: none yet), began later.
-func (c *Cancels) Since(epoch, first uint64) (uids []string, whole bool) {
+func (c *CancellationLog) Since(epoch, first uint64) (uids []string, whole bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if first == 0 || max(first, c.floor) > epoch {
--- a/gap_test.go
+++ b/gap_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	for _, n := range nodes {
-		n.users.Relay, n.users.Alone = n.relay, n.isolated
+		n.users.Relay, n.users.Isolated = n.relay, n.isolated
 	}
 }
 
@@ -84,7 +84,7 @@
 }
 
 // deafToHints lets no hint of a node's cancels reach the leader: they are hints.
-func deafToHints(n *Service) { n.users.Cancelled = nil }
+func deafToHints(n *Service) { n.users.OnCancelled = nil }
 
 // The cancellation gap: the state service refuses the leader alone, another
 // controller confirms a cancel, then it is down for all. The leader goes on
@@ -140,13 +140,13 @@
 		"has forgotten": func(s *site, n *Service) *Service {
 			s.abort(n, "j-1")
 			for i := range 9000 {
-				n.users.Cancels.Known(fmt.Sprintf("j-%d", 100+i), 1)
+				n.users.Cancellations.Record(fmt.Sprintf("j-%d", 100+i), 1)
 			}
 			return n
 		},
 		"too many for a message": func(_ *site, n *Service) *Service {
 			for i := range 2000 {
-				n.users.Cancels.Expect(fmt.Sprintf("j-%d", 100+i))
+				n.users.Cancellations.Expect(fmt.Sprintf("j-%d", 100+i))
 			}
 			return n
 		},
@@ -189,7 +189,7 @@
 	s, nodes, l, _ := gap(t)
 	since := l.syncedRevision()
 	named := func(n *Service) []string {
-		uids, whole := n.users.Cancels.Since(since, n.store.FirstRevision())
+		uids, whole := n.users.Cancellations.Since(since, n.store.FirstRevision())
 		if !whole {
 			t.Fatalf("%s can't vouch", n.cfg.Node)
 		}
@@ -209,8 +209,8 @@
 		nodes[0].store.Refused(t.Context(), 1_000_000)
 	}
 	s.abort(nodes[0], "j-3") // passed on
-	if got := named(nodes[0]); len(got) != 1 || got[0] != "j-3" || nodes[0].users.Cancels.Epoch("j-3") == 0 {
-		t.Errorf("passed on: %v, of epoch %d", got, nodes[0].users.Cancels.Epoch("j-3"))
+	if got := named(nodes[0]); len(got) != 1 || got[0] != "j-3" || nodes[0].users.Cancellations.Revision("j-3") == 0 {
+		t.Errorf("passed on: %v, of epoch %d", got, nodes[0].users.Cancellations.Revision("j-3"))
 	}
 	// The answer to the change is lost, and it may be done any time.
 	s.state.DelayNext()
--- a/rules_test.go
+++ b/rules_test.go
@@ -399,7 +399,7 @@
 	s := newSite(t)
 	n := s.node(nil)
 	n.attestationLinks["other"], n.relayLinks["other"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
-	n.users.Relay, n.users.Alone = n.relay, n.isolated
+	n.users.Relay, n.users.Isolated = n.relay, n.isolated
 	l, _ := s.elect(n)
 	n.current.Store(l)
 	w := s.worker("n-1", "x", true)
--- a/service.go
+++ b/service.go
@@ -41,7 +41,7 @@
 	elector          *lead.Elector
 	workers          *agent.Client
 	cloud            *cloud.Client
-	users            *api.Users
+	users            *api.Server
 	hints            cancelHints
 	attestationLinks map[string]*peer.Link // for attestations, which must not wait
 	relayLinks       map[string]*peer.Link // for users' requests and counts
@@ -80,11 +80,11 @@
 		s.relayLinks[o.Node] = peer.NewLink(o.Addr)
 	}
 	s.elector = lead.New(cfg.Node, s.store, s.clock, operator, s.requestAttestations, log)
-	s.users = &api.Users{Store: s.store, Clock: s.clock, Node: cfg.Node, Teams: f.Teams, Catalog: s.machineTypes, Counts: s.counts, Log: log, Observe: s.metrics.Submission,
-		Cancelled: s.hintCancelled, Pause: pollPause(f.Limits.CoreShare)}
+	s.users = &api.Server{Store: s.store, Clock: s.clock, Node: cfg.Node, Teams: f.Teams, Catalog: s.machineTypes, Counts: s.counts, Log: log, ObserveSubmission: s.metrics.Submission,
+		OnCancelled: s.hintCancelled, MinReadInterval: pollPause(f.Limits.CoreShare)}
 	if len(s.attestationLinks) > 0 {
 		s.users.Relay = s.relay
-		s.users.Alone = s.isolated
+		s.users.Isolated = s.isolated
 	}
 	s.wireReports()
 	s.router = chi.NewRouter()
@@ -217,14 +217,14 @@
 		r.Report = s.encodedReport(a.Report)
 	}
 	if a.Path != "" && !s.store.Failing() {
-		req, err := http.NewRequestWithContext(api.Relayed(ctx), a.Method, a.Path, bytes.NewReader(a.Body))
+		req, err := http.NewRequestWithContext(api.MarkRelayed(ctx), a.Method, a.Path, bytes.NewReader(a.Body))
 		if err != nil {
 			return r
 		}
-		k := api.NewKept()
+		k := api.NewBufferedResponse()
 		s.router.ServeHTTP(k, req)
 		r.Status, r.Body = k.Status, k.Body.Bytes()
-		r.Epoch = s.users.Cancels.Epoch(api.JobOf(a.Path, a.Body))
+		r.Epoch = s.users.Cancellations.Revision(api.JobOfRequest(a.Path, a.Body))
 	}
 	return r
 }
@@ -236,7 +236,7 @@
 	if !s.store.Refused(ctx, 500*clock.Millisecond) || s.elector.NewestRevision() > o.Lead {
 		return w
 	}
-	w.Cancelled, w.Attests = s.users.Cancels.Since(o.Epoch, s.store.FirstRevision())
+	w.Cancelled, w.Attests = s.users.Cancellations.Since(o.Epoch, s.store.FirstRevision())
 	return w
 }
 
@@ -250,9 +250,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, 1200*time.Millisecond)
 	defer cancel()
-	uid := api.JobOf(path, body)
-	if api.IsAbort(path) {
-		s.users.Cancels.Expect(uid)
+	uid := api.JobOfRequest(path, body)
+	if api.IsCancel(path) {
+		s.users.Cancellations.Expect(uid)
 	}
 	answers := make(chan peer.Reply, len(s.relayLinks))
 	for _, l := range s.relayLinks {
@@ -267,7 +267,7 @@
 	for range s.relayLinks {
 		if r := <-answers; r.Status != 0 && r.Status != http.StatusServiceUnavailable {
 			if r.Epoch > 0 {
-				s.users.Cancels.Known(uid, r.Epoch)
+				s.users.Cancellations.Record(uid, r.Epoch)
 			}
 			return r.Status, r.Body, true
 		}
@@ -305,7 +305,7 @@
 		return false
 	}
 	o := peer.Outage{Asked: true, Lead: l.term.Revision, Epoch: l.syncedRevision()}
-	cancelled, all := s.users.Cancels.Since(o.Epoch, s.store.FirstRevision())
+	cancelled, all := s.users.Cancellations.Since(o.Epoch, s.store.FirstRevision())
 	answers := make(chan peer.Word, len(s.attestationLinks))
 	for _, l := range s.attestationLinks {
 		go func() {
