--- /dev/null
+++ b/api/errors.go
@@ -0,0 +1,76 @@
+package api
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+
+	"cedardoor/agent"
+	"cedardoor/wire"
+)
+
+// errUnknownJob means that a job was never accepted.
+var errUnknownJob = errors.New("no such job")
+
+// invalidRequestError means that a request will never succeed as it is.
+type invalidRequestError struct {
+	status int
+	reason string
+}
+
+func (e *invalidRequestError) Error() string { return e.reason }
+
+var errBodyUnreadable = &invalidRequestError{http.StatusBadRequest, "body too large or cut short"}
+
+// overloadedError means that more is submitted than can be accepted.
+type overloadedError struct {
+	priority wire.Priority // of the submission
+	cause    error
+}
+
+func (e *overloadedError) Error() string {
+	return fmt.Sprintf("too many submissions: %v", e.cause)
+}
+
+func (e *overloadedError) Unwrap() error { return e.cause }
+
+// retryAfterUnavailable is how many seconds a user should wait after a 503.
+const retryAfterUnavailable = 1
+
+// respondError responds to a request that failed, and returns the status of the response. Errors
+// without a type of their own mean that the request can't be served now.
+func (s *Server) respondError(w http.ResponseWriter, err error) (status int) {
+	var invalid *invalidRequestError
+	var overloaded *overloadedError
+	switch {
+	case errors.As(err, &invalid):
+		return respondRefusal(w, invalid.status, 0, invalid.reason)
+	case errors.As(err, &overloaded):
+		return respondRefusal(w, http.StatusTooManyRequests, retryAfterOverload(overloaded.priority), "too many submissions: try again")
+	case errors.Is(err, errUnknownJob):
+		return respondRefusal(w, http.StatusNotFound, 0, errUnknownJob.Error())
+	default:
+		s.Log.Debug("request refused", "error", err)
+		return respondRefusal(w, http.StatusServiceUnavailable, retryAfterUnavailable, "try again")
+	}
+}
+
+// retryAfterOverload is how many seconds a user should wait after a submission was refused. It is
+// random so that not all come back together, and longer for the lowest priority.
+func retryAfterOverload(priority wire.Priority) int {
+	after := 1 + rand.IntN(2)
+	if priority == wire.PriorityLow {
+		after = 2 + rand.IntN(8)
+	}
+	return after
+}
+
+func respondRefusal(w http.ResponseWriter, status, retryAfter int, reason string) int {
+	if retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(retryAfter))
+	}
+	agent.WriteResponse(w, status, wire.Error{Error: reason})
+	return status
+}
--- /dev/null
+++ b/api/relay.go
@@ -0,0 +1,112 @@
+package api
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"strings"
+
+	"cedardoor/wire"
+)
+
+// errStateServiceDown means that the state service does not answer this controller.
+var errStateServiceDown = errors.New("the state service does not answer")
+
+// relayedKey is the context key of requests that another controller relayed.
+type relayedKey struct{}
+
+// MarkRelayed marks a request that another controller relayed, so that it is not relayed again.
+func MarkRelayed(ctx context.Context) context.Context {
+	return context.WithValue(ctx, relayedKey{}, true)
+}
+
+func isRelayed(ctx context.Context) bool { return ctx.Value(relayedKey{}) != nil }
+
+// JobOfRequest returns the id of the job that a request is about; empty if there is none.
+func JobOfRequest(path string, body []byte) string {
+	rest, found := strings.CutPrefix(path, wire.PathJobs)
+	if !found {
+		return ""
+	}
+	if rest == "" {
+		return wire.DecodeUID(body)
+	}
+	uid, _, _ := strings.Cut(rest[1:], "/")
+	return uid
+}
+
+// IsCancel tells whether a path is that of a cancellation.
+func IsCancel(path string) bool { return strings.HasSuffix(path, "/"+wire.SuffixCancel) }
+
+// BufferedResponse is an http.ResponseWriter that keeps the response in memory.
+type BufferedResponse struct {
+	Status int
+	Body   bytes.Buffer
+	header http.Header
+}
+
+// NewBufferedResponse makes an empty response.
+func NewBufferedResponse() *BufferedResponse {
+	return &BufferedResponse{header: http.Header{}, Status: http.StatusOK}
+}
+
+// Header implements http.ResponseWriter.
+func (b *BufferedResponse) Header() http.Header { return b.header }
+
+// WriteHeader implements http.ResponseWriter.
+func (b *BufferedResponse) WriteHeader(status int) { b.Status = status }
+
+// Write implements http.ResponseWriter.
+func (b *BufferedResponse) Write(p []byte) (int, error) { return b.Body.Write(p) }
+
+// relayed serves a request by next, or through another controller while the state service does not
+// serve this one. All requests are idempotent, so one that was partly executed here may be repeated
+// there.
+func (s *Server) relayed(next http.HandlerFunc) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		if s.Relay == nil || isRelayed(r.Context()) {
+			next(w, r)
+			return
+		}
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+		if err != nil {
+			s.respondError(w, errBodyUnreadable)
+			return
+		}
+		failing := s.Store.Failing()
+		if failing {
+			if s.relay(w, r, body) {
+				return
+			}
+			// A request now and then finds out whether the state service answers again; the
+			// others are refused without waiting for it.
+			if !s.Store.AllowRetry() {
+				s.respondError(w, errStateServiceDown)
+				return
+			}
+		}
+		response := NewBufferedResponse()
+		response.header = w.Header()
+		r.Body = io.NopCloser(bytes.NewReader(body))
+		next(response, r)
+		if response.Status == http.StatusServiceUnavailable && !failing && s.Store.Failing() && s.relay(w, r, body) {
+			return
+		}
+		w.WriteHeader(response.Status)
+		_, _ = w.Write(response.Body.Bytes())
+	}
+}
+
+// relay has another controller serve a request; false if none could.
+func (s *Server) relay(w http.ResponseWriter, r *http.Request, body []byte) bool {
+	status, response, ok := s.Relay(r.Context(), r.Method, r.URL.Path, body)
+	if !ok || status == http.StatusServiceUnavailable {
+		return false
+	}
+	w.Header().Set("Content-Type", wire.ContentType)
+	w.WriteHeader(status)
+	_, _ = w.Write(response)
+	return true
+}
--- /dev/null
+++ b/api/status_reader_test.go
@@ -0,0 +1,86 @@
+package api
+
+import (
+	"context"
+	"net/http/httptest"
+	"runtime"
+	"strings"
+	"testing"
+
+	"cedardoor/clock"
+	"cedardoor/config"
+	"cedardoor/internal/standin"
+	"cedardoor/store"
+	"cedardoor/wire"
+
+	"github.com/jonboulle/clockwork"
+)
+
+// newStatusReader makes a statusReader of a state service in memory that holds the given unfinished
+// jobs.
+func newStatusReader(t *testing.T, uids ...string) (*statusReader, *standin.State) {
+	t.Helper()
+	state := standin.NewState(clockwork.NewFakeClock())
+	server := httptest.NewServer(state.Handler("a"))
+	t.Cleanup(server.Close)
+	client := store.New(strings.TrimPrefix(server.URL, "http://"), config.State{RPS: 10000, WriteRPS: 10000, TxnOps: 24, ValueKB: 8}, 1)
+	for _, uid := range uids {
+		txn := wire.Txn{Operations: []wire.Operation{{Set: store.JobKey(uid), Value: store.JobRecord{Spec: wire.Spec{UID: uid}}}}}
+		if _, err := client.Commit(t.Context(), store.Urgent, txn); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return &statusReader{store: client, clock: clock.New(nil), records: map[string]recordState{},
+		counts: func(context.Context, []string) map[string][2]int { return nil }}, state
+}
+
+// waiting is the number of queries that wait for the next read.
+func (r *statusReader) waiting() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.next == nil {
+		return 0
+	}
+	return len(r.next.uids)
+}
+
+// readsOfQueries is the number of reads that a number of concurrent queries takes.
+func readsOfQueries(t *testing.T, r *statusReader, state *standin.State, queries int) int {
+	t.Helper()
+	before := state.Requests()
+	release := state.Stall()
+	succeeded := make(chan bool)
+	query := func() {
+		record, _, err := r.read(t.Context(), "j-1")
+		succeeded <- record == recordUnfinished && err == nil
+	}
+	go query()
+	for state.Requests() == before { // until its read is in flight
+		runtime.Gosched()
+	}
+	for range queries - 1 {
+		go query()
+	}
+	for r.waiting() < queries-1 {
+		runtime.Gosched()
+	}
+	release()
+	for range queries {
+		if !<-succeeded {
+			t.Fatal("a query failed")
+		}
+	}
+	return state.Requests() - before
+}
+
+// One read answers all queries that wait for it, and it starts after the last of them arrived.
+func TestQueriesShareReads(t *testing.T) {
+	r, state := newStatusReader(t, "j-1")
+	if record, _, err := r.read(t.Context(), "j-1"); err != nil || record != recordUnfinished {
+		t.Fatalf("first query: %v, %v", record, err)
+	}
+	few, many := readsOfQueries(t, r, state, 2), readsOfQueries(t, r, state, 60)
+	if few != 2 || many != 2 {
+		t.Errorf("%d reads for 2 queries, %d for 60, want 2: the one in flight and one for the others", few, many)
+	}
+}
--- /dev/null
+++ b/api/submitter.go
@@ -0,0 +1,208 @@
+package api
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"cedardoor/quota"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+const (
+	// maxBatch is how many submissions share a transaction at most.
+	maxBatch = 16
+	// maxBatchBytes is the approximate size of a transaction at most: the state service takes 64 KiB.
+	maxBatchBytes = 40 << 10
+	// batchTimeout bounds the time that a batch of submissions takes.
+	batchTimeout = 3 * time.Second
+	// maxAdmissionWait is how long a submission may wait to be admitted.
+	maxAdmissionWait = 1500 * time.Millisecond
+	// maxLowAdmissionWait is the same for the lowest priority, so that the others go first.
+	maxLowAdmissionWait = 100 * time.Millisecond
+)
+
+// submitter makes submissions durable. Those that arrive while a transaction is in flight share the
+// next one, by priority, so that not every small job costs a request. Submissions beyond what the
+// state service can take are refused at once.
+type submitter struct {
+	writer userWriter
+
+	mu      sync.Mutex // guards the fields below
+	queue   []*submission
+	running bool // a goroutine commits the queue
+}
+
+// submission is a job that waits to be made durable.
+type submission struct {
+	record   store.JobRecord
+	priority wire.Priority
+	turn     int // among those of the same team and priority
+	size     int // in the transaction, in bytes
+	done     chan error
+}
+
+// submit makes a job durable. Its error is a *store.Conflict if the job was accepted before, and
+// store.ErrOverloaded if there are too many submissions.
+func (s *submitter) submit(ctx context.Context, record store.JobRecord) error {
+	priority, _ := wire.ParsePriority(record.Spec.Priority)
+	if err := s.admit(ctx, record.Spec.Team, priority); err != nil {
+		return err
+	}
+	raw, err := wire.Marshal(record)
+	if err != nil {
+		return fmt.Errorf("encode job %s: %w", record.Spec.UID, err)
+	}
+	pending := &submission{record: record, priority: priority, size: 2 * len(raw), done: make(chan error, 1)}
+	s.enqueue(pending)
+	select {
+	case err := <-pending.done:
+		return err
+	case <-ctx.Done():
+		return ctx.Err() // it may still become durable; then the user's retry finds it
+	}
+}
+
+// admit waits until a submission is admitted.
+func (s *submitter) admit(ctx context.Context, team string, priority wire.Priority) error {
+	maxWait := maxAdmissionWait
+	if priority == wire.PriorityLow {
+		maxWait = maxLowAdmissionWait
+	}
+	err := s.writer.admission.Admit(ctx, team, maxWait)
+	switch {
+	case errors.Is(err, quota.ErrOverloaded):
+		return fmt.Errorf("%w: %w", store.ErrOverloaded, err)
+	case err != nil:
+		return fmt.Errorf("%w: %w", store.ErrRefused, err)
+	}
+	return nil
+}
+
+func (s *submitter) enqueue(pending *submission) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.queue = append(s.queue, pending)
+	if !s.running {
+		s.running = true
+		go s.run()
+	}
+}
+
+// run commits one batch after another until the queue is empty.
+func (s *submitter) run() {
+	for {
+		s.mu.Lock()
+		batch := s.nextBatch()
+		if len(batch) == 0 {
+			s.running = false
+			s.mu.Unlock()
+			return
+		}
+		s.mu.Unlock()
+		s.commit(batch)
+	}
+}
+
+// nextBatch takes the next batch out of the queue: by priority, and within a priority one submission
+// of each team in turn. The caller holds mu.
+func (s *submitter) nextBatch() (batch []*submission) {
+	s.numberTurns()
+	slices.SortStableFunc(s.queue, func(a, b *submission) int {
+		return cmp.Or(cmp.Compare(b.priority, a.priority), cmp.Compare(a.turn, b.turn))
+	})
+	maxLen := min(maxBatch, s.writer.store.TxnOps())
+	rest, size := s.queue[:0:0], 0
+	inBatch := map[string]bool{}
+	for _, pending := range s.queue {
+		uid := pending.record.Spec.UID
+		full := len(batch) >= maxLen || len(batch) > 0 && size+pending.size > maxBatchBytes
+		if full || inBatch[uid] { // a duplicate conflicts with the first in a later batch
+			rest = append(rest, pending)
+			continue
+		}
+		inBatch[uid] = true
+		size += pending.size
+		batch = append(batch, pending)
+	}
+	s.queue = rest
+	return batch
+}
+
+// numberTurns numbers the submissions of each team and priority. The caller holds mu.
+func (s *submitter) numberTurns() {
+	type line struct {
+		team     string
+		priority wire.Priority
+	}
+	turns := map[line]int{}
+	for _, pending := range s.queue {
+		key := line{pending.record.Spec.Team, pending.priority}
+		pending.turn = turns[key]
+		turns[key]++
+	}
+}
+
+// commit makes a batch durable and tells each submission the result. If some of the jobs were
+// accepted before, the others are committed without them.
+func (s *submitter) commit(batch []*submission) {
+	ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
+	defer cancel()
+	for len(batch) > 0 {
+		_, err := s.writer.commit(ctx, acceptanceOf(batch))
+		if errors.Is(err, store.ErrMalformed) && len(batch) > 1 {
+			// One that the state service rejects must not fail the others.
+			for _, pending := range batch {
+				s.commit([]*submission{pending})
+			}
+			return
+		}
+		var conflict *store.Conflict
+		if !errors.As(err, &conflict) {
+			finish(batch, err)
+			return
+		}
+		known, unknown := splitByConflict(batch, conflict)
+		if len(known) == 0 {
+			finish(batch, store.ErrBadAnswer)
+			return
+		}
+		finish(known, err)
+		batch = unknown
+	}
+}
+
+// acceptanceOf is the transaction that accepts the jobs of a batch, if all of them are unknown.
+func acceptanceOf(batch []*submission) (txn wire.Txn) {
+	for _, pending := range batch {
+		uid := pending.record.Spec.UID
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: store.JobKey(uid)}, wire.Condition{Key: store.FinalKey(uid)})
+		txn.Operations = append(txn.Operations, wire.Operation{Set: store.JobKey(uid), Value: pending.record})
+	}
+	return txn
+}
+
+// splitByConflict splits a batch into the submissions of jobs that are known and the others.
+func splitByConflict(batch []*submission, conflict *store.Conflict) (known, unknown []*submission) {
+	for _, pending := range batch {
+		uid := pending.record.Spec.UID
+		if slices.Contains(conflict.Failed, store.JobKey(uid)) || slices.Contains(conflict.Failed, store.FinalKey(uid)) {
+			known = append(known, pending)
+		} else {
+			unknown = append(unknown, pending)
+		}
+	}
+	return known, unknown
+}
+
+// finish tells the submissions their result.
+func finish(batch []*submission, err error) {
+	for _, pending := range batch {
+		pending.done <- err
+	}
+}
