--- a/bench_test.go
+++ b/bench_test.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	limited := connlimit.New(ln, 1000, connlimit.Outgoing{Workers: l.workers}, l.clock, l.log)
+	limited := connlimit.New(ln, 1000, connlimit.WorkerConnections{Client: l.workers}, l.clock, l.log)
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
 		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ConnState: limited.ConnState}
 	go srv.Serve(limited)
--- a/connlimit/budget.go
+++ b/connlimit/budget.go
@@ -5,9 +5,9 @@
 // questions to workers; the rest is for users and workers.
 type Budget struct {
 	Commands  int // direct commands in flight
-	Questions int // questions to workers in flight
-	KeepIdle  int // idle connections to workers, at most: they make way for the listener's
-	Clients   int // connections of users and workers
+	Probes int // questions to workers in flight
+	IdleWorkerConnections  int // idle connections to workers, at most: they make way for the listener's
+	ClientConnections   int // connections of users and workers
 }
 
 // ownConns is what a process needs besides: two listeners, the store's and the
@@ -18,9 +18,9 @@
 // the process may hold: one takes some 35 KB, so all of them a tenth of it.
 const idlePerMB = 3
 
-// Divide makes the budget of a process that may open so many sockets and hold so much memory.
-func Divide(limit int, memMB float64) Budget {
-	b := Budget{Commands: min(96, max(8, limit/32)), Questions: min(64, max(8, limit/48)), KeepIdle: max(8, min(limit/4, int(memMB*idlePerMB)))}
-	b.Clients = max(8, limit-min(ownConns, limit/4)-b.Commands-b.Questions)
+// NewBudget makes the budget of a process that may open so many sockets and hold so much memory.
+func NewBudget(limit int, memMB float64) Budget {
+	b := Budget{Commands: min(96, max(8, limit/32)), Probes: min(64, max(8, limit/48)), IdleWorkerConnections: max(8, min(limit/4, int(memMB*idlePerMB)))}
+	b.ClientConnections = max(8, limit-min(ownConns, limit/4)-b.Commands-b.Probes)
 	return b
 }
--- a/connlimit/listener.go
+++ b/connlimit/listener.go
@@ -20,7 +20,7 @@
 type Listener struct {
 	net.Listener
 	most     int      // connections held at most, those to workers that are idle included
-	outgoing Outgoing // those to workers
+	outgoing WorkerConnections // those to workers
 	clock    *clock.Clock
 	log      *slog.Logger
 
@@ -32,20 +32,20 @@
 }
 
 // New makes a Listener that holds at most so many connections of another one.
-func New(inner net.Listener, most int, outgoing Outgoing, ck *clock.Clock, log *slog.Logger) *Listener {
+func New(inner net.Listener, most int, outgoing WorkerConnections, ck *clock.Clock, log *slog.Logger) *Listener {
 	return &Listener{Listener: inner, most: most, outgoing: outgoing, clock: ck, log: log, idle: list.New()}
 }
 
-// Outgoing are a process's own connections to workers. Those in use have their own
+// WorkerConnections are a process's own connections to workers. Those in use have their own
 // part of what a process may open; those that are idle share the listener's.
-type Outgoing struct {
-	Workers  *agent.Client
-	InUse    int // that may be in use
-	KeepIdle int // idle ones that are kept until nothing else can make way
+type WorkerConnections struct {
+	Client  *agent.Client
+	MaxInUse    int // that may be in use
+	MinIdle int // idle ones that are kept until nothing else can make way
 }
 
 // idle is how many connections to workers stand in the listener's part.
-func (o Outgoing) idle() int { return max(0, o.Workers.OpenConnections()-o.InUse) }
+func (o WorkerConnections) idle() int { return max(0, o.Client.OpenConnections()-o.MaxInUse) }
 
 // held is how many connections of users and workers there are.
 func (l *Listener) held() int {
@@ -54,21 +54,21 @@
 	return l.open
 }
 
-// Short tells whether connections run short, so that those that can be made
+// ClientConnectionsScarce tells whether connections run short, so that those that can be made
 // anew at little cost should not be kept. Idle ones to workers go first: a worker
 // reports all the time, and is told something directly now and then.
-func (l *Listener) Short() bool {
+func (l *Listener) ClientConnectionsScarce() bool {
 	open, most := l.held(), l.most-l.most/8
 	if open <= most && open+l.outgoing.idle() > most {
-		l.outgoing.Workers.CloseIdleConnections()
+		l.outgoing.Client.CloseIdleConnections()
 	}
 	return open > most
 }
 
-// Full tells whether connections to workers should not be kept when idle.
-func (l *Listener) Full() bool {
+// IdleConnectionsScarce tells whether connections to workers should not be kept when idle.
+func (l *Listener) IdleConnectionsScarce() bool {
 	idle := l.outgoing.idle()
-	return idle > l.outgoing.KeepIdle && l.held()+idle > l.most-l.most/4
+	return idle > l.outgoing.MinIdle && l.held()+idle > l.most-l.most/4
 }
 
 // Accept implements net.Listener.
@@ -92,7 +92,7 @@
 // there is no room.
 func (l *Listener) admit(c net.Conn) *trackedConn {
 	if idle := l.outgoing.idle(); idle > 0 && l.held()+idle >= l.most {
-		l.outgoing.Workers.CloseIdleConnections()
+		l.outgoing.Client.CloseIdleConnections()
 	}
 	l.mu.Lock()
 	var out *trackedConn
--- a/connlimit/listener_test.go
+++ b/connlimit/listener_test.go
@@ -48,7 +48,7 @@
 func TestConnectionsRunShort(t *testing.T) {
 	const most = 16
 	in := scripted{make(chan net.Conn, 2*most)}
-	limited := New(in, most, Outgoing{Workers: agent.NewClient(1)}, clock.New(clockwork.NewFakeClock()), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	limited := New(in, most, WorkerConnections{Client: agent.NewClient(1)}, clock.New(clockwork.NewFakeClock()), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	dial := func() (far net.Conn) {
 		far, near := net.Pipe()
 		in.conns <- near
@@ -62,7 +62,7 @@
 	heartbeat := func() *httptest.ResponseRecorder {
 		rec := httptest.NewRecorder()
 		body, _ := wire.Marshal(map[string]any{"host": "n-1", "tenure": 1, "tally": 1, "warrant": 0, "pieces": []any{}})
-		agent.ServeHeartbeat(nobodyLeads{}, limited.Short)(rec, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, bytes.NewReader(body[:len(body)-1])))
+		agent.ServeHeartbeat(nobodyLeads{}, limited.ClientConnectionsScarce)(rec, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, bytes.NewReader(body[:len(body)-1])))
 		return rec
 	}
 	var far []net.Conn
@@ -103,8 +103,8 @@
 // have no part of their own, they stand in the clients'.
 func TestSocketsAreDivided(t *testing.T) {
 	for _, limit := range []int{64, 256, 1200, 2061, 2858, 4096} {
-		b := Divide(limit, 80)
-		if sum := b.Commands + b.Questions + b.Clients + min(ownConns, limit/4); sum > limit || b.Clients < limit/3 || b.KeepIdle >= b.Clients || b.KeepIdle > 240 {
+		b := NewBudget(limit, 80)
+		if sum := b.Commands + b.Probes + b.ClientConnections + min(ownConns, limit/4); sum > limit || b.ClientConnections < limit/3 || b.IdleWorkerConnections >= b.ClientConnections || b.IdleWorkerConnections > 240 {
 			t.Errorf("of %d: %+v", limit, b)
 		}
 	}
@@ -123,8 +123,8 @@
 		link.Dial = realDial
 		const most = 16
 		in := scripted{make(chan net.Conn, most)}
-		limited := New(in, most, Outgoing{Workers: workers, InUse: 2, KeepIdle: 1}, clock.New(clockwork.NewFakeClock()), slog.New(slog.NewTextHandler(io.Discard, nil)))
-		workers.ConnectionsScarce = limited.Full
+		limited := New(in, most, WorkerConnections{Client: workers, MaxInUse: 2, MinIdle: 1}, clock.New(clockwork.NewFakeClock()), slog.New(slog.NewTextHandler(io.Discard, nil)))
+		workers.ConnectionsScarce = limited.IdleConnectionsScarce
 		body, err := wire.Marshal(wire.Heartbeat{Machine: "n-1", Endpoint: "n-1:1", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 1})
 		if err != nil {
 			t.Fatal(err)
@@ -155,8 +155,8 @@
 			t.Fatalf("%d connections to workers are kept while there is room, want 8", got)
 		}
 		come(8) // 8 of 16, and 6 beyond the workers' own part
-		if limited.Short() || workers.OpenConnections() != 8 {
-			t.Errorf("short: %t, kept: %d", limited.Short(), workers.OpenConnections())
+		if limited.ClientConnectionsScarce() || workers.OpenConnections() != 8 {
+			t.Errorf("short: %t, kept: %d", limited.ClientConnectionsScarce(), workers.OpenConnections())
 		}
 		if got := ask(); got != 6 {
 			t.Errorf("%d are kept, want as many as leave a quarter free", got)
@@ -169,8 +169,8 @@
 		if got := ask(); got != 8 {
 			t.Fatalf("%d connections to workers are kept, want 8", got)
 		}
-		if limited.Short() || workers.OpenConnections() != 0 {
-			t.Errorf("short: %t, with %d connections to workers idle", limited.Short(), workers.OpenConnections())
+		if limited.ClientConnectionsScarce() || workers.OpenConnections() != 0 {
+			t.Errorf("short: %t, with %d connections to workers idle", limited.ClientConnectionsScarce(), workers.OpenConnections())
 		}
 		ask()
 		come(5) // nobody is turned away while idle ones to workers are there
--- a/leader.go
+++ b/leader.go
@@ -104,7 +104,7 @@
 	l.dispatcher = dispatcher.New(l.fleet, l.budget.Commands, l.workerLease(), since)
 	l.planner = planinput.New(planinput.Settings{Facts: facts, Operator: l.operator, Fleet: l.fleet, Quota: l.quota, Log: l.log})
 	l.detector = detector.New(detector.Settings{Fleet: l.fleet, ReportInterval: l.reportInterval(), Since: since,
-		MaxProbes: l.budget.Questions, Log: l.log})
+		MaxProbes: l.budget.Probes, Log: l.log})
 	l.autoscaler = autoscaler.New(autoscaler.Settings{Facts: facts, Operator: l.operator, Fleet: l.fleet, Quota: l.quota,
 		Token: l.term.Token, Since: since, Log: l.log})
 	l.reconciler = reconciliation.New(reconciliation.Settings{Jobs: l.jobs, Fleet: l.fleet, Quota: l.quota, Writer: l.writer,
--- a/service.go
+++ b/service.go
@@ -73,8 +73,8 @@
 	f := cfg.Facts
 	s.store = store.New(cfg.Outside.State, f.State, 1+len(cfg.Others))
 	s.cloud = cloud.New(cfg.Outside.Cloud, f.Cloud.RPS)
-	s.budget = connlimit.Divide(f.Limits.FDLimit, f.Limits.MemMB)
-	s.workers = agent.NewClient(s.budget.KeepIdle)
+	s.budget = connlimit.NewBudget(f.Limits.FDLimit, f.Limits.MemMB)
+	s.workers = agent.NewClient(s.budget.IdleWorkerConnections)
 	for _, o := range cfg.Others {
 		s.attestationLinks[o.Node] = peer.NewLink(o.Addr)
 		s.relayLinks[o.Node] = peer.NewLink(o.Addr)
@@ -105,10 +105,10 @@
 		front.Close()
 		return fmt.Errorf("listen for controllers: %w", err)
 	}
-	limited := connlimit.New(front, s.budget.Clients, connlimit.Outgoing{Workers: s.workers,
-		InUse: s.budget.Commands + s.budget.Questions, KeepIdle: s.budget.KeepIdle / 4}, s.clock, s.log)
-	s.workers.ConnectionsScarce = limited.Full
-	s.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(s, limited.Short))
+	limited := connlimit.New(front, s.budget.ClientConnections, connlimit.WorkerConnections{Client: s.workers,
+		MaxInUse: s.budget.Commands + s.budget.Probes, MinIdle: s.budget.IdleWorkerConnections / 4}, s.clock, s.log)
+	s.workers.ConnectionsScarce = limited.IdleConnectionsScarce
+	s.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(s, limited.ClientConnectionsScarce))
 	srv := &http.Server{Handler: s.router, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
 		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug), ConnState: limited.ConnState}
 	var wg sync.WaitGroup
