--- a/connlimit/listener.go
+++ b/connlimit/listener.go
@@ -1,4 +1,4 @@
-// Package connlimit keeps the connections of a process within what it may open.
+// Package connlimit keeps the connections of a process within the number that it may open.
 package connlimit
 
 import (
@@ -12,132 +12,152 @@
 	"cedardoor/clock"
 )
 
-// Listener is the listener of users and workers. It keeps their connections within
-// a budget: when they run short, answers to heartbeats ask for the connection to be
-// closed, then the longest idle connection makes way for a new one, and one for
-// which none can is turned away at once, since the load balancer and workers
-// turn to another node sooner than a connection in the backlog is given up.
+// minLogInterval is the least time between log lines about connections that were rejected.
+const minLogInterval = 10 * clock.Second
+
+// Listener is the listener of users and workers. It keeps their connections within a budget, which the
+// process's idle connections to workers share. When connections become scarce, first the idle ones to
+// workers are closed, then responses to heartbeats ask the workers to close theirs, then a new
+// connection replaces the one that has been idle for longest. If none is idle, a new connection is
+// reset at once: the load balancer and the workers turn to another controller sooner than if it waited
+// in the backlog.
 type Listener struct {
 	net.Listener
-	most     int      // connections held at most, those to workers that are idle included
-	outgoing WorkerConnections // those to workers
-	clock    *clock.Clock
-	log      *slog.Logger
+	maxConnections int // idle connections to workers included
+	workers        WorkerConnections
+	clock          *clock.Clock
+	log            *slog.Logger
 
 	mu       sync.Mutex // guards the fields below
 	open     int
-	idle     *list.List   // of *trackedConn, the longest idle first
-	refused  int          // connections turned away
-	loggedAt clock.Micros // when the log last told of it
+	idle     *list.List // of *trackedConn, the longest idle first
+	rejected int
+	loggedAt clock.Micros // when rejections were last logged; zero: never
 }
 
-// New makes a Listener that holds at most so many connections of another one.
-func New(inner net.Listener, most int, outgoing WorkerConnections, ck *clock.Clock, log *slog.Logger) *Listener {
-	return &Listener{Listener: inner, most: most, outgoing: outgoing, clock: ck, log: log, idle: list.New()}
+// WorkerConnections are the process's own connections to workers. Those in use have a budget of their
+// own; those that are idle share the listener's.
+type WorkerConnections struct {
+	Client   *agent.Client
+	MaxInUse int // connections that may be in use
+	MinIdle  int // idle connections that are kept as long as there is room for them
 }
 
-// WorkerConnections are a process's own connections to workers. Those in use have their own
-// part of what a process may open; those that are idle share the listener's.
-type WorkerConnections struct {
-	Client  *agent.Client
-	MaxInUse    int // that may be in use
-	MinIdle int // idle ones that are kept until nothing else can make way
+// New makes a Listener that keeps at most maxConnections of those that inner accepts.
+func New(inner net.Listener, maxConnections int, workers WorkerConnections, clk *clock.Clock, log *slog.Logger) *Listener {
+	return &Listener{Listener: inner, maxConnections: maxConnections, workers: workers, clock: clk, log: log, idle: list.New()}
 }
 
-// idle is how many connections to workers stand in the listener's part.
-func (o WorkerConnections) idle() int { return max(0, o.Client.OpenConnections()-o.MaxInUse) }
+// idle is the number of connections to workers that count for the listener's budget.
+func (w WorkerConnections) idle() int { return max(0, w.Client.OpenConnections()-w.MaxInUse) }
 
-// held is how many connections of users and workers there are.
-func (l *Listener) held() int {
+// openConnections is the number of connections of users and workers.
+func (l *Listener) openConnections() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// ClientConnectionsScarce tells whether connections run short, so that those that can be made
-// anew at little cost should not be kept. Idle ones to workers go first: a worker
-// reports all the time, and is told something directly now and then.
+// ClientConnectionsScarce tells whether so many connections are open that those which are cheap to make
+// again should be closed after use. It closes idle connections to workers first.
 func (l *Listener) ClientConnectionsScarce() bool {
-	open, most := l.held(), l.most-l.most/8
-	if open <= most && open+l.outgoing.idle() > most {
-		l.outgoing.Client.CloseIdleConnections()
+	open, limit := l.openConnections(), l.maxConnections-l.maxConnections/8
+	if open <= limit && open+l.workers.idle() > limit {
+		l.workers.Client.CloseIdleConnections()
 	}
-	return open > most
+	return open > limit
 }
 
-// IdleConnectionsScarce tells whether connections to workers should not be kept when idle.
+// IdleConnectionsScarce tells whether connections to workers should be closed after use.
 func (l *Listener) IdleConnectionsScarce() bool {
-	idle := l.outgoing.idle()
-	return idle > l.outgoing.MinIdle && l.held()+idle > l.most-l.most/4
+	idle := l.workers.idle()
+	return idle > l.workers.MinIdle && l.openConnections()+idle > l.maxConnections-l.maxConnections/4
 }
 
 // Accept implements net.Listener.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if admitted := l.admit(c); admitted != nil {
-			return admitted, nil
+		if tracked := l.admit(conn); tracked != nil {
+			return tracked, nil
 		}
-		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // a refusal, not an end after an answer
+		if tcp, ok := conn.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0) // so that closing resets the connection
 		}
-		c.Close()
+		conn.Close()
 	}
 }
 
-// admit takes a connection in, in an idle one's place if need be; nil when
-// there is no room.
-func (l *Listener) admit(c net.Conn) *trackedConn {
-	if idle := l.outgoing.idle(); idle > 0 && l.held()+idle >= l.most {
-		l.outgoing.Client.CloseIdleConnections()
+// admit takes a connection in, in place of an idle one if necessary; nil if there is no room for it.
+func (l *Listener) admit(conn net.Conn) *trackedConn {
+	if idle := l.workers.idle(); idle > 0 && l.openConnections()+idle >= l.maxConnections {
+		l.workers.Client.CloseIdleConnections()
+	}
+	tracked, replaced := l.track(conn)
+	switch {
+	case tracked == nil:
+		l.logRejection()
+	case replaced != nil:
+		replaced.Conn.Close()
 	}
+	return tracked
+}
+
+// track counts a connection. If the budget is used up it replaces the longest idle connection, which
+// the caller has to close; if there is none, tracked is nil.
+func (l *Listener) track(conn net.Conn) (tracked, replaced *trackedConn) {
 	l.mu.Lock()
-	var out *trackedConn
-	if l.open >= l.most {
-		if e := l.idle.Front(); e != nil {
-			out = e.Value.(*trackedConn)
-			l.leave(out)
-		} else {
-			l.refused++
-			refused, now := l.refused, l.clock.Now()
-			tell := l.loggedAt == 0 || now-l.loggedAt > 10*clock.Second
-			if tell {
-				l.loggedAt = now
-			}
-			l.mu.Unlock()
-			if tell {
-				l.log.Info("connections run short: some are turned away", "most", l.most, "so_far", refused)
-			}
-			return nil
+	defer l.mu.Unlock()
+	if l.open >= l.maxConnections {
+		longestIdle := l.idle.Front()
+		if longestIdle == nil {
+			l.rejected++
+			return nil, nil
 		}
+		replaced = longestIdle.Value.(*trackedConn)
+		l.untrack(replaced)
 	}
 	l.open++
-	admitted := &trackedConn{Conn: c, listener: l}
-	l.mu.Unlock()
-	if out != nil {
-		out.Conn.Close()
-	}
-	return admitted
+	return &trackedConn{Conn: conn, listener: l}, replaced
 }
 
-// leave takes a connection off the books, once. The caller holds mu.
-func (l *Listener) leave(c *trackedConn) {
-	if c.gone {
+// untrack no longer counts a connection. The caller holds mu.
+func (l *Listener) untrack(c *trackedConn) {
+	if c.untracked {
 		return
 	}
-	c.gone = true
+	c.untracked = true
 	l.open--
-	if c.at != nil {
-		l.idle.Remove(c.at)
-		c.at = nil
+	l.markInUse(c)
+}
+
+// markInUse removes a connection from the idle ones, if it is among them. The caller holds mu.
+func (l *Listener) markInUse(c *trackedConn) {
+	if c.idleElement != nil {
+		l.idle.Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-// ConnState follows which connections are idle; it is for an http.Server's ConnState.
-func (l *Listener) ConnState(conn net.Conn, s http.ConnState) {
+// logRejection logs that connections are rejected, now and then.
+func (l *Listener) logRejection() {
+	l.mu.Lock()
+	rejected, now := l.rejected, l.clock.Now()
+	due := l.loggedAt == 0 || now-l.loggedAt > minLogInterval
+	if due {
+		l.loggedAt = now
+	}
+	l.mu.Unlock()
+	if due {
+		l.log.Info("connections rejected: limit reached", "limit", l.maxConnections, "rejected", rejected)
+	}
+}
+
+// ConnState tracks which connections are idle. It is meant for an http.Server's ConnState.
+func (l *Listener) ConnState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*trackedConn)
 	if !ok {
 		return
@@ -145,12 +165,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case c.gone:
-	case s == http.StateIdle && c.at == nil:
-		c.at = l.idle.PushBack(c)
-	case s == http.StateActive && c.at != nil:
-		l.idle.Remove(c.at)
-		c.at = nil
+	case c.untracked:
+	case state == http.StateIdle && c.idleElement == nil:
+		c.idleElement = l.idle.PushBack(c)
+	case state == http.StateActive:
+		l.markInUse(c)
 	}
 }
 
@@ -158,14 +177,16 @@
 type trackedConn struct {
 	net.Conn
 	listener *Listener
-	at       *list.Element // among the idle ones; guarded by the listener's lock, as gone is
-	gone     bool
+
+	// The listener's mu guards the fields below.
+	idleElement *list.Element // in the listener's idle; nil while the connection is in use
+	untracked   bool
 }
 
 // Close implements net.Conn.
 func (c *trackedConn) Close() error {
 	c.listener.mu.Lock()
-	c.listener.leave(c)
+	c.listener.untrack(c)
 	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/connlimit/listener_test.go
+++ b/connlimit/listener_test.go
@@ -21,161 +21,176 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// scripted is a listener whose connections a test makes.
-type scripted struct{ conns chan net.Conn }
+// fakeListener is a listener whose connections a test makes.
+type fakeListener struct{ conns chan net.Conn }
 
-func (s scripted) Accept() (net.Conn, error) {
-	c, ok := <-s.conns
+func (f fakeListener) Accept() (net.Conn, error) {
+	conn, ok := <-f.conns
 	if !ok {
 		return nil, net.ErrClosed
 	}
-	return c, nil
+	return conn, nil
 }
-func (s scripted) Close() error   { return nil }
-func (s scripted) Addr() net.Addr { return &net.TCPAddr{} }
+func (f fakeListener) Close() error   { return nil }
+func (f fakeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// nobodyLeads answers no heartbeat.
-type nobodyLeads struct{}
+// connect makes a connection that waits to be accepted.
+func (f fakeListener) connect() (client net.Conn) {
+	client, server := net.Pipe()
+	f.conns <- server
+	return client
+}
+
+// noLeader receives no heartbeats.
+type noLeader struct{}
 
-func (nobodyLeads) Heartbeat(*wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+func (noLeader) Heartbeat(*wire.Heartbeat) (wire.HeartbeatResponse, bool) {
 	return wire.HeartbeatResponse{}, false
 }
-func (nobodyLeads) Leader() string { return "" }
-
-// When connections run short, heartbeats are still answered: their answers ask for
-// a close, idle connections make way, and what has no room is turned away at
-// once instead of hanging in the backlog.
-func TestConnectionsRunShort(t *testing.T) {
-	const most = 16
-	in := scripted{make(chan net.Conn, 2*most)}
-	limited := New(in, most, WorkerConnections{Client: agent.NewClient(1)}, clock.New(clockwork.NewFakeClock()), slog.New(slog.NewTextHandler(io.Discard, nil)))
-	dial := func() (far net.Conn) {
-		far, near := net.Pipe()
-		in.conns <- near
-		return far
-	}
-	closed := func(c net.Conn) bool {
-		_ = c.SetReadDeadline(time.Unix(1, 0)) // no waiting: an end is told before a deadline
-		_, err := c.Read(make([]byte, 1))
-		return err == io.EOF
-	}
-	heartbeat := func() *httptest.ResponseRecorder {
-		rec := httptest.NewRecorder()
-		body, _ := wire.Marshal(map[string]any{"host": "n-1", "tenure": 1, "tally": 1, "warrant": 0, "pieces": []any{}})
-		agent.ServeHeartbeat(nobodyLeads{}, limited.ClientConnectionsScarce)(rec, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, bytes.NewReader(body[:len(body)-1])))
-		return rec
+func (noLeader) Leader() string { return "" }
+
+const testMaxConnections = 16
+
+func newTestListener(workers WorkerConnections) (*Listener, fakeListener) {
+	inner := fakeListener{make(chan net.Conn, 2*testMaxConnections)}
+	return New(inner, testMaxConnections, workers, clock.New(clockwork.NewFakeClock()), slog.New(slog.NewTextHandler(io.Discard, nil))), inner
+}
+
+func mustAccept(t *testing.T, l *Listener) net.Conn {
+	t.Helper()
+	conn, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
 	}
-	var far []net.Conn
-	var near []net.Conn
-	for i := range most {
-		if closing := heartbeat().Header().Get("Connection") == "close"; closing != (i > most-most/8) {
-			t.Errorf("with %d of %d connections, the answer to a heartbeat asks for a close: %t", i, most, closing)
-		}
-		far = append(far, dial())
-		c, err := limited.Accept()
-		if err != nil {
-			t.Fatal(err)
+	return conn
+}
+
+// isClosed tells whether the other side of a connection closed it.
+func isClosed(conn net.Conn) bool {
+	_ = conn.SetReadDeadline(time.Unix(1, 0)) // no waiting: the end comes before the deadline
+	_, err := conn.Read(make([]byte, 1))
+	return err == io.EOF
+}
+
+// asksForClose tells whether the response to a heartbeat asks for the connection to be closed.
+func asksForClose(l *Listener) bool {
+	recorder := httptest.NewRecorder()
+	body, _ := wire.Marshal(map[string]any{"host": "n-1", "tenure": 1, "tally": 1, "warrant": 0, "pieces": []any{}})
+	request := httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, bytes.NewReader(body[:len(body)-1]))
+	agent.ServeHeartbeat(noLeader{}, l.ClientConnectionsScarce)(recorder, request)
+	return recorder.Header().Get("Connection") == "close"
+}
+
+// When connections are scarce, heartbeats are still answered: the responses ask for a close, idle
+// connections are replaced, and a connection without room is rejected at once instead of waiting in the
+// backlog.
+func TestScarceConnections(t *testing.T) {
+	l, inner := newTestListener(WorkerConnections{Client: agent.NewClient(1)})
+	var clients, accepted []net.Conn
+	for i := range testMaxConnections {
+		if closing := asksForClose(l); closing != (i > testMaxConnections-testMaxConnections/8) {
+			t.Errorf("with %d of %d connections, the response to a heartbeat asks for a close: %t", i, testMaxConnections, closing)
 		}
-		near = append(near, c)
+		clients = append(clients, inner.connect())
+		accepted = append(accepted, mustAccept(t, l))
 	}
-	limited.ConnState(near[3], http.StateIdle)
-	limited.ConnState(near[5], http.StateIdle)
-	limited.ConnState(near[3], http.StateActive)
-	dial()
-	if _, err := limited.Accept(); err != nil || !closed(far[5]) || closed(far[3]) {
-		t.Fatalf("the idle connection did not make way: %v", err)
+	l.ConnState(accepted[3], http.StateIdle)
+	l.ConnState(accepted[5], http.StateIdle)
+	l.ConnState(accepted[3], http.StateActive)
+	inner.connect()
+	if _, err := l.Accept(); err != nil || !isClosed(clients[5]) || isClosed(clients[3]) {
+		t.Fatalf("the idle connection was not replaced: %v", err)
 	}
-	away := dial()
-	close(in.conns)
-	if _, err := limited.Accept(); err == nil || !closed(away) {
-		t.Error("a connection without room was not turned away at once")
+	rejected := inner.connect()
+	close(inner.conns)
+	if _, err := l.Accept(); err == nil || !isClosed(rejected) {
+		t.Error("a connection without room was not rejected at once")
 	}
-	// What ends makes room, and ends once only.
-	near[0].Close()
-	near[0].Close()
-	near[5].Close()
-	if limited.open != most-1 {
-		t.Errorf("%d connections counted, want %d", limited.open, most-1)
+	// A closed connection makes room, once.
+	accepted[0].Close()
+	accepted[0].Close()
+	accepted[5].Close()
+	if l.open != testMaxConnections-1 {
+		t.Errorf("%d connections counted, want %d", l.open, testMaxConnections-1)
 	}
 }
 
-// Whatever a process may open, the parts stay within it. Idle connections to workers
-// have no part of their own, they stand in the clients'.
-func TestSocketsAreDivided(t *testing.T) {
-	for _, limit := range []int{64, 256, 1200, 2061, 2858, 4096} {
-		b := NewBudget(limit, 80)
-		if sum := b.Commands + b.Probes + b.ClientConnections + min(ownConns, limit/4); sum > limit || b.ClientConnections < limit/3 || b.IdleWorkerConnections >= b.ClientConnections || b.IdleWorkerConnections > 240 {
-			t.Errorf("of %d: %+v", limit, b)
+// The parts of a budget are together within the number of sockets. Idle connections to workers have no
+// part of their own but share the clients'.
+func TestBudget(t *testing.T) {
+	for _, sockets := range []int{64, 256, 1200, 2061, 2858, 4096} {
+		b := NewBudget(sockets, 80)
+		sum := b.Commands + b.Probes + b.ClientConnections + min(maxInternalSockets, sockets/4)
+		if sum > sockets || b.ClientConnections < sockets/3 || b.IdleWorkerConnections >= b.ClientConnections || b.IdleWorkerConnections > 240 {
+			t.Errorf("of %d: %+v", sockets, b)
 		}
 	}
 }
 
-// Connections to workers are kept when idle while there is room. As others come they
-// are no longer kept, and those that are there make way before an answer to a
-// heartbeat asks for a close, and before anybody is turned away.
-func TestIdleConnectionsToWorkersMakeWay(t *testing.T) {
+// Idle connections to workers are kept while there is room. As clients connect they are no longer kept,
+// and the idle ones are closed before a response to a heartbeat asks for a close, and before any
+// connection is rejected.
+func TestIdleConnectionsToWorkersMakeRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
+		const workerCount = 8
 		network := standin.NewNetwork()
 		defer network.CloseAll()
 		realDial := link.Dial
 		link.Dial = network.Dialer("node-1")
-		workers := agent.NewClient(8)
+		workers := agent.NewClient(workerCount)
 		link.Dial = realDial
-		const most = 16
-		in := scripted{make(chan net.Conn, most)}
-		limited := New(in, most, WorkerConnections{Client: workers, MaxInUse: 2, MinIdle: 1}, clock.New(clockwork.NewFakeClock()), slog.New(slog.NewTextHandler(io.Discard, nil)))
-		workers.ConnectionsScarce = limited.IdleConnectionsScarce
-		body, err := wire.Marshal(wire.Heartbeat{Machine: "n-1", Endpoint: "n-1:1", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 1})
+		l, inner := newTestListener(WorkerConnections{Client: workers, MaxInUse: 2, MinIdle: 1})
+		workers.ConnectionsScarce = l.IdleConnectionsScarce
+		report, err := wire.Marshal(wire.Heartbeat{Machine: "n-1", Endpoint: "n-1:1", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
-		ask := func() int {
-			for i := range 8 {
-				if _, err := workers.RequestReport(t.Context(), fmt.Sprintf("n-%d:1", i)); err != nil {
+		endpoint := func(i int) string { return fmt.Sprintf("n-%d:1", i) }
+		for i := range workerCount {
+			defer network.Serve(endpoint(i), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(report) }))()
+		}
+		// requestReports requests a report of every worker, and returns how many connections are kept.
+		requestReports := func() int {
+			for i := range workerCount {
+				if _, err := workers.RequestReport(t.Context(), endpoint(i)); err != nil {
 					t.Fatal(err)
 				}
 				synctest.Wait()
 			}
 			return workers.OpenConnections()
 		}
-		come := func(n int) {
-			for range n {
-				_, near := net.Pipe()
-				in.conns <- near
-				if _, err := limited.Accept(); err != nil {
-					t.Fatal(err)
-				}
+		connect := func(clients int) {
+			for range clients {
+				inner.connect()
+				mustAccept(t, l)
 			}
 			synctest.Wait()
 		}
-		for i := range 8 {
-			defer network.Serve(fmt.Sprintf("n-%d:1", i), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) }))()
-		}
-		if got := ask(); got != 8 {
+		if got := requestReports(); got != 8 {
 			t.Fatalf("%d connections to workers are kept while there is room, want 8", got)
 		}
-		come(8) // 8 of 16, and 6 beyond the workers' own part
-		if limited.ClientConnectionsScarce() || workers.OpenConnections() != 8 {
-			t.Errorf("short: %t, kept: %d", limited.ClientConnectionsScarce(), workers.OpenConnections())
+		connect(8) // 8 of 16, and 6 connections to workers beyond those that may be in use
+		if l.ClientConnectionsScarce() || workers.OpenConnections() != 8 {
+			t.Errorf("scarce: %t, kept: %d", l.ClientConnectionsScarce(), workers.OpenConnections())
 		}
-		if got := ask(); got != 6 {
+		if got := requestReports(); got != 6 {
 			t.Errorf("%d are kept, want as many as leave a quarter free", got)
 		}
-		come(3)
-		if got := ask(); got != 3 {
-			t.Errorf("%d are kept where others need the room soon, want their own part and one", got)
+		connect(3)
+		if got := requestReports(); got != 3 {
+			t.Errorf("%d are kept when clients need the room soon, want those that may be in use and one", got)
 		}
 		workers.ConnectionsScarce = nil
-		if got := ask(); got != 8 {
+		if got := requestReports(); got != 8 {
 			t.Fatalf("%d connections to workers are kept, want 8", got)
 		}
-		if limited.ClientConnectionsScarce() || workers.OpenConnections() != 0 {
-			t.Errorf("short: %t, with %d connections to workers idle", limited.ClientConnectionsScarce(), workers.OpenConnections())
+		if l.ClientConnectionsScarce() || workers.OpenConnections() != 0 {
+			t.Errorf("scarce: %t, with %d idle connections to workers", l.ClientConnectionsScarce(), workers.OpenConnections())
 		}
-		ask()
-		come(5) // nobody is turned away while idle ones to workers are there
-		if workers.OpenConnections() != 0 || limited.refused != 0 || limited.open != most {
-			t.Errorf("%d connections to workers idle, %d held, %d turned away", workers.OpenConnections(), limited.open, limited.refused)
+		requestReports()
+		connect(5) // none is rejected while there are idle connections to workers
+		if workers.OpenConnections() != 0 || l.rejected != 0 || l.open != testMaxConnections {
+			t.Errorf("%d idle connections to workers, %d open, %d rejected", workers.OpenConnections(), l.open, l.rejected)
 		}
 	})
 }
