--- a/autoscaler/demand.go
+++ b/autoscaler/demand.go
@@ -175,7 +175,7 @@
 // to drain in time.
 func (a *Autoscaler) Demand(v View) cloud.Demand {
 	settings := &a.Operator.Fleet
-	demand := cloud.Demand{ReserveShare: settings.ReserveOD, MachineReserveShare: settings.ReserveMachine, ZoneReserveShare: settings.ReserveZone,
+	demand := cloud.Demand{ReserveShare: settings.ReserveOnDemand, MachineReserveShare: settings.ReserveMachine, ZoneReserveShare: settings.ReserveZone,
 		IdleTimeout: clock.FromSeconds(settings.IdleS), MaxMachines: settings.MaxMachines}
 	sums := a.sumWork(v, &demand)
 	arriving := a.arrivals.Rate(cloud.Window{Now: v.Now, Since: a.Since, Span: clock.FromSeconds(settings.WindowS),
@@ -190,7 +190,7 @@
 	demand.Preemptible = demand.Preemptible.Plus(sums.replicas)
 	demand.Urgent = demand.Urgent.Plus(sums.replicas)
 	a.peaks.Retain(&demand, sums.urgent.Cores, cloud.Retention{Now: v.Now, Since: a.Since, Preemptible: clock.FromSeconds(settings.HoldS),
-		OnDemand: clock.FromSeconds(settings.HoldOrdinaryS), Decay: arriving.Decay})
+		OnDemand: clock.FromSeconds(settings.HoldOnDemandS), Decay: arriving.Decay})
 	if a.idleFor(v.Now, demand.OnDemand.Cores > 0 || sums.all.Cores > 0) > demand.IdleTimeout {
 		// With no work at all for a while, nothing is kept for what might come.
 		demand.Preemptible, demand.Urgent, demand.Growth = cloud.Load{}, cloud.Load{}, 0
--- a/cmd/cedardoor/main.go
+++ b/cmd/cedardoor/main.go
@@ -45,7 +45,7 @@
 	case errors.Is(err, errStale):
 		fmt.Fprintln(os.Stderr, "cedardoor:", err)
 		return exitStale
-	case errors.Is(err, operator.ErrNoView):
+	case errors.Is(err, operator.ErrNoReport):
 		fmt.Fprintln(os.Stderr, "cedardoor:", err)
 		return exitNoView
 	case errors.Is(err, errSetup):
@@ -72,7 +72,7 @@
 		if err != nil {
 			return nil, nil, setup(err)
 		}
-		if err := p.Suits(o); err != nil {
+		if err := p.CheckCompatible(o); err != nil {
 			return nil, nil, setup(fmt.Errorf("settings %s: %w", platform, err))
 		}
 		return p, o, nil
@@ -112,7 +112,7 @@
 			if err != nil {
 				return err
 			}
-			for _, w := range p.Tight(o) {
+			for _, w := range p.Warnings(o) {
 				fmt.Fprintln(c.OutOrStdout(), "tight:", w)
 			}
 			fmt.Fprintln(c.OutOrStdout(), "settings are valid")
--- a/cmd/cedardoor/recovery_test.go
+++ b/cmd/cedardoor/recovery_test.go
@@ -84,7 +84,7 @@
 	}{
 		{"the leader's view", []string{"--address", controllerAt(t, operator.PathRecovery, http.StatusOK, someRecovery)}, 0},
 		{"an old view", []string{"--address", controllerAt(t, operator.PathRecovery, http.StatusOK, stale)}, exitStale},
-		{"no view yet", []string{"--address", controllerAt(t, operator.PathRecovery, http.StatusServiceUnavailable, operator.Failure{Error: "x"})}, exitNoView},
+		{"no view yet", []string{"--address", controllerAt(t, operator.PathRecovery, http.StatusServiceUnavailable, operator.ErrorResponse{Error: "x"})}, exitNoView},
 		{"no address", nil, exitUsage},
 		{"another form", []string{"--address", "127.0.0.1:1", "--output", "xml"}, exitUsage},
 		{"another argument", []string{"now"}, exitUsage},
--- a/cmd/cedardoor/reports.go
+++ b/cmd/cedardoor/reports.go
@@ -34,7 +34,7 @@
 func teamsCommand() *cobra.Command {
 	return reportCommand[quota.Report]{
 		name: "teams", short: "Print what teams use of their limits, and what of their work waits",
-		fetch: operator.Teams, print: operator.PrintTeams,
+		fetch: operator.FetchTeams, print: operator.PrintTeams,
 		seen: func(r quota.Report) (string, bool, float64) { return r.Leader, r.Fresh, r.AgeS },
 	}.command()
 }
@@ -43,7 +43,7 @@
 func recoveryCommand() *cobra.Command {
 	return reportCommand[recovery.Report]{
 		name: "recovery", short: "Print how far the leader has taken over: machines, attempts, damaged records",
-		fetch: operator.Recovery, print: operator.PrintRecovery,
+		fetch: operator.FetchRecovery, print: operator.PrintRecovery,
 		seen: func(r recovery.Report) (string, bool, float64) { return r.Leader, r.Fresh, r.AgeS },
 	}.command()
 }
@@ -55,7 +55,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error { return c.run(cmd.OutOrStdout(), address, output) },
 	}
 	command.Flags().StringVar(&address, "address", "", "operators' address of any controller")
-	command.Flags().StringVar(&output, "output", operator.OutputTable, "table or json")
+	command.Flags().StringVar(&output, "output", operator.FormatTable, "table or json")
 	return command
 }
 
@@ -67,7 +67,7 @@
 		return setup(err)
 	}
 	report, err := c.fetch(context.Background(), address)
-	if errors.Is(err, operator.ErrAddress) {
+	if errors.Is(err, operator.ErrInvalidAddress) {
 		return setup(err)
 	}
 	if err != nil {
--- a/cmd/cedardoor/teams_test.go
+++ b/cmd/cedardoor/teams_test.go
@@ -100,7 +100,7 @@
 	}{
 		{"the leader's view", []string{"--address", controller(t, http.StatusOK, someTeams)}, 0},
 		{"an old view", []string{"--address", controller(t, http.StatusOK, stale)}, exitStale},
-		{"no view yet", []string{"--address", controller(t, http.StatusServiceUnavailable, operator.Failure{Error: "x"})}, exitNoView},
+		{"no view yet", []string{"--address", controller(t, http.StatusServiceUnavailable, operator.ErrorResponse{Error: "x"})}, exitNoView},
 		{"another program", []string{"--address", controller(t, http.StatusNotFound, "x")}, exitFailure},
 		{"no report", []string{"--address", controller(t, http.StatusOK, "x")}, exitFailure},
 		{"nobody there", []string{"--address", nobody}, exitFailure},
--- a/config/config.go
+++ b/config/config.go
@@ -113,7 +113,7 @@
 	Node         string `json:"node"`
 	Area         string `json:"area"`
 	ClientListen string `json:"client_listen"`
-	Back         string `json:"back"`
+	PeerListen   string `json:"back"`
 	Others       []Node `json:"others"`
 	Outside      struct {
 		Cloud string `json:"cloud"`
@@ -141,15 +141,15 @@
 // The least that records need of the state service: a full record of a job's
 // tasks, and the two changes with which a job ends beside one of its records.
 const (
-	LeastValueKB = 8
-	LeastTxnOps  = 3
+	MinValueKB = 8
+	MinTxnOps  = 3
 )
 
 // The least with which a controller runs at all: its own connections and a few
 // workers' and users'; an idle process.
 const (
-	LeastSockets = 48
-	LeastMemMB   = 12
+	MinSockets  = 48
+	MinMemoryMB = 12
 )
 
 // lastWord is how long a task may go on after its leader last knew everything:
@@ -158,17 +158,17 @@
 	return (o.Lead.TTLs + p.Facts.Workers.LeaseS) * (1 + clock.Drift)
 }
 
-// Suits checks what the two files must keep together: a task whose job is
+// CheckCompatible checks what the two files must keep together: a task whose job is
 // cancelled while its leader is cut off is ended by its worker's lease alone.
-func (p *Platform) Suits(o *Operator) error {
+func (p *Platform) CheckCompatible(o *Operator) error {
 	if last := p.lastWord(o); last >= p.Facts.Workers.CancelS {
 		return fmt.Errorf("facts.workers.cancel_s: %v s is not longer than /lead/ttl_s, facts.workers.lease_s and drift together (%.3f s)", p.Facts.Workers.CancelS, last)
 	}
 	return nil
 }
 
-// Tight names what is enough to start with but little to serve many with.
-func (p *Platform) Tight(o *Operator) (warnings []string) {
+// Warnings names what is enough to start with but little to serve many with.
+func (p *Platform) Warnings(o *Operator) (warnings []string) {
 	f := &p.Facts
 	add := func(format string, args ...any) { warnings = append(warnings, fmt.Sprintf(format, args...)) }
 	if f.Limits.FDLimit < 256 {
@@ -210,7 +210,7 @@
 
 func (p *Platform) check() error {
 	addrs := []struct{ field, value string }{
-		{"client_listen", p.ClientListen}, {"back", p.Back},
+		{"client_listen", p.ClientListen}, {"back", p.PeerListen},
 		{"outside.cloud", p.Outside.Cloud}, {"outside.state", p.Outside.State},
 	}
 	names := map[string]bool{p.Node: true}
@@ -257,20 +257,20 @@
 	if len(f.Zones) == 0 || slices.Contains(f.Zones, "") {
 		return fmt.Errorf("facts.zones: missing, or one has no name")
 	}
-	if f.State.ValueKB < LeastValueKB {
-		return fmt.Errorf("facts.state.value_kb: %v is too small for one record, which takes %d", f.State.ValueKB, LeastValueKB)
+	if f.State.ValueKB < MinValueKB {
+		return fmt.Errorf("facts.state.value_kb: %v is too small for one record, which takes %d", f.State.ValueKB, MinValueKB)
 	}
-	if f.State.TxnOps < LeastTxnOps {
-		return fmt.Errorf("facts.state.txn_ops: %d is too small for one change of a job, which takes %d", f.State.TxnOps, LeastTxnOps)
+	if f.State.TxnOps < MinTxnOps {
+		return fmt.Errorf("facts.state.txn_ops: %d is too small for one change of a job, which takes %d", f.State.TxnOps, MinTxnOps)
 	}
 	if f.Workers.LeaseS <= f.Workers.ReportS {
 		return fmt.Errorf("facts.workers.lease_s: not longer than facts.workers.report_s")
 	}
-	if f.Limits.FDLimit < LeastSockets {
-		return fmt.Errorf("facts.machine_limits.fd_limit: %d is too few sockets to run at all, which takes %d", f.Limits.FDLimit, LeastSockets)
+	if f.Limits.FDLimit < MinSockets {
+		return fmt.Errorf("facts.machine_limits.fd_limit: %d is too few sockets to run at all, which takes %d", f.Limits.FDLimit, MinSockets)
 	}
-	if f.Limits.MemMB < LeastMemMB {
-		return fmt.Errorf("facts.machine_limits.mem_mb: %v is too little memory to run at all, which takes %d", f.Limits.MemMB, LeastMemMB)
+	if f.Limits.MemMB < MinMemoryMB {
+		return fmt.Errorf("facts.machine_limits.mem_mb: %v is too little memory to run at all, which takes %d", f.Limits.MemMB, MinMemoryMB)
 	}
 	if f.SkewMS < 0 || f.Cloud.ListLagS < 0 {
 		return fmt.Errorf("facts.skew_ms or facts.cloud.list_lag_s: negative")
@@ -296,22 +296,22 @@
 		RenewS float64 `json:"renew_s"`
 	} `json:"lead"`
 	Fleet struct {
-		Enabled        bool    `json:"enabled"`
-		PeriodS        float64 `json:"period_s"`
-		IdleS          float64 `json:"idle_s"`
-		WindowS        float64 `json:"window_s"`
-		Headroom       float64 `json:"headroom"`
-		ReserveOD      float64 `json:"reserve_ordinary"`
-		ReserveMachine float64 `json:"reserve_machine"`
-		ReserveZone    float64 `json:"reserve_zone"`
-		QueueS         float64 `json:"queue_s"`
-		UrgentS        float64 `json:"urgent_s"`
-		HoldS          float64 `json:"hold_s"`
-		HoldOrdinaryS  float64 `json:"hold_ordinary_s"`
-		Patience       float64 `json:"patience"`
-		SilentS        float64 `json:"silent_s"`
-		BootFactor     float64 `json:"boot_factor"`
-		MaxMachines    int     `json:"max_machines"`
+		Enabled         bool    `json:"enabled"`
+		PeriodS         float64 `json:"period_s"`
+		IdleS           float64 `json:"idle_s"`
+		WindowS         float64 `json:"window_s"`
+		Headroom        float64 `json:"headroom"`
+		ReserveOnDemand float64 `json:"reserve_ordinary"`
+		ReserveMachine  float64 `json:"reserve_machine"`
+		ReserveZone     float64 `json:"reserve_zone"`
+		QueueS          float64 `json:"queue_s"`
+		UrgentS         float64 `json:"urgent_s"`
+		HoldS           float64 `json:"hold_s"`
+		HoldOnDemandS   float64 `json:"hold_ordinary_s"`
+		Patience        float64 `json:"patience"`
+		SilentS         float64 `json:"silent_s"`
+		BootFactor      float64 `json:"boot_factor"`
+		MaxMachines     int     `json:"max_machines"`
 	} `json:"fleet"`
 	Plan struct {
 		Sample int `json:"sample"`
@@ -321,8 +321,8 @@
 	} `json:"metrics"`
 }
 
-// Period is the time between repair rounds.
-func (o *Operator) Period() clock.Micros { return clock.FromSeconds(o.Repair.PeriodS) }
+// RepairInterval is the time between repair rounds.
+func (o *Operator) RepairInterval() clock.Micros { return clock.FromSeconds(o.Repair.PeriodS) }
 
 // LoadOperator reads the operators' file over the embedded defaults; an empty
 // path gives the defaults. An unknown or invalid key is refused with its path.
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -89,8 +89,8 @@
 		t.Fatal(err)
 	}
 	for _, field := range []string{"area", "core_share", "mem_mb", "fd_limit"} {
-		if !strings.Contains(strings.Join(tight.Tight(defaults), "\n"), field) {
-			t.Errorf("%s: no warning among %q", field, tight.Tight(defaults))
+		if !strings.Contains(strings.Join(tight.Warnings(defaults), "\n"), field) {
+			t.Errorf("%s: no warning among %q", field, tight.Warnings(defaults))
 		}
 	}
 	// So do limits that can't be kept together.
@@ -106,7 +106,7 @@
 	if got := warned.Facts.teamWarnings(); !slices.Equal(got, want) {
 		t.Errorf("warnings %q, want %q", got, want)
 	}
-	if all := warned.Tight(defaults); !strings.Contains(strings.Join(all, "\n"), want[0]) {
+	if all := warned.Warnings(defaults); !strings.Contains(strings.Join(all, "\n"), want[0]) {
 		t.Errorf("not among %q", all)
 	}
 	// More controllers than zones, and many teams, are nothing unusual.
--- a/engine_test.go
+++ b/engine_test.go
@@ -57,7 +57,7 @@
 // node makes one controller of the site.
 func (s *site) node(mod func(f *config.Facts)) *Service {
 	s.nodes++
-	cfg := &config.Platform{Node: fmt.Sprintf("node-%d", s.nodes), ClientListen: "127.0.0.1:0", Back: "127.0.0.1:0"}
+	cfg := &config.Platform{Node: fmt.Sprintf("node-%d", s.nodes), ClientListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0"}
 	dead := new(atomic.Bool)
 	inner := s.state.Handler(cfg.Node)
 	cfg.Outside.State = s.server(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/gap_test.go
+++ b/gap_test.go
@@ -360,18 +360,18 @@
 		t.Fatal(err)
 	}
 	p := &config.Platform{Area: "x", Facts: config.Facts{Zones: []string{"x"}, Workers: config.Workers{ReportS: 3, LeaseS: 18, CancelS: 23}}}
-	if err := p.Suits(operator); err == nil {
+	if err := p.CheckCompatible(operator); err == nil {
 		t.Error("accepted")
 	}
 	p.Facts.Workers.CancelS = 25
-	if err := p.Suits(operator); err != nil {
+	if err := p.CheckCompatible(operator); err != nil {
 		t.Error(err)
 	}
-	if got := len(p.Tight(operator)); got == 0 {
+	if got := len(p.Warnings(operator)); got == 0 {
 		t.Error("not named as tight")
 	}
 	p.Facts.Workers.CancelS = 43
-	if err := p.Suits(operator); err != nil {
+	if err := p.CheckCompatible(operator); err != nil {
 		t.Error(err)
 	}
 }
--- a/loopback_loss_test.go
+++ b/loopback_loss_test.go
@@ -137,7 +137,7 @@
 // report asks each controller that is up for the leader's recovery, as operators do.
 func (l *loopbackLoss) report(ctx context.Context, up int) (r recovery.Report, known bool) {
 	for _, name := range l.names[:up] {
-		if r, err := operator.Recovery(ctx, l.asked[name]); err == nil && r.Fresh {
+		if r, err := operator.FetchRecovery(ctx, l.asked[name]); err == nil && r.Fresh {
 			return r, true
 		}
 	}
--- a/loopback_test.go
+++ b/loopback_test.go
@@ -131,7 +131,7 @@
 		l.clients[nodes[i].Node], l.asked[nodes[i].Node] = freeAddress(t), freeAddress(t)
 	}
 	for i, node := range nodes {
-		cfg := config.Platform{Node: node.Node, Area: "x", ClientListen: l.clients[node.Node], Back: node.Addr, Others: slices.Concat(nodes[:i], nodes[i+1:])}
+		cfg := config.Platform{Node: node.Node, Area: "x", ClientListen: l.clients[node.Node], PeerListen: node.Addr, Others: slices.Concat(nodes[:i], nodes[i+1:])}
 		cfg.Outside.State = serveLoopback(t, limitedState(l.state.Handler(node.Node), writes))
 		cfg.Outside.Cloud = cloudAddress
 		cfg.Facts = config.Facts{InitialSize: 3, Zones: []string{"x", "y"},
--- a/model_test.go
+++ b/model_test.go
@@ -786,7 +786,7 @@
 	w.born++
 	from := fmt.Sprintf("%s/%d", name, w.born)
 	w.mu.Unlock()
-	cfg := &config.Platform{Node: name, Area: "x", ClientListen: name + ":80", Back: name + ":90"}
+	cfg := &config.Platform{Node: name, Area: "x", ClientListen: name + ":80", PeerListen: name + ":90"}
 	cfg.Outside.State, cfg.Outside.Cloud = "state:1", "cloud:1"
 	for o := range 3 {
 		if o != i {
@@ -836,7 +836,7 @@
 		w.net.SetCut(from, "", true) // it says nothing more, also no farewell
 		cancel()
 	}
-	back := w.net.Listen(cfg.Back)
+	back := w.net.Listen(cfg.PeerListen)
 	w.wg.Go(func() { peer.Serve(ctx, back, n.answerPeer, n.log) })
 	w.wg.Go(func() { n.elector.Run(ctx, n.serveTerm) })
 	w.mu.Lock()
--- a/operator/client.go
+++ b/operator/client.go
@@ -24,8 +24,8 @@
 	PathRecovery = "/recovery"
 )
 
-// Failure is the body of an answer that is an error.
-type Failure struct {
+// ErrorResponse is the body of an answer that is an error.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
@@ -33,10 +33,10 @@
 var (
 	// ErrUnreachable means that no controller answers at the address.
 	ErrUnreachable = errors.New("no controller answers")
-	// ErrAddress means that what was given is no address.
-	ErrAddress = errors.New("not host:port")
-	// ErrNoView means that the controller has nothing to show: it has heard no leader yet.
-	ErrNoView = errors.New("the controller has no view")
+	// ErrInvalidAddress means that what was given is no address.
+	ErrInvalidAddress = errors.New("not host:port")
+	// ErrNoReport means that the controller has nothing to show: it has heard no leader yet.
+	ErrNoReport = errors.New("the controller has no view")
 )
 
 // timeout bounds a request, and maxAnswer its answer: thousands of teams.
@@ -45,21 +45,21 @@
 	maxAnswer = 16 << 20
 )
 
-// Teams asks the controller with the given operators' address what teams use.
-func Teams(ctx context.Context, address string) (quota.Report, error) {
+// FetchTeams asks the controller with the given operators' address what teams use.
+func FetchTeams(ctx context.Context, address string) (quota.Report, error) {
 	return fetch[quota.Report](ctx, address, PathTeams)
 }
 
-// Recovery asks the controller with the given operators' address how far the leader has
+// FetchRecovery asks the controller with the given operators' address how far the leader has
 // taken over.
-func Recovery(ctx context.Context, address string) (recovery.Report, error) {
+func FetchRecovery(ctx context.Context, address string) (recovery.Report, error) {
 	return fetch[recovery.Report](ctx, address, PathRecovery)
 }
 
 // fetch reads a report.
 func fetch[T any](ctx context.Context, address, path string) (report T, err error) {
 	if _, _, err := net.SplitHostPort(address); err != nil {
-		return report, fmt.Errorf("address %q: %w", address, ErrAddress)
+		return report, fmt.Errorf("address %q: %w", address, ErrInvalidAddress)
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -77,9 +77,9 @@
 		return report, fmt.Errorf("%w at %s: %w", ErrUnreachable, address, err)
 	}
 	if answer.StatusCode == http.StatusServiceUnavailable {
-		var failure Failure
+		var failure ErrorResponse
 		_ = json.Unmarshal(raw, &failure)
-		return report, fmt.Errorf("%w: %s", ErrNoView, failure.Error)
+		return report, fmt.Errorf("%w: %s", ErrNoReport, failure.Error)
 	}
 	if answer.StatusCode != http.StatusOK {
 		return report, fmt.Errorf("%w at %s: status %d", ErrUnreachable, address, answer.StatusCode)
--- a/operator/golden_test.go
+++ b/operator/golden_test.go
@@ -31,7 +31,7 @@
 				{Kind: recovery.DamageAttempts}, {Kind: recovery.DamageShared}, {Kind: recovery.DamageFinalState},
 				{Kind: recovery.DamageRebuilt}, {Kind: recovery.DamageUnknownKey}},
 			Truncated: true},
-		"failure": Failure{Error: "nobody leads"},
+		"failure": ErrorResponse{Error: "nobody leads"},
 	}
 	for name, report := range reports {
 		want, err := os.ReadFile(filepath.Join("testdata", name+".json"))
--- a/operator/print.go
+++ b/operator/print.go
@@ -15,21 +15,21 @@
 
 // The forms in which a command prints.
 const (
-	OutputTable = "table"
-	OutputJSON  = "json"
+	FormatTable = "table"
+	FormatJSON  = "json"
 )
 
 // CheckOutput tells what is wrong with an output form, if anything.
 func CheckOutput(form string) error {
-	if form != OutputTable && form != OutputJSON {
-		return fmt.Errorf("--output: %q is not %s or %s", form, OutputTable, OutputJSON)
+	if form != FormatTable && form != FormatJSON {
+		return fmt.Errorf("--output: %q is not %s or %s", form, FormatTable, FormatJSON)
 	}
 	return nil
 }
 
 // PrintTeams prints a report of the teams.
 func PrintTeams(w io.Writer, report quota.Report, form string) error {
-	if form == OutputJSON {
+	if form == FormatJSON {
 		return printJSON(w, report)
 	}
 	return printTeamsTable(w, report)
--- a/operator/print_recovery.go
+++ b/operator/print_recovery.go
@@ -10,7 +10,7 @@
 
 // PrintRecovery prints how far a leader has taken over.
 func PrintRecovery(w io.Writer, report recovery.Report, form string) error {
-	if form == OutputJSON {
+	if form == FormatJSON {
 		return printJSON(w, report)
 	}
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/operators.go
+++ b/operators.go
@@ -82,7 +82,7 @@
 		w.Header().Set("Content-Type", "application/json")
 		if err != nil {
 			w.WriteHeader(http.StatusServiceUnavailable)
-			_ = json.NewEncoder(w).Encode(operator.Failure{Error: err.Error()})
+			_ = json.NewEncoder(w).Encode(operator.ErrorResponse{Error: err.Error()})
 			return
 		}
 		_ = json.NewEncoder(w).Encode(report)
--- a/planinput/input.go
+++ b/planinput/input.go
@@ -82,7 +82,7 @@
 		return false, false
 	}
 	if round {
-		in.repairAt = now + in.Operator.Period()
+		in.repairAt = now + in.Operator.RepairInterval()
 	}
 	in.plannedAt = now
 	return round, true
--- a/service.go
+++ b/service.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return fmt.Errorf("listen for clients: %w", err)
 	}
-	back, err := net.Listen("tcp", s.cfg.Back)
+	back, err := net.Listen("tcp", s.cfg.PeerListen)
 	if err != nil {
 		front.Close()
 		return fmt.Errorf("listen for controllers: %w", err)
@@ -128,7 +128,7 @@
 	}
 	wg.Go(func() { peer.Serve(ctx, back, s.answerPeer, s.log) })
 	wg.Go(func() { s.elector.Run(ctx, s.serveTerm) })
-	for _, w := range s.cfg.Tight(s.operator) {
+	for _, w := range s.cfg.Warnings(s.operator) {
 		s.log.Info("settings are tight", "field", w)
 	}
 	s.log.Info("serving", "node", s.cfg.Node, "listen", s.cfg.ClientListen)
