--- a/cmd/cedardoor/main_test.go
+++ b/cmd/cedardoor/main_test.go
@@ -7,21 +7,21 @@
 )
 
 func TestExitCodes(t *testing.T) {
-	bad := filepath.Join(t.TempDir(), "bad.json")
-	if err := os.WriteFile(bad, []byte("{}"), 0o600); err != nil {
+	invalid := filepath.Join(t.TempDir(), "invalid.json")
+	if err := os.WriteFile(invalid, []byte("{}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	tests := []struct {
 		args []string
 		want int
 	}{
-		{[]string{"version"}, 0},
-		{[]string{"--help"}, 0},
+		{[]string{"version"}, exitSuccess},
+		{[]string{"--help"}, exitSuccess},
 		{nil, exitUsage},
 		{[]string{"--nonsense"}, exitUsage},
 		{[]string{"nonsense"}, exitUsage},
-		{[]string{"check", "--config", bad}, exitUsage},
-		{[]string{"--config", bad}, exitUsage},
+		{[]string{"check", "--config", invalid}, exitUsage},
+		{[]string{"--config", invalid}, exitUsage},
 		{[]string{"--config", filepath.Join(t.TempDir(), "none")}, exitUsage},
 	}
 	for _, tt := range tests {
--- a/cmd/cedardoor/start_test.go
+++ b/cmd/cedardoor/start_test.go
@@ -9,29 +9,28 @@
 	"testing"
 )
 
-// What the packages do before main runs is done at every start, by a controller
-// whose users and workers wait: it is counted in allocations, those of the test's
-// own packages included.
+// Users and workers wait while a controller starts, so packages must do little before main runs. It is
+// measured in allocations, those of the test's own packages included.
 func TestLittleIsDoneBeforeMain(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command(self, "-test.run=^$")
-	cmd.Env = append(os.Environ(), "GODEBUG=inittrace=1")
-	out, err := cmd.CombinedOutput()
+	command := exec.Command(self, "-test.run=^$")
+	command.Env = append(os.Environ(), "GODEBUG=inittrace=1")
+	out, err := command.CombinedOutput()
 	if err != nil {
 		t.Fatal(err)
 	}
-	sum := 0
-	for _, m := range regexp.MustCompile(`(?m)^init \S+ .* (\d+) allocs$`).FindAllSubmatch(bytes.TrimSpace(out), -1) {
-		n, err := strconv.Atoi(string(m[1]))
+	allocations := 0
+	for _, match := range regexp.MustCompile(`(?m)^init \S+ .* (\d+) allocs$`).FindAllSubmatch(bytes.TrimSpace(out), -1) {
+		n, err := strconv.Atoi(string(match[1]))
 		if err != nil {
 			t.Fatal(err)
 		}
-		sum += n
+		allocations += n
 	}
-	if sum == 0 || sum > 4000 {
-		t.Errorf("%d allocations before main, want few, and the trace to be read:\n%s", sum, out)
+	if allocations == 0 || allocations > 4000 {
+		t.Errorf("%d allocations before main, want from 1 to 4000, in the trace:\n%s", allocations, out)
 	}
 }
--- a/operator/client.go
+++ b/operator/client.go
@@ -1,5 +1,5 @@
-// Package operator is what operators' commands need: the paths of a controller's
-// operators' address, a client of it, and the forms in which answers are printed.
+// Package operator holds what the operators' commands need: the paths of a controller's operators'
+// address, a client of it, and the output of reports.
 package operator
 
 import (
@@ -16,73 +16,70 @@
 	"cedardoor/recovery"
 )
 
-// Where a controller shows the leader's reports.
+// Paths of the leader's reports at the operators' address of any controller.
 const (
-	// PathTeams: what teams use.
-	PathTeams = "/teams"
-	// PathRecovery: how far the leader has taken over.
-	PathRecovery = "/recovery"
+	PathTeams    = "/teams"    // quota.Report
+	PathRecovery = "/recovery" // recovery.Report
 )
 
-// ErrorResponse is the body of an answer that is an error.
+// ErrorResponse is the body of a response that is an error.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-// What an address can answer instead of a view.
+// Errors of requests for a report.
 var (
-	// ErrUnreachable means that no controller answers at the address.
+	// ErrUnreachable means that no controller responds at the address.
 	ErrUnreachable = errors.New("no controller answers")
-	// ErrInvalidAddress means that what was given is no address.
+	// ErrInvalidAddress means that the address is not valid.
 	ErrInvalidAddress = errors.New("not host:port")
-	// ErrNoReport means that the controller has nothing to show: it has heard no leader yet.
+	// ErrNoReport means that the controller has no report: it has not reached a leader yet.
 	ErrNoReport = errors.New("the controller has no view")
 )
 
-// timeout bounds a request, and maxAnswer its answer: thousands of teams.
 const (
-	timeout   = 5 * time.Second
-	maxAnswer = 16 << 20
+	requestTimeout   = 5 * time.Second
+	maxResponseBytes = 16 << 20 // enough for thousands of teams
 )
 
-// FetchTeams asks the controller with the given operators' address what teams use.
+// FetchTeams requests the report of the teams from the controller with the given operators' address.
 func FetchTeams(ctx context.Context, address string) (quota.Report, error) {
 	return fetch[quota.Report](ctx, address, PathTeams)
 }
 
-// FetchRecovery asks the controller with the given operators' address how far the leader has
-// taken over.
+// FetchRecovery requests the report of the leader's recovery from the controller with the given
+// operators' address.
 func FetchRecovery(ctx context.Context, address string) (recovery.Report, error) {
 	return fetch[recovery.Report](ctx, address, PathRecovery)
 }
 
-// fetch reads a report.
+// fetch requests a report.
 func fetch[T any](ctx context.Context, address, path string) (report T, err error) {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		return report, fmt.Errorf("address %q: %w", address, ErrInvalidAddress)
 	}
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return report, fmt.Errorf("address %q: %w", address, err)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return report, fmt.Errorf("%w at %s: %w", ErrUnreachable, address, errors.Unwrap(err))
 	}
-	defer answer.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+	defer response.Body.Close()
+	raw, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return report, fmt.Errorf("%w at %s: %w", ErrUnreachable, address, err)
 	}
-	if answer.StatusCode == http.StatusServiceUnavailable {
-		var failure ErrorResponse
-		_ = json.Unmarshal(raw, &failure)
-		return report, fmt.Errorf("%w: %s", ErrNoReport, failure.Error)
+	if response.StatusCode == http.StatusServiceUnavailable {
+		var body ErrorResponse
+		_ = json.Unmarshal(raw, &body) // without a valid body there is no reason to show
+		return report, fmt.Errorf("%w: %s", ErrNoReport, body.Error)
 	}
-	if answer.StatusCode != http.StatusOK {
-		return report, fmt.Errorf("%w at %s: status %d", ErrUnreachable, address, answer.StatusCode)
+	if response.StatusCode != http.StatusOK {
+		return report, fmt.Errorf("%w at %s: status %d", ErrUnreachable, address, response.StatusCode)
 	}
 	if err := json.Unmarshal(raw, &report); err != nil {
 		return report, fmt.Errorf("%w at %s: not a controller's answer", ErrUnreachable, address)
--- a/operator/print_recovery.go
+++ b/operator/print_recovery.go
@@ -3,18 +3,17 @@
 import (
 	"fmt"
 	"io"
-	"text/tabwriter"
 
 	"cedardoor/recovery"
 )
 
-// PrintRecovery prints how far a leader has taken over.
-func PrintRecovery(w io.Writer, report recovery.Report, form string) error {
-	if form == FormatJSON {
+// PrintRecovery prints a report of the leader's recovery.
+func PrintRecovery(w io.Writer, report recovery.Report, format Format) error {
+	if format == FormatJSON {
 		return printJSON(w, report)
 	}
-	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	printStage(table, report)
+	table := newTable(w)
+	printProgress(table, report)
 	printUnrecorded(table, report.Unrecorded)
 	printDamaged(table, report.Damaged)
 	if report.Truncated {
@@ -23,15 +22,15 @@
 	return table.Flush()
 }
 
-func printStage(w io.Writer, r recovery.Report) {
+func printProgress(w io.Writer, r recovery.Report) {
 	fmt.Fprintln(w, "LEADER\tSTAGE\tSINCE\tTOOK\tAT LATEST")
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", r.Leader, r.Stage, seconds(r.RunsS), seconds(r.TookS), seconds(r.AtLatestS))
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", r.Leader, r.Stage, optionalSeconds(r.RunsS), optionalSeconds(r.TookS), optionalSeconds(r.AtLatestS))
 	fmt.Fprintln(w, "\nMACHINES\tRECORDED\tAWAITED\tRECONCILED\tGONE")
-	m := r.Machines
-	fmt.Fprintf(w, "\t%d\t%d\t%d\t%d\n", m.Recorded, m.Awaited, m.Reconciled, m.Gone)
+	machines := r.Machines
+	fmt.Fprintf(w, "\t%d\t%d\t%d\t%d\n", machines.Recorded, machines.Awaited, machines.Reconciled, machines.Gone)
 	fmt.Fprintln(w, "\nATTEMPTS\tAWAITED\tIN DOUBT\tRUNNING\tSTOPPING\tUNREADABLE")
-	a := r.Attempts
-	fmt.Fprintf(w, "\t%d\t%d\t%d\t%d\t%d\n", a.Awaited, a.InDoubt, a.Running, a.Stopping, a.Unreadable)
+	attempts := r.Attempts
+	fmt.Fprintf(w, "\t%d\t%d\t%d\t%d\t%d\n", attempts.Awaited, attempts.InDoubt, attempts.Running, attempts.Stopping, attempts.Unreadable)
 }
 
 func printUnrecorded(w io.Writer, tasks []recovery.Unrecorded) {
@@ -39,8 +38,8 @@
 		return
 	}
 	fmt.Fprintln(w, "\nUNRECORDED TASK\tATTEMPT\tMACHINE\tZONE\tFOLLOWS")
-	for _, t := range tasks {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\n", t.Task, t.Attempt, t.Machine, t.Zone, t.Why)
+	for _, task := range tasks {
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\n", task.Task, task.Attempt, task.Machine, task.Zone, task.Why)
 	}
 }
 
@@ -49,19 +48,11 @@
 		return
 	}
 	fmt.Fprintln(w, "\nDAMAGED RECORD\tKIND\tJOB\tWHAT FOLLOWS")
-	for _, d := range damaged {
-		job := d.Job
+	for _, damage := range damaged {
+		job := damage.Job
 		if job == "" {
 			job = "-"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", d.Key, d.Kind, job, d.Kind.Advice())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", damage.Key, damage.Kind, job, damage.Kind.Advice())
 	}
 }
-
-// seconds prints a span; a dash where there is none.
-func seconds(s float64) string {
-	if s == 0 {
-		return "-"
-	}
-	return fmt.Sprintf("%.1fs", s)
-}
