--- a/config/settings_test.go
+++ b/config/settings_test.go
@@ -8,44 +8,35 @@
 	"testing"
 )
 
-// indented is the JSON form of settings as they were taken in, with every field.
-func indented(t *testing.T, v any) []byte {
+// checkRoundTrip checks that settings that were loaded from a file under testdata encode to the same
+// file: every field of it was loaded.
+func checkRoundTrip(t *testing.T, path string, loaded any) {
 	t.Helper()
-	raw, err := json.MarshalIndent(v, "", "  ")
+	want, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return append(raw, '\n')
+	got, err := json.MarshalIndent(loaded, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got = append(got, '\n'); !bytes.Equal(got, want) {
+		t.Errorf("loaded as\n%s\nwant\n%s", got, want)
+	}
 }
 
-// TestEveryFieldOfPlatform takes in a file that sets every field of the platform's settings.
+// TestEveryFieldOfPlatform loads a file that sets every field of the platform's settings.
 func TestEveryFieldOfPlatform(t *testing.T) {
 	path := filepath.Join("testdata", "platform.json")
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	p, err := LoadPlatform(path)
+	platform, err := LoadPlatform(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := indented(t, p); !bytes.Equal(got, want) {
-		t.Errorf("taken in as\n%s\nwant\n%s", got, want)
-	}
+	checkRoundTrip(t, path, platform)
 }
 
-// TestEveryFieldOfOperator takes in a file that sets every field of the operators' settings.
+// TestEveryFieldOfOperator loads a file that sets every field of the operators' settings.
 func TestEveryFieldOfOperator(t *testing.T) {
 	path := filepath.Join("testdata", "operator.json")
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	o, err := LoadOperator(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got := indented(t, o); !bytes.Equal(got, want) {
-		t.Errorf("taken in as\n%s\nwant\n%s", got, want)
-	}
+	checkRoundTrip(t, path, mustLoadOperator(t, path))
 }
