--- a/attempts.go
+++ b/attempts.go
@@ -64,7 +64,7 @@
 	task.HasRun = true
 	job.Started = true
 	job.Running++
-	l.metrics.Start(now - job.SeenAt)
+	l.metrics.ObserveTaskStart(now - job.SeenAt)
 	l.log.Debug("task started", "task", allocation.Task.String(), "class", job.Spec.Class, "machine", allocation.Machine.Name,
 		"wait_s", (now - job.SeenAt).Seconds(), "placement_s", (allocation.ReservedAt - job.SeenAt).Seconds(),
 		"fetch_s", (now - allocation.ReservedAt).Seconds())
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -33,8 +33,8 @@
 	_ = h.RecordValue(min(max(1, int64(v)), h.HighestTrackableValue()))
 }
 
-// Submission notes a submission's answer.
-func (m *Metrics) Submission(took clock.Micros, status int) {
+// ObserveSubmission notes a submission's answer.
+func (m *Metrics) ObserveSubmission(took clock.Micros, status int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.record(m.accept, took)
@@ -48,24 +48,24 @@
 	}
 }
 
-// Start notes a task's start, counted from when the leader learned of its job.
-func (m *Metrics) Start(after clock.Micros) {
+// ObserveTaskStart notes a task's start, counted from when the leader learned of its job.
+func (m *Metrics) ObserveTaskStart(after clock.Micros) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.record(m.start, after)
 	m.counts["starts"]++
 }
 
-// Done notes a job's end.
-func (m *Metrics) Done(after clock.Micros) {
+// ObserveJobDone notes a job's end.
+func (m *Metrics) ObserveJobDone(after clock.Micros) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.record(m.done, after)
 	m.counts["jobs_done"]++
 }
 
-// Round notes a repair round.
-func (m *Metrics) Round(took clock.Micros, violations, moves int) {
+// ObserveRepairRound notes a repair round.
+func (m *Metrics) ObserveRepairRound(took clock.Micros, violations, moves int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.record(m.round, took)
@@ -73,15 +73,15 @@
 	m.gauges["violations"] = int64(violations)
 }
 
-// Queue notes how many tasks wait for room.
-func (m *Metrics) Queue(n int) {
+// SetWaitingTasks notes how many tasks wait for room.
+func (m *Metrics) SetWaitingTasks(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.gauges["waiting_tasks"] = int64(n)
 }
 
-// Fleet notes what the leader holds.
-func (m *Metrics) Fleet(machines, bookings, refused int) {
+// SetFleet notes what the leader holds.
+func (m *Metrics) SetFleet(machines, bookings, refused int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.gauges["machines"], m.gauges["bookings"], m.gauges["refused_offers"] = int64(machines), int64(bookings), int64(refused)
--- a/planning.go
+++ b/planning.go
@@ -31,12 +31,12 @@
 		l.move(move, now)
 	}
 	if round {
-		l.metrics.Round(l.clock.Now()-began, result.Violations, len(result.Moves))
+		l.metrics.ObserveRepairRound(l.clock.Now()-began, result.Violations, len(result.Moves))
 		if result.Violations > 0 || len(result.Moves) > 0 {
 			l.log.Info("repair round", "moves", len(result.Moves), "deferred", result.Deferred, "violations", result.Violations)
 		}
 	}
-	l.metrics.Queue(unplaced)
+	l.metrics.SetWaitingTasks(unplaced)
 }
 
 // snapshot readies the snapshot of the cluster for a plan.
--- a/recording.go
+++ b/recording.go
@@ -78,7 +78,7 @@
 		l.dispatcher.MarkUrgent(allocation.Machine)
 	})
 	for _, job := range tx.Finished() {
-		l.metrics.Done(now - job.SeenAt)
+		l.metrics.ObserveJobDone(now - job.SeenAt)
 		l.log.Debug("job done", "job", job.UID)
 	}
 	for _, job := range forgotten {
--- a/scaling.go
+++ b/scaling.go
@@ -167,7 +167,7 @@
 		return decision, false
 	}
 	decision = l.autoscaler.Decide(l.scalingView(now))
-	l.metrics.Fleet(decision.Machines, decision.Tasks, decision.Refused)
+	l.metrics.SetFleet(decision.Machines, decision.Tasks, decision.Refused)
 	return decision, true
 }
 
--- a/service.go
+++ b/service.go
@@ -80,7 +80,7 @@
 		s.relayLinks[o.Node] = peer.NewLink(o.Addr)
 	}
 	s.elector = lead.New(cfg.Node, s.store, s.clock, operator, s.requestAttestations, log)
-	s.users = &api.Server{Store: s.store, Clock: s.clock, Node: cfg.Node, Teams: f.Teams, Catalog: s.machineTypes, Counts: s.counts, Log: log, ObserveSubmission: s.metrics.Submission,
+	s.users = &api.Server{Store: s.store, Clock: s.clock, Node: cfg.Node, Teams: f.Teams, Catalog: s.machineTypes, Counts: s.counts, Log: log, ObserveSubmission: s.metrics.ObserveSubmission,
 		OnCancelled: s.hintCancelled, MinReadInterval: pollPause(f.Limits.CoreShare)}
 	if len(s.attestationLinks) > 0 {
 		s.users.Relay = s.relay
