--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics collects a controller's figures and serves them as JSON.
+// Package metrics collects a controller's metrics and serves them as JSON.
 package metrics
 
 import (
@@ -12,99 +12,152 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Metrics are the daemon's figures, served as JSON where operators ask for them.
+// path is where the metrics are served.
+const path = "/metrics"
+
+// The names of the metrics. Those of histograms are in microseconds.
+const (
+	acceptLatency = "accept_us" // of responses to submissions
+	startLatency  = "start_us"  // of tasks, since the leader learned of their job
+	roundLatency  = "round_us"  // of repair rounds
+	doneLatency   = "done_us"   // of jobs, since the leader learned of them
+
+	acceptedCount = "accepted" // submissions
+	rejectedCount = "rejected" // submissions that are invalid or too many
+	putOffCount   = "put_off"  // submissions that could not be served
+	startsCount   = "starts"   // of tasks
+	jobsDoneCount = "jobs_done"
+	movesCount    = "moves" // of tasks, by repair rounds
+
+	violationsGauge    = "violations" // found by the last repair round
+	waitingTasksGauge  = "waiting_tasks"
+	machinesGauge      = "machines"
+	allocationsGauge   = "bookings"
+	refusedOffersGauge = "refused_offers" // machine types that the cloud has none of
+)
+
+const (
+	maxLatency         = 3600 * clock.Second
+	significantFigures = 2
+)
+
+// Metrics are the metrics of a controller. They are safe for concurrent use.
 type Metrics struct {
-	mu     sync.Mutex // guards all fields
-	accept *hdr.Histogram
-	start  *hdr.Histogram
-	round  *hdr.Histogram
-	done   *hdr.Histogram
-	counts map[string]int64
-	gauges map[string]int64
+	mu         sync.Mutex // guards all fields
+	histograms map[string]*hdr.Histogram
+	counts     map[string]int64
+	gauges     map[string]int64
 }
 
-// New makes empty figures.
+// New makes metrics without any observations.
 func New() *Metrics {
-	h := func() *hdr.Histogram { return hdr.New(1, int64(3600*clock.Second), 2) }
-	return &Metrics{accept: h(), start: h(), round: h(), done: h(), counts: map[string]int64{}, gauges: map[string]int64{}}
+	m := &Metrics{histograms: map[string]*hdr.Histogram{}, counts: map[string]int64{}, gauges: map[string]int64{}}
+	for _, name := range []string{acceptLatency, startLatency, roundLatency, doneLatency} {
+		m.histograms[name] = hdr.New(1, int64(maxLatency), significantFigures)
+	}
+	return m
 }
 
-func (m *Metrics) record(h *hdr.Histogram, v clock.Micros) {
-	_ = h.RecordValue(min(max(1, int64(v)), h.HighestTrackableValue()))
+// observe records a latency. The caller holds mu.
+func (m *Metrics) observe(name string, latency clock.Micros) {
+	histogram := m.histograms[name]
+	// The error is of values out of range, which there are none of.
+	_ = histogram.RecordValue(min(max(1, int64(latency)), histogram.HighestTrackableValue()))
 }
 
-// ObserveSubmission notes a submission's answer.
-func (m *Metrics) ObserveSubmission(took clock.Micros, status int) {
+// ObserveSubmission observes a response to a submission.
+func (m *Metrics) ObserveSubmission(latency clock.Micros, status int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.record(m.accept, took)
+	m.observe(acceptLatency, latency)
 	switch {
-	case status < 300:
-		m.counts["accepted"]++
-	case status < 500:
-		m.counts["rejected"]++
+	case status < http.StatusMultipleChoices:
+		m.counts[acceptedCount]++
+	case status < http.StatusInternalServerError:
+		m.counts[rejectedCount]++
 	default:
-		m.counts["put_off"]++
+		m.counts[putOffCount]++
 	}
 }
 
-// ObserveTaskStart notes a task's start, counted from when the leader learned of its job.
-func (m *Metrics) ObserveTaskStart(after clock.Micros) {
+// ObserveTaskStart observes the start of a task, with the time since the leader learned of its job.
+func (m *Metrics) ObserveTaskStart(latency clock.Micros) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.record(m.start, after)
-	m.counts["starts"]++
+	m.observe(startLatency, latency)
+	m.counts[startsCount]++
 }
 
-// ObserveJobDone notes a job's end.
-func (m *Metrics) ObserveJobDone(after clock.Micros) {
+// ObserveJobDone observes the end of a job, with the time since the leader learned of it.
+func (m *Metrics) ObserveJobDone(latency clock.Micros) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.record(m.done, after)
-	m.counts["jobs_done"]++
+	m.observe(doneLatency, latency)
+	m.counts[jobsDoneCount]++
 }
 
-// ObserveRepairRound notes a repair round.
-func (m *Metrics) ObserveRepairRound(took clock.Micros, violations, moves int) {
+// ObserveRepairRound observes a repair round.
+func (m *Metrics) ObserveRepairRound(latency clock.Micros, violations, moves int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.record(m.round, took)
-	m.counts["moves"] += int64(moves)
-	m.gauges["violations"] = int64(violations)
+	m.observe(roundLatency, latency)
+	m.counts[movesCount] += int64(moves)
+	m.gauges[violationsGauge] = int64(violations)
 }
 
-// SetWaitingTasks notes how many tasks wait for room.
-func (m *Metrics) SetWaitingTasks(n int) {
+// SetWaitingTasks sets the number of tasks that wait for resources.
+func (m *Metrics) SetWaitingTasks(tasks int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.gauges["waiting_tasks"] = int64(n)
+	m.gauges[waitingTasksGauge] = int64(tasks)
 }
 
-// SetFleet notes what the leader holds.
-func (m *Metrics) SetFleet(machines, bookings, refused int) {
+// SetFleet sets the numbers of machines, of allocations on them, and of machine types that the cloud
+// refused.
+func (m *Metrics) SetFleet(machines, allocations, refused int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.gauges["machines"], m.gauges["bookings"], m.gauges["refused_offers"] = int64(machines), int64(bookings), int64(refused)
+	m.gauges[machinesGauge] = int64(machines)
+	m.gauges[allocationsGauge] = int64(allocations)
+	m.gauges[refusedOffersGauge] = int64(refused)
+}
+
+// histogramSummary is how a histogram is served. The order of its fields is that of their names.
+type histogramSummary struct {
+	Count int64 `json:"count"`
+	Max   int64 `json:"max"`
+	P50   int64 `json:"p50"`
+	P90   int64 `json:"p90"`
+	P99   int64 `json:"p99"`
+}
+
+func summarize(h *hdr.Histogram) histogramSummary {
+	return histogramSummary{Count: h.TotalCount(), Max: h.Max(), P50: h.ValueAtQuantile(50), P90: h.ValueAtQuantile(90), P99: h.ValueAtQuantile(99)}
+}
+
+// snapshot is the values of all metrics by name.
+func (m *Metrics) snapshot() map[string]any {
+	values := map[string]any{}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for name, histogram := range m.histograms {
+		values[name] = summarize(histogram)
+	}
+	for name, count := range m.counts {
+		values[name] = count
+	}
+	for name, gauge := range m.gauges {
+		values[name] = gauge
+	}
+	return values
 }
 
-// Handler serves the figures.
+// Handler serves the metrics.
 func (m *Metrics) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) {
-		out := map[string]any{}
-		m.mu.Lock()
-		for name, h := range map[string]*hdr.Histogram{"accept_us": m.accept, "start_us": m.start, "round_us": m.round, "done_us": m.done} {
-			out[name] = map[string]any{"count": h.TotalCount(), "p50": h.ValueAtQuantile(50), "p90": h.ValueAtQuantile(90), "p99": h.ValueAtQuantile(99), "max": h.Max()}
-		}
-		for k, v := range m.counts {
-			out[k] = v
-		}
-		for k, v := range m.gauges {
-			out[k] = v
-		}
-		m.mu.Unlock()
+	r.Get(path, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(out)
+		_ = json.NewEncoder(w).Encode(m.snapshot())
 	})
 	return r
 }
