--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,5 +1,4 @@
-// Package clock keeps every time inside cedardoor in whole microseconds and
-// hides whether the clock is real or a test's.
+// Package clock represents all times in whole microseconds, and wraps the real clock or that of a test.
 package clock
 
 import (
@@ -9,7 +8,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Micros is a span, or a moment on a process's own steady clock, in whole microseconds.
+// Micros is a duration, or a time of a process's monotonic clock, in whole microseconds.
 type Micros int64
 
 // Units of Micros.
@@ -18,28 +17,29 @@
 	Second      Micros = 1_000_000
 )
 
-// FromSeconds converts a protocol's decimal seconds, rounding to the nearest microsecond.
+// FromSeconds converts the protocol's decimal seconds, rounded to the nearest microsecond.
 func FromSeconds(s float64) Micros { return Micros(math.Round(s * float64(Second))) }
 
-// Seconds converts back to decimal seconds.
+// Seconds converts to decimal seconds.
 func (m Micros) Seconds() float64 { return float64(m) / float64(Second) }
 
-// Duration converts to the standard library's unit.
+// Duration converts to the standard library's type.
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
-// Stretch adds the given share of a span to it, for the drift between two steady clocks.
-func (m Micros) Stretch(share float64) Micros { return m + Micros(math.Ceil(float64(m)*share)) }
-
-// Drift is how far apart two steady clocks may run, as a share, with room.
+// Drift is the maximum drift between the monotonic clocks of two processes, as a share of the time
+// that passes.
 const Drift = 0.001
 
-// Clock reads the steady clock and the time of day.
+// Stretch adds a share of a duration to it, rounded up, such as the drift between two clocks.
+func (m Micros) Stretch(share float64) Micros { return m + Micros(math.Ceil(float64(m)*share)) }
+
+// Clock is a monotonic clock with the time of day.
 type Clock struct {
 	clockwork.Clock
 	start time.Time
 }
 
-// New starts a Clock on the given source; a nil source is the real one.
+// New makes a Clock that starts now and reads the given source, the real clock if it is nil.
 func New(source clockwork.Clock) *Clock {
 	if source == nil {
 		source = clockwork.NewRealClock()
@@ -47,8 +47,8 @@
 	return &Clock{Clock: source, start: source.Now()}
 }
 
-// Now is the steady time since the process began, always positive so that zero can mean never.
+// Now is the time since the Clock started. It is always positive, so that zero can mean never.
 func (c *Clock) Now() Micros { return Micros(c.Since(c.start)/time.Microsecond) + 1 }
 
-// Wall is the time of day in microseconds since 1970.
+// Wall is the time of day, in microseconds since 1970 UTC.
 func (c *Clock) Wall() Micros { return Micros(c.Clock.Now().UnixMicro()) }
