--- a/connlimit/listener_test.go
+++ b/connlimit/listener_test.go
@@ -127,32 +127,40 @@
 	}
 }
 
+const testWorkers = 8
+
+func workerEndpoint(i int) string { return fmt.Sprintf("n-%d:1", i) }
+
+// newWorkers serves workers on a network in memory, and returns a client of them.
+func newWorkers(t *testing.T) *agent.Client {
+	t.Helper()
+	network := standin.NewNetwork()
+	t.Cleanup(network.CloseAll)
+	report, err := wire.Marshal(wire.Heartbeat{Machine: "n-1", Endpoint: "n-1:1", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range testWorkers {
+		t.Cleanup(network.Serve(workerEndpoint(i), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(report) })))
+	}
+	realDial := link.Dial
+	defer func() { link.Dial = realDial }()
+	link.Dial = network.Dialer("node-1")
+	return agent.NewClient(testWorkers)
+}
+
 // Idle connections to workers are kept while there is room. As clients connect they are no longer kept,
 // and the idle ones are closed before a response to a heartbeat asks for a close, and before any
 // connection is rejected.
 func TestIdleConnectionsToWorkersMakeRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const workerCount = 8
-		network := standin.NewNetwork()
-		defer network.CloseAll()
-		realDial := link.Dial
-		link.Dial = network.Dialer("node-1")
-		workers := agent.NewClient(workerCount)
-		link.Dial = realDial
+		workers := newWorkers(t)
 		l, inner := newTestListener(WorkerConnections{Client: workers, MaxInUse: 2, MinIdle: 1})
 		workers.ConnectionsScarce = l.IdleConnectionsScarce
-		report, err := wire.Marshal(wire.Heartbeat{Machine: "n-1", Endpoint: "n-1:1", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: 1})
-		if err != nil {
-			t.Fatal(err)
-		}
-		endpoint := func(i int) string { return fmt.Sprintf("n-%d:1", i) }
-		for i := range workerCount {
-			defer network.Serve(endpoint(i), http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(report) }))()
-		}
 		// requestReports requests a report of every worker, and returns how many connections are kept.
 		requestReports := func() int {
-			for i := range workerCount {
-				if _, err := workers.RequestReport(t.Context(), endpoint(i)); err != nil {
+			for i := range testWorkers {
+				if _, err := workers.RequestReport(t.Context(), workerEndpoint(i)); err != nil {
 					t.Fatal(err)
 				}
 				synctest.Wait()
--- a/recovery/report.go
+++ b/recovery/report.go
@@ -15,7 +15,7 @@
 	Awaited    int `json:"awaited"`    // recorded by a predecessor, on a machine that has not reported yet
 	InDoubt    int `json:"in_doubt"`   // not reported, and a command to start it may be in flight
 	Running    int `json:"running"`    // reported
-	Stopping   int `json:"stopping"`   // told to stop
+	Stopping   int `json:"stopping"`   // the command to stop it was issued
 	Unreadable int `json:"unreadable"` // tasks whose record can't be decoded and that no machine has reported
 }
 
