--- a/bench_test.go
+++ b/bench_test.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	limited := connlimit.New(ln, 1000, connlimit.Outgoing{Workers: l.workers}, l.clock, l.log)
+	limited := connlimit.New(ln, 1000, connlimit.WorkerConnections{Client: l.workers}, l.clock, l.log)
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
 		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ConnState: limited.ConnState}
 	go srv.Serve(limited)
@@ -503,7 +503,7 @@
 			single(b)
 			b.ResetTimer()
 			for range b.N {
-				if _, _, err := cl.Do(b.Context(), ln.Addr().String(), do); err != nil {
+				if _, err := cl.SendCommands(b.Context(), ln.Addr().String(), do); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -44,7 +44,7 @@
 	OnMachineChange func(machine *Machine)
 	// DecideOrphan, if set, tells what is to be done about an orphan. Otherwise
 	// orphans are stopped and forgotten.
-	DecideOrphan func(task TaskID, sign recovery.Sign) recovery.Decision
+	DecideOrphan func(task TaskID, sign recovery.Observation) recovery.Decision
 
 	// Examined counts the machines and allocations looked at, so that tests can
 	// bound the work.
--- a/fleet/liveness.go
+++ b/fleet/liveness.go
@@ -53,7 +53,7 @@
 		machine.Unresponsive = false
 		machine.EachAllocation(func(allocation *Allocation) {
 			if allocation.Status != "" {
-				allocation.reservation.Shown()
+				allocation.reservation.MarkRunning()
 			}
 		})
 		f.MachineChanged(machine)
@@ -99,6 +99,6 @@
 		return
 	}
 	machine.Unresponsive = true
-	machine.EachAllocation(func(allocation *Allocation) { allocation.reservation.Doubt() })
+	machine.EachAllocation(func(allocation *Allocation) { allocation.reservation.MarkInDoubt() })
 	f.MachineChanged(machine)
 }
--- a/fleet/orphans.go
+++ b/fleet/orphans.go
@@ -21,11 +21,11 @@
 type orphan struct{ status string }
 
 // sign is what the orphan's status tells the recovery rules.
-func (o orphan) sign() recovery.Sign {
+func (o orphan) sign() recovery.Observation {
 	if o.status == wire.TaskEnded {
-		return recovery.SignEnded
+		return recovery.ObservedEnded
 	}
-	return recovery.SignRunning
+	return recovery.ObservedRunning
 }
 
 // orphanTable holds the orphans that a machine's last report shows.
@@ -41,7 +41,7 @@
 func (f *Fleet) addOrphan(machine *Machine, key attemptKey, status string) {
 	shown := orphan{status: status}
 	machine.orphans[key] = shown
-	if shown.sign() != recovery.SignRunning {
+	if shown.sign() != recovery.ObservedRunning {
 		return
 	}
 	machine.runningOrphans++
@@ -70,11 +70,11 @@
 }
 
 // decideOrphan tells what is to be done about an orphan.
-func (f *Fleet) decideOrphan(task TaskID, sign recovery.Sign) recovery.Decision {
+func (f *Fleet) decideOrphan(task TaskID, sign recovery.Observation) recovery.Decision {
 	switch {
 	case f.DecideOrphan != nil:
 		return f.DecideOrphan(task, sign)
-	case sign == recovery.SignRunning:
+	case sign == recovery.ObservedRunning:
 		return recovery.Stop
 	}
 	return recovery.Release
@@ -95,7 +95,7 @@
 func (f *Fleet) HasOrphans() bool { return len(f.orphans) > 0 }
 
 // EachOrphan calls do for every orphan of a machine, in a fixed order.
-func (f *Fleet) EachOrphan(machine *Machine, do func(task TaskID, attempt uint64, sign recovery.Sign)) {
+func (f *Fleet) EachOrphan(machine *Machine, do func(task TaskID, attempt uint64, sign recovery.Observation)) {
 	for _, key := range sortedKeys(machine.orphans) {
 		do(key.task, key.attempt, machine.orphans[key].sign())
 	}
@@ -111,8 +111,8 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(byName)) {
 		machine := byName[name]
-		f.EachOrphan(machine, func(task TaskID, attempt uint64, sign recovery.Sign) {
-			if sign == recovery.SignRunning {
+		f.EachOrphan(machine, func(task TaskID, attempt uint64, sign recovery.Observation) {
+			if sign == recovery.ObservedRunning {
 				do(machine, task, attempt)
 			}
 		})
@@ -146,10 +146,10 @@
 		allocation.RunningSince = now
 	}
 	delete(machine.orphans, key)
-	if shown.sign() != recovery.SignRunning {
+	if shown.sign() != recovery.ObservedRunning {
 		return
 	}
-	allocation.reservation.Shown()
+	allocation.reservation.MarkRunning()
 	machine.runningOrphans--
 	f.removeOrphan(machine, allocation.Task)
 }
--- a/fleet/probes.go
+++ b/fleet/probes.go
@@ -47,7 +47,7 @@
 	machine.extendLease(now + f.lease)
 	machine.EachAllocation(func(allocation *Allocation) {
 		allocation.Incarnation, allocation.Status = report.Incarnation, ""
-		allocation.reservation.Doubt()
+		allocation.reservation.MarkInDoubt()
 	})
 	f.MachineChanged(machine)
 	return events
--- a/fleet/report.go
+++ b/fleet/report.go
@@ -178,7 +178,7 @@
 	}
 	allocation.Status = task.Status
 	if task.Status != wire.TaskEnded {
-		allocation.reservation.Shown()
+		allocation.reservation.MarkRunning()
 	}
 	r.takeImage(allocation)
 	switch {
--- a/fleet/reservations.go
+++ b/fleet/reservations.go
@@ -45,7 +45,7 @@
 // MarkDurable notes that an attempt is recorded: its run may be sent.
 func (f *Fleet) MarkDurable(allocation *Allocation) {
 	allocation.Durable = true
-	allocation.reservation.Confirm()
+	allocation.reservation.MarkRecorded()
 }
 
 // Stop asks for the end of an attempt, which has so many seconds of grace. One
@@ -60,7 +60,7 @@
 	}
 	if !allocation.Stopping {
 		allocation.requestStop(grace, now)
-		allocation.reservation.Stop()
+		allocation.reservation.MarkStopping()
 		allocation.Machine.unchanged = false
 		f.MachineChanged(allocation.Machine)
 	}
--- a/plan/guarantee.go
+++ b/plan/guarantee.go
@@ -15,7 +15,7 @@
 	for i := range p.Waiting {
 		waiting = append(waiting, &p.Waiting[i])
 	}
-	if !p.Quota.Guarantees() {
+	if !p.Quota.HasGuarantees() {
 		return waiting
 	}
 	sort.SliceStable(waiting, func(i, j int) bool { return entitledLaunchesBefore(waiting[i], waiting[j]) })
@@ -38,7 +38,7 @@
 // starts only whole is whole or not at all.
 func (p *planner) guaranteedTasks(w *Waiting) int {
 	job := w.Job
-	owed := p.draft.Owed(job.Team)
+	owed := p.draft.RemainingGuarantee(job.Team)
 	if owed == (quota.Amount{}) {
 		return 0
 	}
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -62,7 +62,7 @@
 	snapshot.ensureIndex()
 	p := &planner{Snapshot: snapshot, rules: Rules(), rng: rand.New(rand.NewPCG(snapshot.Seed, 1))}
 	p.draft = p.Quota.Draft()
-	p.quotaBinding = p.draft.Binding()
+	p.quotaBinding = p.draft.HasQuotas()
 	p.result.Unplaced = map[string]int{}
 	services, others := splitServices(p.launchGuaranteed())
 	p.launch(services)
--- a/plan/preempt.go
+++ b/plan/preempt.go
@@ -104,7 +104,7 @@
 			continue
 		}
 		capacity.add(victim.Resources)
-		if p.Quota.Guarantees() {
+		if p.Quota.HasGuarantees() {
 			if preempted == nil {
 				preempted = map[string]quota.Amount{}
 			}
@@ -164,7 +164,7 @@
 // for such work of higher priority, or either would take the other's place in turn. A
 // replica makes way only for a guarantee.
 func (p *planner) mayPreempt(job *Job, victim *Victim, besides quota.Amount) bool {
-	if !p.Quota.Guarantees() {
+	if !p.Quota.HasGuarantees() {
 		return !victim.Replica && victim.Priority < job.Priority
 	}
 	otherTeam := victim.Job != nil && victim.Job.Team != job.Team
@@ -172,7 +172,7 @@
 	switch {
 	case victim.Replica:
 		return otherTeam && p.withinGuarantee && beyond
-	case otherTeam && !p.withinGuarantee && !beyond && p.Quota.Limits(victim.Job.Team).Guaranteed():
+	case otherTeam && !p.withinGuarantee && !beyond && p.Quota.Limits(victim.Job.Team).HasGuarantee():
 		return false
 	}
 	return victim.Priority < job.Priority || p.withinGuarantee && beyond
@@ -181,7 +181,7 @@
 // beyondGuarantee tells whether a task, with others of its team that take so much, runs
 // beyond its team's guarantee: all that a team without one runs does.
 func (p *planner) beyondGuarantee(victim *Victim, besides quota.Amount) bool {
-	return victim.Job != nil && p.draft.Borrows(victim.Job.Team, besides.Plus(victim.amount()))
+	return victim.Job != nil && p.draft.BeyondGuarantee(victim.Job.Team, besides.Plus(victim.amount()))
 }
 
 // claim takes what one task needs: of what is being freed first, so that what is free
--- a/service.go
+++ b/service.go
@@ -41,7 +41,7 @@
 	elector          *lead.Elector
 	workers          *agent.Client
 	cloud            *cloud.Client
-	users            *api.Users
+	users            *api.Server
 	hints            cancelHints
 	attestationLinks map[string]*peer.Link // for attestations, which must not wait
 	relayLinks       map[string]*peer.Link // for users' requests and counts
@@ -73,18 +73,18 @@
 	f := cfg.Facts
 	s.store = store.New(cfg.Outside.State, f.State, 1+len(cfg.Others))
 	s.cloud = cloud.New(cfg.Outside.Cloud, f.Cloud.RPS)
-	s.budget = connlimit.Divide(f.Limits.FDLimit, f.Limits.MemMB)
-	s.workers = agent.NewClient(s.budget.KeepIdle)
+	s.budget = connlimit.NewBudget(f.Limits.FDLimit, f.Limits.MemMB)
+	s.workers = agent.NewClient(s.budget.IdleWorkerConnections)
 	for _, o := range cfg.Others {
 		s.attestationLinks[o.Node] = peer.NewLink(o.Addr)
 		s.relayLinks[o.Node] = peer.NewLink(o.Addr)
 	}
 	s.elector = lead.New(cfg.Node, s.store, s.clock, operator, s.requestAttestations, log)
-	s.users = &api.Users{Store: s.store, Clock: s.clock, Node: cfg.Node, Teams: f.Teams, Catalog: s.machineTypes, Counts: s.counts, Log: log, Observe: s.metrics.Submission,
-		Cancelled: s.hintCancelled, Pause: pollPause(f.Limits.CoreShare)}
+	s.users = &api.Server{Store: s.store, Clock: s.clock, Node: cfg.Node, Teams: f.Teams, Catalog: s.machineTypes, Counts: s.counts, Log: log, ObserveSubmission: s.metrics.ObserveSubmission,
+		OnCancelled: s.hintCancelled, MinReadInterval: pollPause(f.Limits.CoreShare)}
 	if len(s.attestationLinks) > 0 {
 		s.users.Relay = s.relay
-		s.users.Alone = s.isolated
+		s.users.Isolated = s.isolated
 	}
 	s.wireReports()
 	s.router = chi.NewRouter()
@@ -100,15 +100,15 @@
 	if err != nil {
 		return fmt.Errorf("listen for clients: %w", err)
 	}
-	back, err := net.Listen("tcp", s.cfg.Back)
+	back, err := net.Listen("tcp", s.cfg.PeerListen)
 	if err != nil {
 		front.Close()
 		return fmt.Errorf("listen for controllers: %w", err)
 	}
-	limited := connlimit.New(front, s.budget.Clients, connlimit.Outgoing{Workers: s.workers,
-		InUse: s.budget.Commands + s.budget.Questions, KeepIdle: s.budget.KeepIdle / 4}, s.clock, s.log)
-	s.workers.Short = limited.Full
-	s.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(s, limited.Short))
+	limited := connlimit.New(front, s.budget.ClientConnections, connlimit.WorkerConnections{Client: s.workers,
+		MaxInUse: s.budget.Commands + s.budget.Probes, IdleWorkerConnections: s.budget.IdleWorkerConnections / 4}, s.clock, s.log)
+	s.workers.ClientConnectionsScarce = limited.IdleConnectionsScarce
+	s.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(s, limited.ClientConnectionsScarce))
 	srv := &http.Server{Handler: s.router, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
 		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug), ConnState: limited.ConnState}
 	var wg sync.WaitGroup
@@ -128,7 +128,7 @@
 	}
 	wg.Go(func() { peer.Serve(ctx, back, s.answerPeer, s.log) })
 	wg.Go(func() { s.elector.Run(ctx, s.serveTerm) })
-	for _, w := range s.cfg.Tight(s.operator) {
+	for _, w := range s.cfg.Warnings(s.operator) {
 		s.log.Info("settings are tight", "field", w)
 	}
 	s.log.Info("serving", "node", s.cfg.Node, "listen", s.cfg.ClientListen)
@@ -224,14 +224,14 @@
 
 // serveRelayed serves a user's request that another controller has passed on.
 func (s *Service) serveRelayed(ctx context.Context, request peer.UserRequest) (response peer.UserResponse) {
-	req, err := http.NewRequestWithContext(api.Relayed(ctx), request.Method, request.Path, bytes.NewReader(request.Body))
+	req, err := http.NewRequestWithContext(api.MarkRelayed(ctx), request.Method, request.Path, bytes.NewReader(request.Body))
 	if err != nil {
 		return response
 	}
-	k := api.NewKept()
+	k := api.NewBufferedResponse()
 	s.router.ServeHTTP(k, req)
 	response.Status, response.Body = k.Status, k.Body.Bytes()
-	response.CancelRevision = s.users.Cancels.Epoch(api.JobOf(request.Path, request.Body))
+	response.CancelRevision = s.users.CancellationLog.Epoch(api.JobOfRequest(request.Path, request.Body))
 	return response
 }
 
@@ -242,7 +242,7 @@
 	if !s.store.Refused(ctx, 500*clock.Millisecond) || s.elector.NewestRevision() > request.LeaderRevision {
 		return attestation
 	}
-	attestation.Cancelled, attestation.Attested = s.users.Cancels.Since(request.KnownRevision, s.store.FirstRevision())
+	attestation.Cancelled, attestation.Attested = s.users.CancellationLog.Since(request.KnownRevision, s.store.FirstRevision())
 	return attestation
 }
 
@@ -256,9 +256,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, 1200*time.Millisecond)
 	defer cancel()
-	uid := api.JobOf(path, body)
-	if api.IsAbort(path) {
-		s.users.Cancels.Expect(uid)
+	uid := api.JobOfRequest(path, body)
+	if api.IsCancel(path) {
+		s.users.CancellationLog.Expect(uid)
 	}
 	responses := make(chan peer.UserResponse, len(s.relayLinks))
 	for _, l := range s.relayLinks {
@@ -273,7 +273,7 @@
 	for range s.relayLinks {
 		if response := <-responses; response.Status != 0 && response.Status != http.StatusServiceUnavailable {
 			if response.CancelRevision > 0 {
-				s.users.Cancels.Known(uid, response.CancelRevision)
+				s.users.CancellationLog.Known(uid, response.CancelRevision)
 			}
 			return response.Status, response.Body, true
 		}
@@ -311,7 +311,7 @@
 		return false
 	}
 	request := peer.AttestationRequest{Requested: true, LeaderRevision: l.term.Revision, KnownRevision: l.syncedRevision()}
-	cancelled, all := s.users.Cancels.Since(request.KnownRevision, s.store.FirstRevision())
+	cancelled, all := s.users.CancellationLog.Since(request.KnownRevision, s.store.FirstRevision())
 	attestations := make(chan peer.Attestation, len(s.attestationLinks))
 	for _, l := range s.attestationLinks {
 		go func() {
