--- a/fleet/report_order_test.go
+++ b/fleet/report_order_test.go
@@ -74,8 +74,8 @@
 // play lets the reports come in the given order, each with the answer that it gets.
 func (h history) play(order []int) (o outcome) {
 	f := newTestFleet(termToken, quota.NewLedger(nil))
-	f.DecideOrphan = func(_ TaskID, sign recovery.Sign) recovery.Decision {
-		return recovery.Decide(recovery.Case{Job: recovery.JobUnrecorded, Attempt: recovery.AttemptOther, Sign: sign})
+	f.DecideOrphan = func(_ TaskID, sign recovery.Observation) recovery.Decision {
+		return recovery.Decide(recovery.Case{Job: recovery.JobUnrecorded, Attempt: recovery.AttemptOther, Observation: sign})
 	}
 	machine := f.Ensure("n-1", 1)
 	var adopted []*Allocation
--- a/lookups.go
+++ b/lookups.go
@@ -84,14 +84,3 @@
 	l.wake()
 	return nil
 }
-
-// recoveryReport tells operators how far the recovery is; false where this controller does not know,
-// because its lease as leader is not there.
-func (l *leader) recoveryReport() (report recovery.Report, known bool) {
-	if _, held := l.elector.HoldsLease(); !held {
-		return report, false
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.reconciler.Report(l.clock.Now()), true
-}
--- a/planinput/input_test.go
+++ b/planinput/input_test.go
@@ -104,7 +104,7 @@
 			t.Errorf("%s: round %t, due %t", tt.name, round, due)
 		}
 	}
-	if round, due := in.Due(clock.Second+in.Operator.Period(), false, false); !round || !due {
+	if round, due := in.Due(clock.Second+in.Operator.RepairInterval(), false, false); !round || !due {
 		t.Error("no repair round when its time has come")
 	}
 }
--- a/reconciliation/reconciler_test.go
+++ b/reconciliation/reconciler_test.go
@@ -68,7 +68,7 @@
 
 func jobRow(uid string, tasks int) recovery.JobRow {
 	spec := wire.Spec{UID: uid, Kind: wire.KindBatch, Priority: "standard", Tasks: tasks, Cores: 1}
-	return recovery.JobRow{Record: store.JobRecord{Spec: spec}, Stamp: 4}
+	return recovery.JobRow{Record: store.JobRecord{Spec: spec}, ModRevision: 4}
 }
 
 // TestLoad takes in a job with a task that is done, one on a machine and one that waits.
@@ -77,9 +77,9 @@
 	f.load(&recovery.Records{
 		Jobs:   []recovery.JobRow{jobRow("j-1", 3)},
 		States: map[string]recovery.JobState{"j-1": recovery.JobActive},
-		Chunks: []recovery.ChunkRow{{UID: "j-1", Stamp: 6, Done: []bool{true, false, false},
-			Runs: []store.TaskAttempt{{Index: 1, Attempt: 2, Machine: "n-1", Incarnation: 1}}}},
-		Settled: []recovery.SettledRow{{UID: "j-2"}},
+		Chunks: []recovery.ChunkRow{{UID: "j-1", ModRevision: 6, Done: []bool{true, false, false},
+			Attempts: []store.TaskAttempt{{Index: 1, Attempt: 2, Machine: "n-1", Incarnation: 1}}}},
+		FinalMoves: []recovery.FinalMoveRow{{UID: "j-2"}},
 	})
 	job := f.Jobs.Get("j-1")
 	if job.Done != 1 || !slices.Equal(job.Waiting, []int{2}) || job.Record.Chunks[0].ModRevision != 6 {
@@ -105,7 +105,7 @@
 	f.load(&recovery.Records{
 		Jobs:   []recovery.JobRow{jobRow("j-1", 2)},
 		States: map[string]recovery.JobState{"j-1": recovery.JobActive},
-		Chunks: []recovery.ChunkRow{{UID: "j-1", Stamp: 6, Unreadable: true}},
+		Chunks: []recovery.ChunkRow{{UID: "j-1", ModRevision: 6, Unreadable: true}},
 	})
 	job := f.Jobs.Get("j-1")
 	if len(job.Waiting) != 0 || !f.HasUnreadable(job) || f.Report(f.now).Attempts.Unreadable != 2 {
@@ -137,7 +137,7 @@
 func TestOrphanIsLookedUpBeforeItIsStopped(t *testing.T) {
 	f := newFixture(t)
 	id := fleet.TaskID{Job: "j-9"}
-	if d := f.DecideOrphan(id, recovery.SignRunning); d != recovery.LookUp {
+	if d := f.DecideOrphan(id, recovery.ObservedRunning); d != recovery.LookUp {
 		t.Errorf("decided to %v before the job was read", d)
 	}
 	select {
@@ -154,16 +154,16 @@
 	}{
 		{recovery.JobUnrecorded, recovery.Retain},
 		{recovery.JobUnreadable, recovery.Retain},
-		{recovery.JobOver, recovery.Stop},
+		{recovery.JobFinished, recovery.Stop},
 	}
 	for _, tt := range tests {
 		f.LookedUp("j-9", tt.state, f.now)
-		if d := f.DecideOrphan(id, recovery.SignRunning); d != tt.want {
+		if d := f.DecideOrphan(id, recovery.ObservedRunning); d != tt.want {
 			t.Errorf("%v: decided to %v, want %v", tt.state, d, tt.want)
 		}
 	}
 	f.now += LookupValidFor + 1
-	f.DecideOrphan(id, recovery.SignRunning)
+	f.DecideOrphan(id, recovery.ObservedRunning)
 	if got := f.TakeWantedLookups(); len(got) != 0 {
 		t.Errorf("a job that is over is read again: %v", got)
 	}
@@ -175,7 +175,7 @@
 	row := store.SharedRow{UID: "j-1", Attempt: 1, Machine: "n-1", Incarnation: 1}
 	f.load(&recovery.Records{
 		States: map[string]recovery.JobState{"j-1": recovery.JobUnrecorded},
-		Shared: []recovery.SharedRow{{Key: "s/1.1", Stamp: 3, Record: store.SharedRecord{Rows: []store.SharedRow{row}}}},
+		Shared: []recovery.SharedRow{{Key: "s/1.1", ModRevision: 3, Record: store.SharedRecord{Rows: []store.SharedRow{row}}}},
 	})
 	if !f.IsUnusable("j-1") || len(f.writer.stale) != 0 {
 		t.Errorf("unusable %t, %d shared records to be written again", f.IsUnusable("j-1"), len(f.writer.stale))
--- a/service.go
+++ b/service.go
@@ -1,10 +1,9 @@
-// Package cedardoor is a cluster scheduler: the leading controller repairs the
-// placement of tasks whenever rules break, starts and stops them through the
-// machines' workers, and sizes the fleet. docs/design.md tells why it is as it is.
+// Package cedardoor is a cluster scheduler: the leading controller repairs the placement of tasks
+// whenever rules break, starts and stops them through the machines' workers, and sizes the fleet.
+// docs/architecture.md shows how the code is laid out, docs/design.md why it is as it is.
 package cedardoor
 
 import (
-	"bytes"
 	"context"
 	"fmt"
 	"log/slog"
@@ -22,8 +21,10 @@
 	"cedardoor/config"
 	"cedardoor/connlimit"
 	"cedardoor/lead"
+	"cedardoor/leaderview"
 	"cedardoor/metrics"
 	"cedardoor/peer"
+	"cedardoor/peering"
 	"cedardoor/quota"
 	"cedardoor/recovery"
 	"cedardoor/store"
@@ -32,35 +33,45 @@
 	"github.com/go-chi/chi/v5"
 )
 
+const (
+	// memoryShare is the share of the process's limit that the collector is asked to stay under.
+	memoryShare = 0.55
+	// termRetryPause is how long after a term that could not begin it is tried again.
+	termRetryPause = 200 * time.Millisecond
+	// idleReservePart is the part of the idle connections to workers that is always kept.
+	idleReservePart = 4
+)
+
+// Limits on users' and workers' connections.
+const (
+	headerTimeout  = 10 * time.Second
+	requestTimeout = 20 * time.Second
+	idleTimeout    = 90 * time.Second
+	maxHeaderBytes = 16 << 10
+)
+
 // Service is one controller.
 type Service struct {
-	cfg              *config.Platform
-	operator         *config.Operator
-	clock            *clock.Clock
-	store            *store.Client
-	elector          *lead.Elector
-	workers          *agent.Client
-	cloud            *cloud.Client
-	users            *api.Server
-	hints            cancelHints
-	attestationLinks map[string]*peer.Link // for attestations, which must not wait
-	relayLinks       map[string]*peer.Link // for users' requests and counts
-	log              *slog.Logger
-	metrics          *metrics.Metrics
-	current          atomic.Pointer[leader]
-	router           *chi.Mux
-	budget           connlimit.Budget
-	reports          reports
+	cfg      *config.Platform
+	operator *config.Operator
+	clock    *clock.Clock
+	store    *store.Client
+	elector  *lead.Elector
+	workers  *agent.Client
+	cloud    *cloud.Client
+	users    *api.Server
+	peers    *peering.Peers
+	view     *leaderview.Viewer
+	catalog  catalogCache
+	log      *slog.Logger
+	metrics  *metrics.Metrics
+	current  atomic.Pointer[leader] // the term that this controller leads; nil when it does not
+	router   *chi.Mux               // of users and workers
+	budget   connlimit.Budget
 	// newLedger makes the ledger of a term; tests put a broken one in its place.
 	newLedger func(teams map[string]quota.Limits) *quota.Ledger
 	// readRecords reads what predecessors left; tests put other records in their place.
 	readRecords func(ctx context.Context, source recovery.Source) (*recovery.Records, error)
-	// relayAfter is when relaying is worth trying again, on the steady clock.
-	relayAfter atomic.Int64
-
-	catalogMu     sync.Mutex // guards cat and catAt
-	catalog       wire.Catalog
-	catalogReadAt clock.Micros
 }
 
 // New wires a controller's parts; Run starts it.
@@ -69,117 +80,151 @@
 }
 
 func newService(cfg *config.Platform, operator *config.Operator, log *slog.Logger, clk *clock.Clock) *Service {
-	s := &Service{cfg: cfg, operator: operator, log: log, clock: clk, metrics: metrics.New(), attestationLinks: map[string]*peer.Link{}, relayLinks: map[string]*peer.Link{}, newLedger: quota.NewLedger, readRecords: recovery.Read}
-	f := cfg.Facts
-	s.store = store.New(cfg.Outside.State, f.State, 1+len(cfg.Others))
-	s.cloud = cloud.New(cfg.Outside.Cloud, f.Cloud.RPS)
-	s.budget = connlimit.NewBudget(f.Limits.FDLimit, f.Limits.MemMB)
+	s := &Service{cfg: cfg, operator: operator, log: log, clock: clk, metrics: metrics.New(), newLedger: quota.NewLedger,
+		readRecords: recovery.Read}
+	facts := &cfg.Facts
+	s.store = store.New(cfg.Outside.State, facts.State, 1+len(cfg.Others))
+	s.cloud = cloud.New(cfg.Outside.Cloud, facts.Cloud.RPS)
+	s.catalog = catalogCache{store: s.store, cloud: s.cloud, clock: clk}
+	s.budget = connlimit.NewBudget(facts.Limits.FDLimit, facts.Limits.MemMB)
 	s.workers = agent.NewClient(s.budget.IdleWorkerConnections)
-	for _, o := range cfg.Others {
-		s.attestationLinks[o.Node] = peer.NewLink(o.Addr)
-		s.relayLinks[o.Node] = peer.NewLink(o.Addr)
-	}
-	s.elector = lead.New(cfg.Node, s.store, s.clock, operator, s.requestAttestations, log)
-	s.users = &api.Server{Store: s.store, Clock: s.clock, Node: cfg.Node, Teams: f.Teams, Catalog: s.machineTypes, Counts: s.counts, Log: log, ObserveSubmission: s.metrics.ObserveSubmission,
-		OnCancelled: s.hintCancelled, MinReadInterval: pollPause(f.Limits.CoreShare)}
-	if len(s.attestationLinks) > 0 {
-		s.users.Relay = s.relay
-		s.users.Isolated = s.isolated
-	}
-	s.wireReports()
+	s.elector = lead.New(cfg.Node, s.store, clk, operator, s.requestAttestations, log)
+	s.peers = peering.New(clk, func() string { return s.elector.Leader() }, log)
+	for _, other := range cfg.Others {
+		s.peers.Add(other.Node, other.Addr)
+	}
+	s.users = s.newUsers()
+	s.view = leaderview.New(leaderview.Settings{Node: cfg.Node, Clock: clk, Log: log, Here: s.leaderHere,
+		LeaderName: func() string { return s.elector.Leader() }, Link: s.peers.Link})
 	s.router = chi.NewRouter()
 	s.users.Routes(s.router)
 	return s
 }
 
+// newUsers makes the server of users' requests.
+func (s *Service) newUsers() *api.Server {
+	users := &api.Server{Store: s.store, Clock: s.clock, Node: s.cfg.Node, Teams: s.cfg.Facts.Teams, Catalog: s.catalog.get, Counts: s.counts,
+		Log: s.log, ObserveSubmission: s.metrics.ObserveSubmission, OnCancelled: s.hintCancelled,
+		MinReadInterval: minReadInterval(s.cfg.Facts.Limits.CoreShare)}
+	if s.peers.Len() > 0 {
+		users.Relay = s.relay
+		users.Isolated = s.isolated
+	}
+	return users
+}
+
 // Run serves until ctx ends.
 func (s *Service) Run(ctx context.Context) error {
-	// The collector is asked to stay well under the process's limit.
-	debug.SetMemoryLimit(int64(s.cfg.Facts.Limits.MemMB * 0.55 * (1 << 20)))
-	front, err := listen(ctx, s.cfg.ClientListen)
+	debug.SetMemoryLimit(int64(s.cfg.Facts.Limits.MemMB * memoryShare * (1 << 20)))
+	clients, err := listen(ctx, s.cfg.ClientListen)
 	if err != nil {
 		return fmt.Errorf("listen for clients: %w", err)
 	}
-	back, err := net.Listen("tcp", s.cfg.PeerListen)
+	controllers, err := net.Listen("tcp", s.cfg.PeerListen)
 	if err != nil {
-		front.Close()
+		clients.Close()
 		return fmt.Errorf("listen for controllers: %w", err)
 	}
-	limited := connlimit.New(front, s.budget.ClientConnections, connlimit.WorkerConnections{Client: s.workers,
-		MaxInUse: s.budget.Commands + s.budget.Probes, IdleWorkerConnections: s.budget.IdleWorkerConnections / 4}, s.clock, s.log)
-	s.workers.ClientConnectionsScarce = limited.IdleConnectionsScarce
-	s.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(s, limited.ClientConnectionsScarce))
-	srv := &http.Server{Handler: s.router, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
-		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug), ConnState: limited.ConnState}
-	var wg sync.WaitGroup
+	var loops sync.WaitGroup
 	failed := make(chan error, 2)
-	wg.Go(func() {
-		failed <- srv.Serve(limited)
-	})
-	if s.operator.Metrics.Listen != "" {
-		ms := &http.Server{Addr: s.operator.Metrics.Listen, Handler: s.operators(), ReadHeaderTimeout: 10 * time.Second}
-		wg.Go(func() { s.refreshReports(ctx) })
-		wg.Go(func() {
-			if err := ms.ListenAndServe(); ctx.Err() == nil {
-				failed <- fmt.Errorf("metrics: %w", err)
-			}
-		})
-		context.AfterFunc(ctx, func() { ms.Close() })
-	}
-	wg.Go(func() { peer.Serve(ctx, back, s.answerPeer, s.log) })
-	wg.Go(func() { s.elector.Run(ctx, s.serveTerm) })
-	for _, w := range s.cfg.Warnings(s.operator) {
-		s.log.Info("settings are tight", "field", w)
+	server := s.serveClients(clients, &loops, failed)
+	s.serveOperators(ctx, &loops, failed)
+	loops.Go(func() { peer.Serve(ctx, controllers, s.answerPeer, s.log) })
+	loops.Go(func() { s.elector.Run(ctx, s.serveTerm) })
+	for _, warning := range s.cfg.Warnings(s.operator) {
+		s.log.Info("settings are tight", "field", warning)
 	}
 	s.log.Info("serving", "node", s.cfg.Node, "listen", s.cfg.ClientListen)
 	select {
 	case <-ctx.Done():
 	case err = <-failed:
 	}
-	srv.Close()
+	server.Close()
 	if err != nil {
 		return fmt.Errorf("serve: %w", err)
 	}
 	return nil
 }
 
-// pollPause is how far apart the reads that users' polls share should be: each
-// costs this node, the leader and the state service a request, and users wait two
-// seconds for an answer. A whole core needs no pause, and a smaller share one that
-// keeps the reads to a few hundredths of it.
-func pollPause(share float64) clock.Micros {
-	if share >= 1 {
-		return 0
+// serveClients serves users and workers.
+func (s *Service) serveClients(listener net.Listener, loops *sync.WaitGroup, failed chan<- error) *http.Server {
+	limited := connlimit.New(listener, s.budget.ClientConnections, connlimit.WorkerConnections{Client: s.workers,
+		MaxInUse: s.budget.Commands + s.budget.Probes, MinIdle: s.budget.IdleWorkerConnections / idleReservePart}, s.clock, s.log)
+	s.workers.ConnectionsScarce = limited.IdleConnectionsScarce
+	s.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(s, limited.ClientConnectionsScarce))
+	server := &http.Server{Handler: s.router, ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout,
+		IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(s.log.Handler(), slog.LevelDebug),
+		ConnState: limited.ConnState}
+	loops.Go(func() { failed <- server.Serve(limited) })
+	return server
+}
+
+// serveOperators serves figures and the leader's reports, where the operators' address is set.
+func (s *Service) serveOperators(ctx context.Context, loops *sync.WaitGroup, failed chan<- error) {
+	if s.operator.Metrics.Listen == "" {
+		return
 	}
-	return min(250*clock.Millisecond, clock.Micros(float64(20*clock.Millisecond)*(1/share-1)))
+	server := &http.Server{Addr: s.operator.Metrics.Listen, Handler: s.operatorRoutes(), ReadHeaderTimeout: headerTimeout}
+	loops.Go(func() { s.view.Run(ctx) })
+	loops.Go(func() {
+		if err := server.ListenAndServe(); ctx.Err() == nil {
+			failed <- fmt.Errorf("metrics: %w", err)
+		}
+	})
+	context.AfterFunc(ctx, func() { server.Close() })
+}
+
+// operatorRoutes serves what operators ask for.
+func (s *Service) operatorRoutes() http.Handler {
+	router := chi.NewRouter()
+	router.Mount("/", s.metrics.Handler())
+	s.view.Routes(router)
+	return router
 }
 
-// listen opens the port of users and workers. Idle connections are not probed:
-// that would only double what the server's own time limits do, for four system
-// calls on each connection that comes.
+// listen opens the port of users and workers. Idle connections are not probed: that would only
+// double what the server's own time limits do, for four system calls on each connection that comes.
 func listen(ctx context.Context, addr string) (net.Listener, error) {
 	return (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp", addr)
 }
 
-// serveTerm is one term of this node.
-func (s *Service) serveTerm(ctx context.Context, r lead.Term) {
+const (
+	// maxReadInterval is how far apart the reads that users' queries share are at most: users wait
+	// two seconds for an answer.
+	maxReadInterval = 250 * clock.Millisecond
+	// coreReadInterval is by how much the interval grows for each core's worth that is missing: it
+	// keeps the reads to a few hundredths of the processor.
+	coreReadInterval = 20 * clock.Millisecond
+)
+
+// minReadInterval is how far apart the reads that users' queries share should be on a share of a
+// core. A whole core needs no pause.
+func minReadInterval(share float64) clock.Micros {
+	if share >= 1 {
+		return 0
+	}
+	return min(maxReadInterval, clock.Micros(float64(coreReadInterval)*(1/share-1)))
+}
+
+// serveTerm leads for one term.
+func (s *Service) serveTerm(ctx context.Context, term lead.Term) {
 	for ctx.Err() == nil {
-		l := newLeader(s, r)
+		l := newLeader(s, term)
 		s.current.Store(l)
 		s.store.SetLeading(true)
 		if err := l.run(ctx); err != nil {
-			s.log.Error("leading", "error", err)
+			s.log.Error("term did not begin", "error", err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-s.clock.After(200 * time.Millisecond):
+		case <-s.clock.After(termRetryPause):
 		}
 	}
 	s.current.Store(nil)
-	s.store.SetLeading(len(s.cfg.Others) == 0)
+	s.store.SetLeading(s.peers.Len() == 0)
 }
 
-// Heartbeat implements agent.Steward.
+// Heartbeat implements agent.HeartbeatReceiver.
 func (s *Service) Heartbeat(report *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
 	l := s.current.Load()
 	if l == nil {
@@ -188,7 +233,7 @@
 	return l.Heartbeat(report)
 }
 
-// Leader implements agent.Steward.
+// Leader implements agent.HeartbeatReceiver.
 func (s *Service) Leader() string {
 	if name := s.elector.Leader(); name != s.cfg.Node {
 		return name
@@ -196,248 +241,16 @@
 	return ""
 }
 
-// answerPeer serves another controller's request.
-func (s *Service) answerPeer(ctx context.Context, request peer.Request) peer.Response {
-	var response peer.Response
-	if request.Attestation.Requested {
-		response.Attestation = s.attest(ctx, request.Attestation)
-	}
-	if l := s.current.Load(); l != nil && len(request.CancelHints) > 0 {
-		l.hintCancelled(request.CancelHints)
-	}
-	if len(request.CountsOf) > 0 {
-		if l := s.current.Load(); l != nil {
-			response.Counts = l.counts(request.CountsOf)
-		}
-	}
-	if request.Teams.Requested {
-		response.TeamsPage = s.teamsPage(request.Teams.After)
-	}
-	if request.Report != "" {
-		response.Report = s.encodedReport(request.Report)
-	}
-	if request.User.Path != "" && !s.store.Failing() {
-		response.User = s.serveRelayed(ctx, request.User)
-	}
-	return response
-}
-
-// serveRelayed serves a user's request that another controller has passed on.
-func (s *Service) serveRelayed(ctx context.Context, request peer.UserRequest) (response peer.UserResponse) {
-	req, err := http.NewRequestWithContext(api.MarkRelayed(ctx), request.Method, request.Path, bytes.NewReader(request.Body))
-	if err != nil {
-		return response
-	}
-	k := api.NewBufferedResponse()
-	s.router.ServeHTTP(k, req)
-	response.Status, response.Body = k.Status, k.Body.Bytes()
-	response.CancelRevision = s.users.CancellationLog.Epoch(api.JobOfRequest(request.Path, request.Body))
-	return response
-}
-
-// attest attests the outage to a leader that asks, if this node can: only when the
-// state service refuses it now, it knows of no later leader, and it can name
-// every cancel that the sender may have missed.
-func (s *Service) attest(ctx context.Context, request peer.AttestationRequest) (attestation peer.Attestation) {
-	if !s.store.Refused(ctx, 500*clock.Millisecond) || s.elector.NewestRevision() > request.LeaderRevision {
-		return attestation
-	}
-	attestation.Cancelled, attestation.Attested = s.users.CancellationLog.Since(request.KnownRevision, s.store.FirstRevision())
-	return attestation
-}
-
-// relay asks the other controllers at once to serve a user's request, and
-// takes the first answer that is one. In an outage none can, and after a round
-// of refusals none is asked for a moment.
-func (s *Service) relay(ctx context.Context, method, path string, body []byte) (int, []byte, bool) {
-	now := s.clock.Now()
-	if now < clock.Micros(s.relayAfter.Load()) {
-		return 0, nil, false
-	}
-	ctx, cancel := context.WithTimeout(ctx, 1200*time.Millisecond)
-	defer cancel()
-	uid := api.JobOfRequest(path, body)
-	if api.IsCancel(path) {
-		s.users.CancellationLog.Expect(uid)
-	}
-	responses := make(chan peer.UserResponse, len(s.relayLinks))
-	for _, l := range s.relayLinks {
-		go func() {
-			response, err := l.Call(ctx, peer.Request{User: peer.UserRequest{Method: method, Path: path, Body: body}})
-			if err != nil {
-				response = peer.Response{}
-			}
-			responses <- response.User
-		}()
-	}
-	for range s.relayLinks {
-		if response := <-responses; response.Status != 0 && response.Status != http.StatusServiceUnavailable {
-			if response.CancelRevision > 0 {
-				s.users.CancellationLog.Known(uid, response.CancelRevision)
-			}
-			return response.Status, response.Body, true
-		}
-	}
-	s.relayAfter.Store(int64(s.clock.Now() + clock.Second))
-	return 0, nil, false
-}
-
-// isolated tells whether no other controller answers.
-func (s *Service) isolated(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
-	defer cancel()
-	answers := make(chan bool, len(s.relayLinks))
-	for _, l := range s.relayLinks {
-		go func() {
-			_, err := l.Call(ctx, peer.Request{})
-			answers <- err == nil
-		}()
-	}
-	for range s.relayLinks {
-		if <-answers {
-			return false
-		}
-	}
-	return true
-}
-
-// requestAttestations asks every other controller whether the state service refuses it too.
-// Only when all attest so, freshly, can nobody else be leading. Each names with it
-// what was cancelled through it since this leader last knew; their tasks are told
-// to stop before the attestations count.
-func (s *Service) requestAttestations(ctx context.Context) bool {
+// leaderHere implements leaderview.Settings.Here.
+func (s *Service) leaderHere() (leaderview.Leader, bool) {
 	l := s.current.Load()
-	if l == nil {
-		return false
-	}
-	request := peer.AttestationRequest{Requested: true, LeaderRevision: l.term.Revision, KnownRevision: l.syncedRevision()}
-	cancelled, all := s.users.CancellationLog.Since(request.KnownRevision, s.store.FirstRevision())
-	attestations := make(chan peer.Attestation, len(s.attestationLinks))
-	for _, l := range s.attestationLinks {
-		go func() {
-			response, err := l.Call(ctx, peer.Request{Attestation: request})
-			if err != nil {
-				response = peer.Response{}
-			}
-			attestations <- response.Attestation
-		}()
-	}
-	for range s.attestationLinks {
-		attestation := <-attestations
-		all = all && attestation.Attested
-		cancelled = append(cancelled, attestation.Cancelled...)
-	}
-	l.hintCancelled(cancelled)
-	return all
-}
-
-// cancelHints are cancels that the leader is yet to be told of.
-type cancelHints struct {
-	mu   sync.Mutex // guards the fields below
-	uids []string
-	busy bool
-}
-
-// maxHintsPerMessage is how many cancels one message tells the leader of.
-const maxHintsPerMessage = 1024
-
-// hintCancelled tells the leader at once of a cancel made here, which it would else
-// learn from the state service, if that serves it. It is a hint: lost, late or
-// repeated it harms nothing.
-func (s *Service) hintCancelled(uid string) {
-	if l := s.current.Load(); l != nil {
-		l.hintCancelled([]string{uid})
-		return
-	}
-	if len(s.relayLinks) == 0 {
-		return
-	}
-	s.hints.mu.Lock()
-	defer s.hints.mu.Unlock()
-	if len(s.hints.uids) < maxHintsPerMessage {
-		s.hints.uids = append(s.hints.uids, uid)
-	}
-	if !s.hints.busy {
-		s.hints.busy = true
-		go s.sendHints()
-	}
-}
-
-// sendHints tells the leader of one batch after another until none waits.
-func (s *Service) sendHints() {
-	for {
-		s.hints.mu.Lock()
-		uids := s.hints.uids
-		s.hints.uids = nil
-		s.hints.busy = len(uids) > 0
-		s.hints.mu.Unlock()
-		if len(uids) == 0 {
-			return
-		}
-		l := s.relayLinks[s.elector.Leader()]
-		if l == nil {
-			continue
-		}
-		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		if _, err := l.Call(ctx, peer.Request{CancelHints: uids}); err != nil {
-			s.log.Debug("tell the leader of cancels", "error", err)
-		}
-		cancel()
-	}
-}
-
-// counts asks the leader for jobs' counts, which are for display only.
-func (s *Service) counts(ctx context.Context, uids []string) map[string][2]int {
-	if l := s.current.Load(); l != nil {
-		return l.counts(uids)
-	}
-	l := s.relayLinks[s.elector.Leader()]
-	if l == nil {
-		return nil
-	}
-	ctx, cancel := context.WithTimeout(ctx, 250*time.Millisecond)
-	defer cancel()
-	r, err := l.Call(ctx, peer.Request{CountsOf: uids})
-	if err != nil {
-		return nil
-	}
-	return r.Counts
+	return l, l != nil
 }
 
-// How long the machine types are used without being asked for again, and how
-// long when nobody answers: a job that no machine of today's catalogue fits must
-// not be accepted by an old one.
-const (
-	catalogFreshFor  = 30 * clock.Second
-	catalogUsableFor = 120 * clock.Second
-)
+// Teams reports what teams use: as the leader's ledger has it now, or, where no leader answers, as
+// this controller saw it last.
+func (s *Service) Teams(ctx context.Context) (quota.Report, error) { return s.view.Teams(ctx) }
 
-// machineTypes gives the machine types as last seen by any leader, or by this node itself.
-func (s *Service) machineTypes(ctx context.Context) (wire.Catalog, bool) {
-	now := s.clock.Now()
-	s.catalogMu.Lock()
-	cat, fresh, stale := s.catalog, s.catalogReadAt != 0 && now-s.catalogReadAt < catalogFreshFor, now-s.catalogReadAt >= catalogUsableFor
-	s.catalogMu.Unlock()
-	if fresh {
-		return cat, true
-	}
-	row, found, err := s.store.Get(ctx, store.Normal, store.KeyCatalog)
-	var got wire.Catalog
-	if err == nil && found && wire.Unmarshal(row.Value, &got) == nil && len(got.MachineTypes) > 0 {
-		s.catalogMu.Lock()
-		s.catalog, s.catalogReadAt = got, now
-		s.catalogMu.Unlock()
-		return got, true
-	}
-	if len(cat.MachineTypes) > 0 && !stale {
-		return cat, true // sizes hardly change: the last known will do for a while
-	}
-	got, err = s.cloud.Catalog(ctx)
-	if err != nil {
-		return wire.Catalog{}, false
-	}
-	s.catalogMu.Lock()
-	s.catalog, s.catalogReadAt = got, now
-	s.catalogMu.Unlock()
-	return got, true
-}
+// Recovery reports how far the leader has taken over, or, where no leader answers, how far it was when
+// this controller saw it last.
+func (s *Service) Recovery(ctx context.Context) (recovery.Report, error) { return s.view.Recovery(ctx) }
