--- a/boots_test.go
+++ b/autoscaling_test.go
@@ -1,11 +1,15 @@
 package cedardoor
 
 import (
+	"context"
 	"fmt"
 	"testing"
 	"time"
 
 	"cedardoor/clock"
+	"cedardoor/config"
+	"cedardoor/internal/standin"
+	"cedardoor/recovery"
 	"cedardoor/wire"
 )
 
@@ -141,3 +145,110 @@
 		}
 	}
 }
+
+// A rental whose answer was lost is repeated under its own name and rents nothing more.
+func TestLostRentalAnswer(t *testing.T) {
+	s := newSite(t)
+	n := s.node(nil)
+	l, _ := s.elect(n)
+	s.cloud.LoseNext = true
+	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Preemptible = false }))
+	s.resync(l)
+	if err := l.readMachineList(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	go func() {
+		for s.clk.BlockUntilContext(ctx, 2) == nil {
+			s.clk.Advance(time.Second)
+		}
+	}()
+	l.autoscale(t.Context())
+	cancel()
+	asked := s.cloud.Asked()
+	if len(asked) != 2 || asked[0].RequestID != asked[1].RequestID || len(s.cloud.Hosts()) != 1 {
+		t.Fatalf("asked %v, rented %v", asked, s.cloud.Hosts())
+	}
+}
+
+// With no work at all, the machines that were held for more are given back.
+func TestNoWorkGivesMachinesBack(t *testing.T) {
+	s, n, l, w := alone(t)
+	s.submit(n, spec("j-1", nil))
+	s.resync(l)
+	s.settle(l)
+	l.mu.Lock()
+	l.autoscaler.Demand(l.scalingView(l.clock.Now()))
+	l.mu.Unlock()
+	w.End("j-1/0", wire.CauseDone)
+	heartbeat(t, l, w)
+	s.settle(l)
+	s.advance(20 * time.Second)
+	l.mu.Lock()
+	held := l.autoscaler.Demand(l.scalingView(l.clock.Now())).Preemptible.Cores
+	l.mu.Unlock()
+	if held == 0 {
+		t.Error("nothing is held right after work was there")
+	}
+	s.advance(30 * time.Second)
+	l.mu.Lock()
+	need := l.autoscaler.Demand(l.scalingView(l.clock.Now()))
+	l.mu.Unlock()
+	if need.Preemptible.Cores != 0 || need.KeepPreemptible != 0 || need.KeepOnDemand != 0 {
+		t.Errorf("still held: %+v", need)
+	}
+}
+
+// Machines that have not had the time to find the new leader are neither replaced nor returned.
+func TestMachinesThatAreYetToReportAreNotReplaced(t *testing.T) {
+	const replicas = 12
+	s := newSite(t)
+	n := s.node(nil)
+	l, _ := s.elect(n)
+	s.submit(n, spec("j-1", func(sp *wire.Spec) {
+		sp.Tasks, sp.Cores, sp.Kind, sp.Priority, sp.ExpectedS, sp.Preemptible = replicas, 8, wire.KindService, "critical", 0, false
+	}))
+	s.resync(l)
+	for range 4 {
+		l.autoscale(t.Context())
+	}
+	var ws []*standin.Worker
+	for _, h := range s.cloud.Hosts() {
+		ws = append(ws, s.worker(h.UID, h.Zone, h.Preemptible))
+	}
+	if len(ws) < replicas {
+		t.Fatalf("%d machines rented", len(ws))
+	}
+	s.pass(l, ws, 10)
+	next := s.node(nil)
+	next.cfg.Others = []config.Node{{Node: "node-8"}, {Node: "node-9"}}
+	s.kill(n)
+	s.clk.Advance(10 * time.Second)
+	gb, _ := s.elect(next)
+	if err := gb.readMachineList(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	before := len(s.cloud.Asked())
+	for second := range 14 {
+		s.advance(time.Second)
+		found := ws[:2]
+		if second > 10 {
+			found = ws
+		}
+		for _, w := range found {
+			heartbeat(t, gb, w)
+		}
+		gb.pass(t.Context())
+		gb.autoscale(t.Context())
+	}
+	if more := s.cloud.Asked()[before:]; len(more) != 0 {
+		t.Errorf("rented %+v though all had yet to report, and then did", more)
+	}
+	if got := s.cloud.Returns(); len(got) != 0 {
+		t.Errorf("returned %v", got)
+	}
+	if r := mustReport(t, gb); r.Stage != recovery.StageComplete || r.Machines.Reconciled != r.Machines.Recorded || r.Machines.Recorded < replicas {
+		t.Errorf("recovery %+v", r)
+	}
+}
--- /dev/null
+++ b/bench_serving_test.go
@@ -0,0 +1,296 @@
+package cedardoor
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"cedardoor/agent"
+	"cedardoor/config"
+	"cedardoor/connlimit"
+	"cedardoor/wire"
+)
+
+// front serves users and workers on loopback as the daemon does.
+func front(tb testing.TB, l *leader, h http.Handler) string {
+	ln, err := listen(tb.Context(), "127.0.0.1:0")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	limited := connlimit.New(ln, 1000, connlimit.Outgoing{Workers: l.workers}, l.clock, l.log)
+	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
+		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ConnState: limited.ConnState}
+	go srv.Serve(limited)
+	tb.Cleanup(func() { srv.Close() })
+	return ln.Addr().String()
+}
+
+// exchange sends requests over one raw connection, so that the client costs little.
+type exchange struct {
+	c net.Conn
+	r *bufio.Reader
+}
+
+func dial(tb testing.TB, addr string) *exchange {
+	c, err := net.Dial("tcp", addr)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	tb.Cleanup(func() { c.Close() })
+	return &exchange{c, bufio.NewReader(c)}
+}
+
+func (x *exchange) send(tb testing.TB, method, path string, body []byte) {
+	req := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/msgpack\r\nContent-Length: %d\r\n\r\n", method, path, len(body))
+	if _, err := x.c.Write(append(req, body...)); err != nil {
+		tb.Fatal(err)
+	}
+	length := 0
+	for first := true; ; first = false {
+		line, err := x.r.ReadSlice('\n')
+		if err != nil {
+			tb.Fatal(err)
+		}
+		if first && !bytes.Contains(line, []byte(" 20")) && !bytes.Contains(line, []byte(" 421")) {
+			tb.Fatalf("answered %s", line)
+		}
+		if len(line) <= 2 {
+			break
+		}
+		if v, found := bytes.CutPrefix(line, []byte("Content-Length: ")); found {
+			fmt.Sscan(string(v), &length)
+		}
+	}
+	if _, err := x.r.Discard(length); err != nil {
+		tb.Fatal(err)
+	}
+}
+
+// BenchmarkBeat is a report taken in by the leader, decoding included.
+func BenchmarkBeat(b *testing.B) {
+	for _, c := range []struct {
+		name   string
+		change bool
+	}{{"unchanged", false}, {"changed", true}} {
+		b.Run(c.name, func(b *testing.B) {
+			_, l := ledFleet(b, benchMachines, benchTasks)
+			h := agent.ServeHeartbeat(benchSteward{l}, func() bool { return false })
+			var raws [][]byte
+			for n := range 2 {
+				for i := range benchMachines {
+					rep := report(i, benchTasks, 1, l.term.Token)
+					if n == 1 && c.change {
+						rep.Tasks[0].Status = wire.TaskFlushing
+					}
+					raws = append(raws, body(b, rep))
+				}
+			}
+			single(b)
+			b.ResetTimer()
+			for n := range b.N {
+				i := n % len(raws)
+				setTally(b, raws[i], uint64(n)+100)
+				h(&discard{h: http.Header{}}, &http.Request{Method: http.MethodPost, Body: io.NopCloser(bytes.NewReader(raws[i]))})
+			}
+		})
+	}
+}
+
+type discard struct{ h http.Header }
+
+func (d *discard) Header() http.Header { return d.h }
+
+func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
+
+func (d *discard) WriteHeader(int) {}
+
+// setTally replaces a report's tally in place; it is written with eight bytes.
+func setTally(tb testing.TB, raw []byte, tally uint64) {
+	at := bytes.Index(raw, []byte("\xa5tally\xcf"))
+	if at < 0 {
+		tb.Fatalf("no tally in %x", raw)
+	}
+	for k := range 8 {
+		raw[at+7+k] = byte(tally >> (56 - 8*k))
+	}
+}
+
+type benchSteward struct{ g *leader }
+
+func (s benchSteward) Heartbeat(report *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+	return s.g.Heartbeat(report)
+}
+
+func (s benchSteward) Leader() string { return "" }
+
+// BenchmarkBeatServed is the same over a connection.
+func BenchmarkBeatServed(b *testing.B) {
+	_, l := ledFleet(b, benchMachines, benchTasks)
+	n := l.service(b)
+	n.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(benchSteward{l}, func() bool { return false }))
+	addr := front(b, l, n.router)
+	raws, conns := make([][]byte, benchMachines), make([]*exchange, benchMachines)
+	for i := range raws {
+		raws[i] = body(b, report(i, benchTasks, 1, l.term.Token))
+		conns[i] = dial(b, addr)
+	}
+	single(b)
+	b.ResetTimer()
+	for k := range b.N {
+		i := k % benchMachines
+		setTally(b, raws[i], uint64(k)+100)
+		conns[i].send(b, http.MethodPost, wire.PathHeartbeat, raws[i])
+	}
+}
+
+// BenchmarkRedirectServed is a heartbeat at a controller that does not lead.
+func BenchmarkRedirectServed(b *testing.B) {
+	_, l := ledFleet(b, 10, benchTasks)
+	h := http.HandlerFunc(agent.ServeHeartbeat(sends{}, func() bool { return false }))
+	addr := front(b, l, h)
+	x := dial(b, addr)
+	raw := body(b, report(1, benchTasks, 1, l.term.Token))
+	single(b)
+	b.ResetTimer()
+	for range b.N {
+		x.send(b, http.MethodPost, wire.PathHeartbeat, raw)
+	}
+}
+
+type sends struct{}
+
+func (sends) Heartbeat(*wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+	return wire.HeartbeatResponse{}, false
+}
+
+func (sends) Leader() string { return "node-2" }
+
+// service gives a second node of the leader's site that serves users.
+func (l *leader) service(tb testing.TB) *Service {
+	operator, err := config.LoadOperator("")
+	if err != nil {
+		tb.Fatal(err)
+	}
+	cfg := *l.cfg
+	n := newService(&cfg, operator, l.log, l.clock)
+	n.current.Store(l)
+	return n
+}
+
+// BenchmarkPoll is one poll of an unfinished job, alone in its read, over a connection.
+func BenchmarkPollServed(b *testing.B) {
+	s, l := ledFleet(b, benchMachines, benchTasks)
+	n := l.service(b)
+	s.submit(n, spec("j-900", nil))
+	x := dial(b, front(b, l, n.router))
+	single(b)
+	b.ResetTimer()
+	for range b.N {
+		x.send(b, http.MethodGet, wire.PathJobs+"/j-900", nil)
+	}
+}
+
+// BenchmarkSubmitServed is one submission, alone in its transaction, over a connection.
+func BenchmarkSubmitServed(b *testing.B) {
+	_, l := ledFleet(b, benchMachines, benchTasks)
+	n := l.service(b)
+	x := dial(b, front(b, l, n.router))
+	single(b)
+	b.ResetTimer()
+	for k := range b.N {
+		x.send(b, http.MethodPost, wire.PathJobs, bodyOf(b, spec(fmt.Sprintf("j-%d", 100000+k), nil), nil))
+	}
+}
+
+// BenchmarkHealth is a probe of the load balancer.
+func BenchmarkHealthServed(b *testing.B) {
+	_, l := ledFleet(b, 10, benchTasks)
+	n := l.service(b)
+	x := dial(b, front(b, l, n.router))
+	single(b)
+	b.ResetTimer()
+	for range b.N {
+		x.send(b, http.MethodGet, wire.PathHealth, nil)
+	}
+}
+
+// BenchmarkConnect is a connection that comes, with one probe, and goes.
+func BenchmarkConnect(b *testing.B) {
+	_, l := ledFleet(b, 10, benchTasks)
+	addr := front(b, l, l.service(b).router)
+	single(b)
+	b.ResetTimer()
+	for range b.N {
+		c, err := (&net.Dialer{KeepAlive: -1}).Dial("tcp", addr)
+		if err != nil {
+			b.Fatal(err)
+		}
+		x := &exchange{c, bufio.NewReaderSize(c, 64)}
+		x.send(b, http.MethodGet, wire.PathHealth, nil)
+		c.Close()
+	}
+}
+
+// BenchmarkDirectCommand is a command with two tasks to a worker and its report,
+// over connections that are kept and over new ones.
+func BenchmarkDirectCommand(b *testing.B) {
+	for _, c := range []struct{ name, header string }{{"kept", ""}, {"new", "Connection: close\r\n"}} {
+		b.Run(c.name, func(b *testing.B) {
+			ln, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				b.Fatal(err)
+			}
+			b.Cleanup(func() { ln.Close() })
+			raw := body(b, report(1, benchTasks, 1, 1))
+			answer := append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/msgpack\r\n%sContent-Length: %d\r\n\r\n", c.header, len(raw)), raw...)
+			go func() {
+				for {
+					conn, err := ln.Accept()
+					if err != nil {
+						return
+					}
+					go func() {
+						defer conn.Close()
+						r := bufio.NewReader(conn)
+						for {
+							req, err := http.ReadRequest(r)
+							if err != nil {
+								return
+							}
+							io.Copy(io.Discard, req.Body)
+							if _, err := conn.Write(answer); err != nil || c.header != "" {
+								return
+							}
+						}
+					}()
+				}
+			}()
+			cl := agent.NewClient(64)
+			do := wire.CommandRequest{Token: 1, Incarnation: 1}
+			for i := range 2 {
+				do.Commands = append(do.Commands, wire.Command{Verb: wire.VerbRun, Task: fmt.Sprintf("j-100/%d", i), Attempt: 1})
+			}
+			single(b)
+			b.ResetTimer()
+			for range b.N {
+				if _, _, err := cl.Do(b.Context(), ln.Addr().String(), do); err != nil {
+					b.Fatal(err)
+				}
+			}
+		})
+	}
+}
+
+// body is a report as it comes.
+func body(tb testing.TB, report *wire.Heartbeat) []byte {
+	raw, err := wire.Marshal(report)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return raw
+}
--- a/gap_test.go
+++ b/cancellation_outage_test.go
@@ -3,86 +3,17 @@
 import (
 	"context"
 	"fmt"
-	"net"
 	"net/http"
 	"runtime"
 	"slices"
 	"testing"
 	"time"
 
-	"cedardoor/config"
 	"cedardoor/fleet"
-	"cedardoor/internal/standin"
 	"cedardoor/peer"
-	"cedardoor/store"
 	"cedardoor/wire"
 )
 
-// join links controllers to each other, as their settings would.
-func (s *site) join(nodes ...*Service) {
-	s.t.Helper()
-	for _, n := range nodes {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			s.t.Fatal(err)
-		}
-		ctx, cancel := context.WithCancel(s.t.Context())
-		done := make(chan struct{})
-		go func() { defer close(done); peer.Serve(ctx, ln, n.answerPeer, n.log) }()
-		s.t.Cleanup(func() { cancel(); <-done })
-		for _, o := range nodes {
-			if o != n {
-				o.attestationLinks[n.cfg.Node], o.relayLinks[n.cfg.Node] = peer.NewLink(ln.Addr().String()), peer.NewLink(ln.Addr().String())
-			}
-		}
-	}
-	for _, n := range nodes {
-		n.users.Relay, n.users.Alone = n.relay, n.isolated
-	}
-}
-
-// gap is a site of three joined controllers of which the first leads, with a
-// worker that runs a task each of j-1 and j-2.
-func gap(t *testing.T) (s *site, nodes []*Service, l *leader, w *standin.Worker) {
-	t.Helper()
-	s = newSite(t)
-	for range 3 {
-		nodes = append(nodes, s.node(nil))
-	}
-	s.join(nodes...)
-	l, _ = s.elect(nodes[0])
-	nodes[0].current.Store(l)
-	w = s.worker("n-1", "x", true)
-	heartbeat(t, l, w)
-	for _, uid := range []string{"j-1", "j-2"} {
-		s.submit(nodes[1], spec(uid, nil))
-	}
-	for _, n := range nodes { // each has had an answer from the state service since it began
-		s.status(n, "j-1", wire.JobQueued)
-	}
-	s.resync(l)
-	s.settle(l)
-	heartbeat(t, l, w)
-	if got := len(w.Live()); got != 2 {
-		t.Fatalf("%d tasks run, want 2", got)
-	}
-	return s, nodes, l, w
-}
-
-func (s *site) status(n *Service, uid, want string) {
-	s.t.Helper()
-	if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); code != http.StatusOK || v.Status != want {
-		s.t.Fatalf("%s at %s: %d %q, want %q", uid, n.cfg.Node, code, v.Status, want)
-	}
-}
-
-func (s *site) abort(n *Service, uid string) {
-	s.t.Helper()
-	if code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/"+uid+"/abort", nil); code != http.StatusOK || v.Status != wire.JobCancelled {
-		s.t.Fatalf("abort of %s at %s: %d %q", uid, n.cfg.Node, code, v.Status)
-	}
-}
-
 // deafToHints lets no hint of a node's cancels reach the leader: they are hints.
 func deafToHints(n *Service) { n.users.Cancelled = nil }
 
@@ -328,54 +259,6 @@
 	}
 }
 
-// A leader that renews its lease but can't read the changes of jobs gives the
-// lead up while its successor can still stop in time what was cancelled.
-func TestBlindLeaderGivesUp(t *testing.T) {
-	s, n, l, _ := alone(t)
-	limit := l.maxUnsynced().Duration()
-	live := func(d time.Duration) {
-		for ; d > 0; d -= time.Second {
-			s.advance(time.Second)
-			l.checkPause()
-		}
-	}
-	live(limit)
-	if _, may := n.elector.HoldsLease(); !may {
-		t.Fatal("gave up too early")
-	}
-	live(2 * time.Second)
-	for s.state.Value(store.KeyLead, nil) {
-		runtime.Gosched()
-	}
-	w := l.cfg.Facts.Workers
-	if at := limit.Seconds() + w.LeaseS + l.operator.Lead.TTLs; at >= w.CancelS {
-		t.Errorf("gives up %v s after it last knew, too late for a lease before %v s", limit, w.CancelS)
-	}
-}
-
-// Settings under which a cut leader's tasks outlast cancel_s are refused.
-func TestSettingsKeepCancelsInTime(t *testing.T) {
-	operator, err := config.LoadOperator("")
-	if err != nil {
-		t.Fatal(err)
-	}
-	p := &config.Platform{Area: "x", Facts: config.Facts{Zones: []string{"x"}, Workers: config.Workers{ReportS: 3, LeaseS: 18, CancelS: 23}}}
-	if err := p.Suits(operator); err == nil {
-		t.Error("accepted")
-	}
-	p.Facts.Workers.CancelS = 25
-	if err := p.Suits(operator); err != nil {
-		t.Error(err)
-	}
-	if got := len(p.Tight(operator)); got == 0 {
-		t.Error("not named as tight")
-	}
-	p.Facts.Workers.CancelS = 43
-	if err := p.Suits(operator); err != nil {
-		t.Error(err)
-	}
-}
-
 // A cancel that the leader knows, of a task whose machine could not be told, stops
 // it also when the machine reports only in an outage that all attest.
 func TestKnownCancelStopsInAnOutage(t *testing.T) {
--- a/failures_test.go
+++ b/failure_attribution_test.go
@@ -3,64 +3,12 @@
 import (
 	"fmt"
 	"net/http"
-	"strings"
 	"testing"
-	"time"
 
 	"cedardoor/internal/standin"
 	"cedardoor/wire"
 )
 
-// crew is a leader with so many workers, on which the given jobs fail.
-func crew(t *testing.T, n int, bad ...string) (*site, *Service, *leader, []*standin.Worker) {
-	t.Helper()
-	s := newSite(t)
-	node := s.node(nil)
-	l, _ := s.elect(node)
-	var ws []*standin.Worker
-	for i := range n {
-		w := s.worker(fmt.Sprintf("n-%d", i+1), []string{"x", "y"}[i%2], true)
-		for _, uid := range bad {
-			w.FailJob(uid)
-		}
-		heartbeat(t, l, w)
-		ws = append(ws, w)
-	}
-	return s, node, l, ws
-}
-
-// pass lets seconds go by, with a heartbeat of every worker and a pass in each.
-func (s *site) pass(l *leader, ws []*standin.Worker, seconds int) {
-	s.t.Helper()
-	for range seconds {
-		s.advance(time.Second)
-		for _, w := range ws {
-			heartbeat(s.t, l, w)
-		}
-		s.settle(l)
-	}
-}
-
-func banned(l *leader, ws []*standin.Worker) (out []string) {
-	for _, w := range ws {
-		if machine := l.fleet.Machine(w.Beats.Machine); machine.QuarantineReason != "" {
-			out = append(out, machine.Name+" "+string(machine.QuarantineReason))
-		}
-	}
-	return out
-}
-
-func startsOf(ws []*standin.Worker, uid string) (n int) {
-	for _, w := range ws {
-		for _, k := range w.Starts() {
-			if strings.HasPrefix(k, uid+"/") {
-				n++
-			}
-		}
-	}
-	return n
-}
-
 // Jobs submitted with a mistake fail wherever they run. Machines that have run
 // nothing else must not be taken for sick by them, and once a few machines have
 // been tried, a task now and then is all that they cost; one machine that is
--- /dev/null
+++ b/harness_checks_test.go
@@ -0,0 +1,236 @@
+package cedardoor
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"cedardoor/fleet"
+	"cedardoor/planinput"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+func (w *world) note(format string, args ...any) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.history = append(w.history, fmt.Sprintf("%8.3f ", time.Since(w.began).Seconds())+fmt.Sprintf(format, args...))
+}
+
+func (w *world) breach(rule, format string, args ...any) {
+	text := rule + ": " + fmt.Sprintf(format, args...)
+	w.note("BROKEN %s", text)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.broken = append(w.broken, fmt.Sprintf("at %.3f s ", time.Since(w.began).Seconds())+text)
+}
+
+// watch looks at the machines, and lets holds of the state service lapse, all the time.
+func (w *world) watch() {
+	for w.ctx.Err() == nil {
+		time.Sleep(100 * time.Millisecond)
+		w.state.Keys("lead")
+		for uid, since := range w.overdue() {
+			for _, m := range w.holders(uid) {
+				for _, p := range liveOf(m, uid) {
+					w.mu.Lock()
+					told := w.sorry[p]
+					w.sorry[p] = true
+					w.mu.Unlock()
+					if !told {
+						w.breach("ran_cancelled", "%s is on %s %v after its user was told that it is cancelled", p, m.Host.UID, time.Since(since))
+					}
+				}
+			}
+		}
+	}
+}
+
+// overdue lists the jobs whose users were told longer than the allowed time ago that
+// they are cancelled, with when that was.
+func (w *world) overdue() map[string]time.Time {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	out := map[string]time.Time{}
+	for uid, f := range w.facts {
+		if f.cancelled && time.Since(f.cancelledAt) > w.s.timing.cancel {
+			out[uid] = f.cancelledAt
+		}
+	}
+	return out
+}
+
+// books tells what the leader thinks of a job and the machines, to explain a
+// breach that was found without it.
+func (w *world) books(uid string) string {
+	p := w.running(fmt.Sprintf("node-%d", w.leader()+1))
+	if p == nil {
+		return "nobody leads"
+	}
+	l := p.current.Load()
+	if l == nil {
+		return "nobody leads"
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	sp, _ := w.Job(uid)
+	text := fmt.Sprintf("%+v; leader %s; ", sp, p.name)
+	if job := l.jobs.Get(uid); job == nil {
+		text += "job unknown; "
+	} else {
+		text += fmt.Sprintf("waiting %v of %d queued jobs; ", job.Waiting, l.jobs.WaitingLen())
+	}
+	rec, token := store.TokenRecord{}, uint64(0)
+	w.state.Value(store.KeyToken, &rec)
+	token, _ = l.elector.HoldsLease()
+	text += fmt.Sprintf("token %d, on record %d; ", token, rec.Token)
+	for _, machine := range l.fleet.Machines() {
+		text += fmt.Sprintf("\n%s %s %s cores %v banned %q cordoned %v usable %v tally %d token %d unheard %d;", machine.Name, machine.Type, machine.Zone, machine.UsedCores, machine.QuarantineReason, machine.Cordoned,
+			planinput.Usable(machine, l.clock.Now()), machine.Sequence, machine.Token, machine.Unacknowledged)
+		machine.EachAllocation(func(allocation *fleet.Allocation) {
+			text += fmt.Sprintf("\n  %v#%d %+v", allocation.Task, allocation.Attempt, *allocation)
+		})
+	}
+	return text
+}
+
+// judge looks at what is left when all has been quiet for a while.
+func (w *world) judge() {
+	for _, u := range w.s.users {
+		uid := u.spec.UID
+		w.mu.Lock()
+		f := *w.facts[uid]
+		w.mu.Unlock()
+		if !f.accepted {
+			continue
+		}
+		for n := range 3 {
+			if status, v := w.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); status != http.StatusOK {
+				w.breach("forgotten", "%s: %d %+v from node %d after all troubles", uid, status, v, n+1)
+			}
+		}
+	}
+	// What came free a moment ago is on its way to somebody, and a task that is being
+	// moved does not wait: what counts is the same room for the same task, all the time.
+	still := w.waiting(false)
+	for range 20 {
+		time.Sleep(250 * time.Millisecond)
+		now := w.waiting(false)
+		for p, why := range still {
+			if why = slices.DeleteFunc(why, func(x string) bool { return !slices.Contains(now[p], x) }); len(why) == 0 {
+				delete(still, p)
+			} else {
+				still[p] = why
+			}
+		}
+	}
+	for p, why := range still {
+		uid, _, _ := strings.Cut(p, "/")
+		// Its user may have stopped asking before it was done.
+		if _, v := w.ask(0, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); v.Status != wire.JobDone {
+			w.breach("waits", "%s waits %v: %s", p, why, w.books(uid))
+		}
+	}
+}
+
+// longWait is how long no task of a job may begin that could have a machine: the
+// rules give it 90 s while a machine has room, and one for it takes some to boot.
+const longWait = 80 * time.Second
+
+// waiting names the tasks that are on no machine though one has room for them
+// and their team's limit allows it, with all such room; with rent also those for which the cloud would
+// rent one, and without it those of a job that is to be in one zone or apart of which
+// nothing has begun for long, too. A task that was done on a machine that was lost
+// with the result must run again, unless its job is called done.
+func (w *world) waiting(rent bool) map[string][]string {
+	out := map[string][]string{}
+	on := map[string]bool{}
+	used := map[string]float64{}
+	zones := map[string]map[string]int{} // of each job's tasks
+	all := w.cloud.Machines()
+	for _, m := range all {
+		for _, p := range m.Live() {
+			on[p] = true
+			uid, _, _ := strings.Cut(p, "/")
+			sp, _ := w.Job(uid)
+			used[sp.Team] += sp.Cores
+			if zones[uid] == nil {
+				zones[uid] = map[string]int{}
+			}
+			zones[uid][m.Host.Zone]++
+		}
+	}
+	for _, u := range w.s.users {
+		sp := &u.spec
+		w.mu.Lock()
+		f := *w.facts[sp.UID]
+		over := w.left[sp.UID] == 0
+		w.mu.Unlock()
+		if limit := w.limit(sp.Team); !f.accepted || f.done || f.cancelled || f.asked || u.fails || limit > 0 && used[sp.Team]+sp.Cores > limit {
+			continue
+		}
+		for i := range sp.Tasks {
+			p := fmt.Sprintf("%s/%d", sp.UID, i)
+			w.mu.Lock()
+			done := w.done[p] && !over
+			w.mu.Unlock()
+			if done || on[p] {
+				continue
+			}
+			if (rent || (sp.SameZone || sp.Spread) && time.Since(f.moved) > longWait) && len(all) < w.cloud.Most {
+				out[p] = append(out[p], "though the cloud rents machines")
+			}
+			for _, m := range all {
+				h := m.Host
+				w.mu.Lock()
+				faulty := w.faulty[m]
+				w.mu.Unlock()
+				z := zones[sp.UID]
+				if sp.SameZone && len(z) > 0 && z[h.Zone] == 0 || sp.Spread && z[h.Zone] >= (sp.Tasks+1)/2 {
+					continue
+				}
+				if !faulty && (sp.Zone == "" || sp.Zone == h.Zone) && (sp.MachineTypes == nil || slices.Contains(sp.MachineTypes, h.Type)) &&
+					(sp.Preemptible || !h.Preemptible) && m.Room(sp) {
+					out[p] = append(out[p], "while "+h.UID+" has room")
+				}
+			}
+		}
+	}
+	return out
+}
+
+// served fails the test unless every batch job is done and all replicas run, but
+// for what was cancelled.
+func (w *world) served() {
+	for _, u := range w.s.users {
+		w.mu.Lock()
+		f := *w.facts[u.spec.UID]
+		w.mu.Unlock()
+		running := 0
+		for _, n := range w.on(u.spec.UID) {
+			running += n
+		}
+		switch {
+		case f.cancelled && running > 0:
+			w.t.Errorf("%s is cancelled, and %d tasks run", u.spec.UID, running)
+		case !f.cancelled && u.spec.Kind == wire.KindBatch && !f.done:
+			w.t.Errorf("%s is not done", u.spec.UID)
+		case !f.cancelled && u.spec.Kind == wire.KindService && running != u.spec.Tasks:
+			w.t.Errorf("%s has %d replicas, want %d", u.spec.UID, running, u.spec.Tasks)
+		}
+	}
+}
+
+// waits tells whether tasks of a job that its user knows to be accepted are on no machine.
+func (w *world) waits(uid string) bool {
+	running := 0
+	for _, n := range w.on(uid) {
+		running += n
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	f := w.facts[uid]
+	return f.accepted && !f.asked && !f.done && w.left[uid] > running
+}
--- a/large_test.go
+++ b/harness_large_test.go
@@ -1,9 +1,6 @@
 package cedardoor
 
 import (
-	"testing"
-	"time"
-
 	"cedardoor/wire"
 )
 
@@ -47,44 +44,6 @@
 	w.cloud.Builds = []wire.MachineType{small}
 }
 
-// up is how many machines have booted.
-func (w *world) up() (n int) {
-	for _, m := range w.cloud.Machines() {
-		if m.Up() {
-			n++
-		}
-	}
-	return n
-}
-
-// Four thousand machines are rented and loaded, their leader is killed, the state
-// service goes out and a zone is lost for longer than the lease. No rule breaks,
-// and every job is served.
-func TestFourThousandMachines(t *testing.T) {
-	t.Parallel()
-	s := schedule{seed: 1, lasts: at(100), leads: 1, most: sceneMost, users: largeWork(),
-		timing: timing{report: 6 * time.Second, lease: 24 * time.Second, cancel: 60 * time.Second}}
-	s.users[0].cancelAt = at(60) // in the outage, or right after it
-	s.troubles = []trouble{
-		{kind: killNode, at: at(32), lasts: at(1), node: 3},
-		{kind: refuseAll, at: at(50), lasts: at(12)},
-		{kind: cutZone, at: at(70), lasts: at(30), which: 0},
-	}
-	s.setup = func(w *world) {
-		w.useSmallMachines()
-		w.during(30, func() {
-			if n := w.up(); n < sceneFleet {
-				t.Errorf("%d machines are up before the troubles, want %d", n, sceneFleet)
-			}
-		})
-		w.during(69, func() { w.largeServicesRun("before the zone is lost") })
-	}
-	playOut(t, s, func(w *world) {
-		w.largeServicesRun("at the end")
-		w.served()
-	})
-}
-
 // largeServicesRun fails the test unless the replicas of all services that were not
 // cancelled run.
 func (w *world) largeServicesRun(when string) {
--- /dev/null
+++ b/harness_records_test.go
@@ -0,0 +1,78 @@
+package cedardoor
+
+import (
+	"fmt"
+	"testing"
+
+	"cedardoor/internal/standin"
+	"cedardoor/recovery"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+// torn is the value of a record that can't be decoded.
+const torn = "torn"
+
+// write puts a record into the state service, past all controllers.
+func (s *site) write(n *Service, key string, value any) {
+	s.t.Helper()
+	if _, err := n.store.Commit(s.t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: key, Value: value}}}); err != nil {
+		s.t.Fatal(err)
+	}
+}
+
+// remove deletes a record, past all controllers.
+func (s *site) remove(n *Service, key string) {
+	s.t.Helper()
+	if _, err := n.store.Commit(s.t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Delete: key}}}); err != nil {
+		s.t.Fatal(err)
+	}
+}
+
+// lookUps reads the jobs of tasks that workers show and that are not on the books.
+func (s *site) lookUps(l *leader) {
+	s.t.Helper()
+	for _, uid := range l.takeWantedLookups() {
+		if err := l.lookUpJob(s.t.Context(), uid); err != nil {
+			s.t.Fatal(err)
+		}
+	}
+}
+
+func mustReport(t *testing.T, l *leader) recovery.Report {
+	t.Helper()
+	r, known := l.recoveryReport()
+	if !known {
+		t.Fatal("the leader tells nothing of its recovery")
+	}
+	return r
+}
+
+// runsBy lets a worker run a task as some earlier leader may have told it to.
+func runsBy(w *standin.Worker, token uint64, task string, attempt uint64) {
+	w.Take(wire.HeartbeatResponse{Token: token, Commands: []wire.Command{{Verb: wire.VerbRun, Task: task, Attempt: attempt}}})
+}
+
+// dropEnded lets a worker forget what has ended, as an earlier leader may have told it.
+func dropEnded(w *standin.Worker, token uint64) {
+	var orders []wire.Command
+	rep := w.Report()
+	for _, p := range rep.Tasks {
+		if p.Status == wire.TaskEnded {
+			orders = append(orders, wire.Command{Verb: wire.VerbForget, Task: p.Task, Attempt: p.Attempt})
+		}
+	}
+	w.Take(wire.HeartbeatResponse{Token: token, Commands: orders})
+}
+
+// oldCopy is a report that names so many tasks of jobs that are on nobody's books.
+func oldCopy(t *testing.T, l *leader, w *standin.Worker, jobs int) {
+	t.Helper()
+	rep := w.Report()
+	for i := range jobs {
+		rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: fmt.Sprintf("j-%d/0", 100+i), Attempt: 1, Status: wire.TaskRunning})
+	}
+	if _, ok := l.Heartbeat(&rep); !ok {
+		t.Fatal("not answered")
+	}
+}
--- /dev/null
+++ b/harness_requests_test.go
@@ -0,0 +1,167 @@
+package cedardoor
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"sync"
+	"testing"
+
+	"cedardoor/internal/standin"
+	"cedardoor/wire"
+
+	"github.com/go-chi/chi/v5"
+)
+
+func spec(uid string, mod func(*wire.Spec)) wire.Spec {
+	sp := wire.Spec{UID: uid, Class: "lane", Team: "team", Kind: wire.KindBatch, Priority: "standard", Tasks: 1, Cores: 2, RAM: 4,
+		Image: "img", ImageGB: 1, Preemptible: true, ExpectedS: 10}
+	if mod != nil {
+		mod(&sp)
+	}
+	return sp
+}
+
+// bodyOf is a submission's body, changed by mod.
+func bodyOf(t testing.TB, sp wire.Spec, mod func(m map[string]any)) []byte {
+	t.Helper()
+	raw, err := wire.Marshal(sp)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := map[string]any{}
+	if err := wire.Unmarshal(raw, &m); err != nil {
+		t.Fatal(err)
+	}
+	if sp.Zone == "" {
+		m["yard"] = nil
+	}
+	if mod != nil {
+		mod(m)
+	}
+	if raw, err = wire.Marshal(m); err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// users serves a node's users' interface and answers one request.
+func (s *site) ask(n *Service, method, path string, body any) (int, wire.JobStatus, http.Header) {
+	s.t.Helper()
+	r := chi.NewRouter()
+	n.users.Routes(r)
+	var raw []byte
+	switch b := body.(type) {
+	case nil:
+	case []byte:
+		raw = b
+	case wire.Spec:
+		raw = bodyOf(s.t, b, nil)
+	default:
+		var err error
+		if raw, err = wire.Marshal(b); err != nil {
+			s.t.Fatal(err)
+		}
+	}
+	rec := httptest.NewRecorder()
+	r.ServeHTTP(rec, httptest.NewRequestWithContext(s.t.Context(), method, path, bytes.NewReader(raw)))
+	var v wire.JobStatus
+	_ = wire.Unmarshal(rec.Body.Bytes(), &v)
+	return rec.Code, v, rec.Header()
+}
+
+func (s *site) submit(n *Service, sp wire.Spec) {
+	s.t.Helper()
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, sp); code != http.StatusCreated {
+		s.t.Fatalf("submit %s: status %d", sp.UID, code)
+	}
+}
+
+func (s *site) status(n *Service, uid, want string) {
+	s.t.Helper()
+	if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); code != http.StatusOK || v.Status != want {
+		s.t.Fatalf("%s at %s: %d %q, want %q", uid, n.cfg.Node, code, v.Status, want)
+	}
+}
+
+func (s *site) abort(n *Service, uid string) {
+	s.t.Helper()
+	if code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/"+uid+"/abort", nil); code != http.StatusOK || v.Status != wire.JobCancelled {
+		s.t.Fatalf("abort of %s at %s: %d %q", uid, n.cfg.Node, code, v.Status)
+	}
+}
+
+// asks are all the ways in which a user may ask about a job, at every node at
+// once: polls, the same submission again, another under its name, and malformed ones.
+func (s *site) asks(nodes []*Service, uid string, abort bool) (answers []string) {
+	s.t.Helper()
+	type question struct {
+		method, path string
+		body         any
+	}
+	questions := []question{
+		{http.MethodGet, wire.PathJobs + "/" + uid, nil},
+		{http.MethodPost, wire.PathJobs, spec(uid, nil)},
+		{http.MethodPost, wire.PathJobs, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Priority = 7, "low" })},
+		{http.MethodPost, wire.PathJobs, spec(uid, func(sp *wire.Spec) { sp.Team = "nobody" })},
+		{http.MethodPost, wire.PathJobs, bodyOf(s.t, spec(uid, nil), func(m map[string]any) { delete(m, "rank") })},
+		{http.MethodPost, wire.PathJobs, bodyOf(s.t, spec(uid, nil), func(m map[string]any) { m["pieces"] = "many" })},
+	}
+	if abort {
+		questions = append(questions, question{http.MethodPost, wire.PathJobs + "/" + uid + "/" + wire.SuffixCancel, nil})
+	}
+	var mu sync.Mutex
+	var wg sync.WaitGroup
+	for _, n := range nodes {
+		for _, q := range questions {
+			wg.Go(func() {
+				code, v, _ := s.ask(n, q.method, q.path, q.body)
+				got := v.Status
+				if code != http.StatusOK {
+					got = fmt.Sprint(code)
+				}
+				mu.Lock()
+				defer mu.Unlock()
+				answers = append(answers, got)
+			})
+		}
+	}
+	wg.Wait()
+	return answers
+}
+
+// told fails the test if one of the answers is not allowed.
+func (s *site) told(when string, answers []string, allowed ...string) {
+	s.t.Helper()
+	for _, a := range answers {
+		if !slices.Contains(allowed, a) {
+			s.t.Errorf("%s: answered %q, want one of %v", when, a, allowed)
+		}
+	}
+}
+
+// until repeats a user's request, at one node after another, until it gets an answer.
+func (s *site) until(nodes []*Service, method, path string, body any) (code int, v wire.JobStatus) {
+	s.t.Helper()
+	for i := range 6 {
+		if code, v, _ = s.ask(nodes[i%len(nodes)], method, path, body); code != http.StatusServiceUnavailable {
+			return code, v
+		}
+	}
+	s.t.Fatalf("%s %s: never answered", method, path)
+	return code, v
+}
+
+// mishap is what befalls the next transaction.
+type mishap struct {
+	name string
+	set  func(st *standin.State)
+}
+
+var mishaps = []mishap{
+	{"none", func(*standin.State) {}},
+	{"answer lost", func(st *standin.State) { st.LoseAnswers(1) }},
+	{"carried out late", func(st *standin.State) { st.DelayNext() }},
+}
--- a/recovery_scenes_test.go
+++ b/harness_total_loss_test.go
@@ -2,10 +2,9 @@
 
 import (
 	"context"
-	"flag"
+	"encoding/json"
 	"fmt"
-	"math/rand/v2"
-	"slices"
+	"os"
 	"strings"
 	"sync"
 	"testing"
@@ -17,14 +16,6 @@
 	"cedardoor/wire"
 )
 
-// How much total losses are played: a short seeded form unless more is asked for.
-var (
-	lossSeeds    = flag.Uint64("loss.seeds", 12, "how many random schedules of losses of all controllers are played")
-	lossSeed     = flag.Uint64("loss.seed", 0, "the seed of the first of them")
-	lossMachines = flag.Int("loss.machines", 60, "how many machines the scenes of a total loss have")
-	lossPlot     = flag.String("loss.plot", "", "the file that the figures of the scenes of a total loss are added to")
-)
-
 // histories is what happened on all machines, in order, and what the cloud was asked for.
 // It knows nothing of what controllers hold.
 type histories struct {
@@ -260,20 +251,6 @@
 	return broken, figures
 }
 
-// replicas counts the replicas that run, and those that there should be.
-func (w *world) replicas() (run, want int) {
-	for _, u := range w.s.users {
-		if u.spec.Kind != wire.KindService {
-			continue
-		}
-		want += u.spec.Tasks
-		for _, n := range w.on(u.spec.UID) {
-			run += n
-		}
-	}
-	return run, want
-}
-
 // measureLoss follows the recovery from the return of the first controller.
 func (w *world) measureLoss(x totalLoss, h *histories, f *lossFigures) {
 	back := x.lost(w).Add(at(x.spell))
@@ -316,235 +293,22 @@
 	}
 }
 
-// allGoingWithin is a leader's lease, the time that a worker needs to try two controllers that do
-// not answer, a report and a quarter, and as much as starts take.
-const allGoingWithin = 5 + 10 + 3.75 + 3
-
-// All controllers end at once while everything runs, and one, two or three return: at once, within
-// the workers' lease, beyond it, and beyond the time within which what is cancelled must be gone.
-// Nothing that runs is stopped or started again without a cause.
-func TestTotalLoss(t *testing.T) {
-	for _, spell := range []float64{0.4, 6, 25, 50} {
-		for returns := 1; returns <= 3; returns++ {
-			x := totalLoss{lossAt: 40, spell: spell, returns: returns}
-			t.Run(fmt.Sprintf("spell=%v,returns=%d", spell, returns), func(t *testing.T) {
-				t.Parallel()
-				broken, f := playLoss(t, x, *lossMachines, nil)
-				for _, b := range broken {
-					t.Error(b)
-				}
-				// Workers whose leases lasted need nothing: no starts, no machines. (With controllers that
-				// stay down some workers try those first, until their leases are over.)
-				if spell < 1 && returns == 3 && (f.Commands.Runs > 0 || f.Commands.Halts > 0 || f.Commands.Rentals > 0) {
-					t.Errorf("%+v, want no starts, stops and rentals", f.Commands)
-				}
-				if f.AllGoingS == 0 || f.AllGoingS > allGoingWithin {
-					t.Errorf("all goes on %.2f s after the first return, want within %v s", f.AllGoingS, allGoingWithin)
-				}
-				t.Log(f)
-				if err := keepFigures(f); err != nil {
-					t.Error(err)
-				}
-			})
-		}
-	}
-}
-
-// Where one of three controllers returns, its workers first wait for the two that do not answer. Meanwhile
-// it hears nobody for longer than would have it give up the lead, if another could be reached.
-func TestWorkersFindTheOneControllerThatIsBack(t *testing.T) {
-	for _, spell := range []float64{6, 14, 32} {
-		t.Run(fmt.Sprintf("spell=%v", spell), func(t *testing.T) {
-			t.Parallel()
-			broken, f := playLoss(t, totalLoss{lossAt: 40, spell: spell, returns: 1, timing: modelTiming}, 20, nil)
-			for _, b := range broken {
-				t.Error(b)
-			}
-			if f.AllGoingS == 0 || f.AllGoingS > allGoingWithin {
-				t.Errorf("all goes on %.2f s after the return, want within %v s", f.AllGoingS, allGoingWithin)
-			}
-			t.Log(f)
-		})
-	}
-}
-
-// The checker sees a leader that starts at once, as if nothing of its predecessors ran.
-func TestCheckerSeesALeaderThatStartsAtOnce(t *testing.T) {
-	forget := func(r *recovery.Records) {
-		for i := range r.Chunks {
-			r.Chunks[i].Runs = nil
-		}
-		r.Shared = nil
-	}
-	broken, _ := playLoss(t, totalLoss{lossAt: 40, spell: 6, returns: 3}, 20, forget)
-	kinds := map[string]bool{}
-	for _, b := range broken {
-		for _, kind := range []string{"is stopped without a cause", "starts on"} {
-			if strings.Contains(b, kind) {
-				kinds[kind] = true
-			}
-		}
-	}
-	if len(kinds) != 2 {
-		t.Errorf("found %v in %d faults", kinds, len(broken))
-	}
-}
-
-// drawLosses is a schedule of several losses of all controllers, each with returns and further
-// ends within a second or some, while the state service is slow, refuses or is out.
-func drawLosses(seed uint64) schedule {
-	s := drawSchedule(seed)
-	r := rand.New(rand.NewPCG(seed, 22))
-	seconds := func(lo, hi float64) time.Duration {
-		return time.Duration((lo + r.Float64()*(hi-lo)) * float64(time.Second)).Truncate(time.Millisecond)
-	}
-	s.troubles = slices.DeleteFunc(s.troubles, func(x trouble) bool { return x.kind == killNode || r.IntN(2) == 0 })
-	for from := seconds(12, 25); from < s.lasts; from += seconds(20, 50) {
-		spell := []time.Duration{seconds(0, 0.9), seconds(1, 9), seconds(10, 22), seconds(24, 35)}[r.IntN(4)]
-		for node := range 3 {
-			away := spell + []time.Duration{0, seconds(0, 0.5), seconds(0, 12), 40 * time.Second}[r.IntN(4)]
-			if node == int(seed%3) {
-				away = spell
-			}
-			s.troubles = append(s.troubles, trouble{kind: killNode, at: from, lasts: away, node: node})
-		}
-		again := from + spell
-		for range r.IntN(5) { // whoever leads by then ends once more
-			again += []time.Duration{seconds(0.02, 0.4), seconds(0.2, 3)}[r.IntN(2)]
-			s.troubles = append(s.troubles, trouble{kind: killNode, at: again, lasts: seconds(0.05, 2), node: 3})
-		}
-		switch r.IntN(4) {
-		case 0:
-			s.troubles = append(s.troubles, trouble{kind: refuseAll, at: from + spell + seconds(0, 3), lasts: seconds(0.5, 15)})
-		case 1:
-			s.troubles = append(s.troubles, trouble{kind: slowState, at: from + spell, lasts: seconds(1, 8), by: seconds(0.1, 1.5)})
-		case 2:
-			s.troubles = append(s.troubles, trouble{kind: cutPeers, at: from + spell, lasts: seconds(1, 12), node: r.IntN(3)})
-		}
-	}
-	last := time.Duration(0)
-	for _, x := range s.troubles {
-		last = max(last, x.at+x.lasts)
-	}
-	s.lasts = max(s.lasts, last)
-	return s
-}
-
-// Random losses and returns of all controllers: no rule breaks, and every job is served.
-func TestRandomLosses(t *testing.T) {
-	for seed := *lossSeed; seed < *lossSeed+*lossSeeds; seed++ {
-		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
-			t.Parallel()
-			playOut(t, drawLosses(seed), nil)
-		})
-	}
-}
-
-// After a total loss the leader ends right before one of its requests to the state service,
-// whichever, and its successor at the same one: every step of a recovery can be the last.
-func TestLeaderEndsAtEveryRequest(t *testing.T) {
-	for request := 1; request <= crashPoints; request++ {
-		t.Run(fmt.Sprintf("request=%d", request), func(t *testing.T) {
-			t.Parallel()
-			x := totalLoss{lossAt: 30, spell: 1, returns: 3}
-			h := &histories{}
-			s := x.schedule(12, h)
-			setup := s.setup
-			s.setup = func(w *world) {
-				setup(w)
-				w.crashLeaders(x.lost(w).Add(at(x.spell)), request, 2)
-			}
-			var w *world
-			playOut(t, s, func(played *world) {
-				w = played
-				w.served()
-			})
-			lost := x.lost(w)
-			for _, f := range h.faults(lost, lost.Add(at(x.spell)), lost.Add(at(x.spell)+recoverySpan), func(uid string) bool { return w.facts[uid].asked }) {
-				t.Error(f)
-			}
-		})
-	}
-}
-
-// crashPoints is up to which of its requests a recovering leader ends: with its election it has
-// read all records and begun to write by then.
-const crashPoints = 20
-
-// crashLeaders ends whoever leads, or is about to, right before the n-th request to the state service that the
-// controllers make from a moment on, and again as often, half a second after each end at the earliest.
-func (w *world) crashLeaders(from time.Time, n, times int) {
-	var mu sync.Mutex
-	asked, next := 0, from
-	w.state.Before(func(string) {
-		mu.Lock()
-		defer mu.Unlock()
-		if times == 0 || time.Now().Before(next) {
-			return
-		}
-		if asked++; asked < n {
-			return
-		}
-		asked, times, next = 0, times-1, time.Now().Add(500*time.Millisecond)
-		p := w.running(fmt.Sprintf("node-%d", w.leader()+1))
-		if p == nil {
-			return
-		}
-		w.note("%s ends right before a request", p.name)
-		p.stop()
-		w.wg.Go(func() {
-			time.Sleep(300 * time.Millisecond)
-			if w.ctx.Err() == nil {
-				w.launch(int(p.name[len(p.name)-1] - '1'))
-			}
-		})
-	})
-}
-
-// Four thousand machines, each with a task, lose all their controllers, which return within the
-// workers' leases. Nothing that runs is touched, every machine is reconciled, and the state service is
-// asked for little more than the records.
-func TestTotalLossOfFourThousandMachines(t *testing.T) {
-	t.Parallel()
-	h := &histories{}
-	x := totalLoss{lossAt: 40, spell: 6, returns: 3}
-	s := schedule{seed: 1, lasts: at(80), leads: 1, most: sceneMost, users: largeWork(), watch: h.watch,
-		timing: timing{report: 6 * time.Second, lease: 30 * time.Second, cancel: 60 * time.Second}}
-	for node := range 3 {
-		s.troubles = append(s.troubles, trouble{kind: killNode, at: at(x.lossAt), lasts: at(x.spell + 0.2*float64(node)), node: node})
-	}
-	f := lossFigures{Scene: "four thousand machines, 3 back after 6.0 s"}
-	s.setup = func(w *world) {
-		w.useSmallMachines()
-		told := w.cloud.Told
-		w.cloud.Told = func(what string) { told(what); h.told(what) }
-		w.during(x.lossAt, func() {
-			if n := w.up(); n < sceneFleet {
-				t.Errorf("%d machines are up before the loss, want %d", n, sceneFleet)
-			}
-		})
-		w.wg.Go(func() { w.measureLoss(x, h, &f) })
-	}
-	var w *world
-	playOut(t, s, func(played *world) {
-		w = played
-		w.largeServicesRun("at the end")
-		w.served()
-	})
-	lost := x.lost(w)
-	back := lost.Add(at(x.spell))
-	f.Commands = h.counts(back, back.Add(recoverySpan))
-	for _, fault := range h.faults(lost, back, back.Add(recoverySpan), func(uid string) bool { return w.facts[uid].asked }) {
-		t.Error(fault)
+// keepFigures adds a scene's figures to the file that -loss.plot names, a line each.
+func keepFigures(f lossFigures) error {
+	if *lossPlot == "" {
+		return nil
 	}
-	if f.Commands.Rentals > 0 || f.Commands.Halts > 0 {
-		t.Errorf("%+v, want no rentals and no stops", f.Commands)
+	raw, err := json.Marshal(f)
+	if err != nil {
+		return fmt.Errorf("figures: %w", err)
 	}
-	if f.AllGoingS == 0 || f.AllGoingS > allGoingWithin {
-		t.Errorf("all goes on %.2f s after the first return, want within %v s", f.AllGoingS, allGoingWithin)
+	file, err := os.OpenFile(*lossPlot, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	if err != nil {
+		return fmt.Errorf("figures: %w", err)
 	}
-	t.Log(f)
-	if err := keepFigures(f); err != nil {
-		t.Error(err)
+	defer file.Close()
+	if _, err := file.Write(append(raw, '\n')); err != nil {
+		return fmt.Errorf("figures: %w", err)
 	}
+	return nil
 }
--- /dev/null
+++ b/mass_loss_test.go
@@ -0,0 +1,72 @@
+package cedardoor
+
+import (
+	"testing"
+	"time"
+
+	"cedardoor/autoscaler"
+	"cedardoor/cloud"
+	"cedardoor/store"
+	"cedardoor/wire"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// Hundreds of machines lost at once: what is lost is found by looking at it
+// alone; its records go by priority, each within a transaction's limits, and its
+// machines are asked for in whole batches.
+func TestMassLoss(t *testing.T) {
+	const tasks = 4
+	visits := func(machines, lost int) int {
+		s, l := adopted(t, machines, tasks)
+		s.advance(10 * time.Second)
+		for i := range machines - lost {
+			l.Heartbeat(report(i, tasks, 1, 0))
+			l.Heartbeat(report(i, tasks, 2, l.term.Token))
+		}
+		s.advance(14 * time.Second)
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		now := l.clock.Now()
+		l.fleet.Examined = 0
+		news := l.fleet.ExpireLeases(now)
+		if len(news) != lost*tasks {
+			t.Fatalf("%d of %d machines lost: %d tasks gone, want %d", lost, machines, len(news), lost*tasks)
+		}
+		looked := l.fleet.Examined
+		l.applyEvents(news, now)
+		for job := range l.jobs.All() {
+			l.writer.MarkDirty(job.UID)
+		}
+		last := wire.PriorityCritical
+		for tx := l.buildTransaction(); tx != nil; tx = l.buildTransaction() {
+			if n := len(tx.Txn.Operations); n > l.cfg.Facts.State.TxnOps {
+				t.Fatalf("%d changes in a transaction", n)
+			}
+			for _, operation := range tx.Txn.Operations {
+				uid, _, ok := store.ParseChunkKey(operation.Set)
+				if !ok {
+					t.Fatalf("%q is written for tasks that are gone", operation.Set)
+				}
+				job := l.jobs.Get(uid)
+				if job.Priority > last {
+					t.Errorf("%s is recorded after work of lower priority", uid)
+				}
+				last = job.Priority
+			}
+			l.writer.Applied(tx, 1, now, l.fleet.MarkDurable)
+		}
+		return looked
+	}
+	// Each machine's lease end is looked at once a lease; beyond that, only what is lost.
+	for _, machines := range []int{300, largeFleet} {
+		if looked := visits(machines, 100); looked > machines+100*tasks {
+			t.Errorf("the loss of 100 of %d machines visits %d", machines, looked)
+		}
+	}
+	got := autoscaler.SplitRentals([]cloud.Rental{{MachineType: "b", Zone: "x", Count: 120}, {MachineType: "b", Zone: "y", Preemptible: true, Count: 70}}, 4)
+	want := []cloud.Rental{{MachineType: "b", Zone: "x", Count: 50}, {MachineType: "b", Zone: "x", Count: 50}, {MachineType: "b", Zone: "x", Count: 20}, {MachineType: "b", Zone: "y", Preemptible: true, Count: 50}}
+	if diff := cmp.Diff(want, got); diff != "" {
+		t.Error(diff)
+	}
+}
--- /dev/null
+++ b/peer_messages_test.go
@@ -0,0 +1,76 @@
+package cedardoor
+
+import (
+	"bytes"
+	"context"
+	"encoding/gob"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"syscall"
+	"testing"
+	"time"
+
+	"cedardoor/peer"
+	"cedardoor/wire"
+)
+
+// What comes between controllers cut short, too large, of unknown form or with
+// nonsense in it ends its own connection at most: the others are served as before.
+func TestBadPeerMessagesEndTheirConnectionOnly(t *testing.T) {
+	s := newSite(t)
+	n := s.node(nil)
+	s.submit(n, spec("j-1", nil))
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() { defer close(done); peer.Serve(ctx, ln, n.answerPeer, n.log) }()
+	t.Cleanup(func() { cancel(); <-done })
+	l := peer.NewLink(ln.Addr().String())
+	asked := func(after string) {
+		t.Helper()
+		r, err := l.Ask(t.Context(), peer.Ask{Method: http.MethodGet, Path: wire.PathJobs + "/j-1"})
+		if err != nil || r.Status != http.StatusOK {
+			t.Errorf("after %s: %+v, %v", after, r.Status, err)
+		}
+	}
+	encode := func(v any) []byte {
+		var buf bytes.Buffer
+		if err := gob.NewEncoder(&buf).Encode(v); err != nil {
+			t.Fatal(err)
+		}
+		return buf.Bytes()
+	}
+	whole := encode(peer.Ask{Method: http.MethodGet, Path: wire.PathJobs + "/j-1"})
+	huge := encode(peer.Ask{Method: http.MethodPost, Path: wire.PathJobs, Body: bytes.Repeat([]byte{1}, 100<<10)})
+	asked("nothing")
+	for name, raw := range map[string][]byte{
+		"cut short": whole[:len(whole)-4], "cut in its type": whole[:9], "too large": huge, "a length without end": bytes.Repeat([]byte{0xff}, 64),
+		"a huge length": {0xfc, 0x7f, 0xff, 0xff, 0xff, 1, 2, 3}, "of unknown form": encode(struct{ Attest, Counts map[string]int }{map[string]int{"a": 1}, nil}),
+		"another type": encode("hello"), "text": []byte("GET / HTTP/1.1\r\n\r\n"),
+	} {
+		conn, err := net.Dial("tcp", ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
+		_, _ = conn.Write(raw)
+		_ = conn.(*net.TCPConn).CloseWrite()
+		if got, err := io.ReadAll(conn); err != nil && !errors.Is(err, syscall.ECONNRESET) || len(got) != 0 {
+			t.Errorf("%s: answered with %d bytes, %v; want its end", name, len(got), err)
+		}
+		conn.Close()
+		asked(name)
+	}
+	for _, a := range []peer.Ask{{Path: "x"}, {Path: "*", Method: "GET"}, {Path: "http://[", Method: "GET"}, {Path: "/v2/runs/%zz", Method: "GET"},
+		{Path: "/v2/runs", Method: "A B"}, {Path: "//", Method: "OPTIONS"}, {Path: "host:1", Method: http.MethodConnect}, {Path: "?", Method: http.MethodPost, Body: []byte{0xc1}}} {
+		if r, err := l.Ask(t.Context(), a); err != nil || r.Status == http.StatusOK || r.Status == http.StatusCreated {
+			t.Errorf("%+v: answered %d, %v", a, r.Status, err)
+		}
+		asked(a.Path)
+	}
+}
--- a/quota_test.go
+++ b/quota_test.go
@@ -8,98 +8,11 @@
 	"time"
 
 	"cedardoor/config"
-	"cedardoor/internal/standin"
 	"cedardoor/quota"
 	"cedardoor/store"
 	"cedardoor/wire"
 )
 
-// ledWork is a platform whose first leader has placed what it could of a job.
-func ledWork(t *testing.T, n *Service, s *site, tasks int) (l *leader, w *standin.Worker, stop func()) {
-	t.Helper()
-	l, stop = s.elect(n)
-	w = s.worker("n-1", "x", true)
-	heartbeat(t, l, w)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = tasks }))
-	s.resync(l)
-	s.settle(l)
-	heartbeat(t, l, w)
-	return l, w, stop
-}
-
-// A leader is paused right after it has reserved a team's last room and before that is
-// durable. Its successor uses the room. When the first wakes, its record fails and
-// nothing of what it reserved is ever started.
-func TestLeaderWakesAfterItsSuccessorUsedTheRoom(t *testing.T) {
-	s := newSite(t)
-	a, b := s.node(limited(4)), s.node(limited(4))
-	ga, stop := s.elect(a)
-	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
-	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
-	s.resync(ga)
-	ga.mu.Lock()
-	ga.runPlan(ga.clock.Now())
-	reserved := ga.quota.Usage("team").Of(quota.Booked)
-	held := ga.buildTransaction()
-	ga.mu.Unlock()
-	if reserved.Tasks != 2 || held == nil {
-		t.Fatalf("reserved %+v, want the team's whole room", reserved)
-	}
-	stop() // it sleeps from here
-	gb, _ := s.elect(b)
-	heartbeat(t, gb, other)
-	s.settle(gb)
-	if got := other.Live(); len(got) != 2 {
-		t.Fatalf("the successor's tasks: %v", got)
-	}
-	if ga.commit(t.Context(), held) {
-		t.Error("the paused leader's record passes for durable")
-	}
-	ga.dispatch(t.Context())
-	rep := w.Report()
-	if ans, ok := ga.Heartbeat(&rep); ok {
-		t.Errorf("the paused leader answers a heartbeat: %+v", ans)
-	}
-	if got := w.Starts(); len(got) != 0 {
-		t.Errorf("the paused leader's tasks started: %v", got)
-	}
-}
-
-// Under lower limits after a restart, what runs goes on and counts; nothing starts until
-// enough of it is proved gone.
-func TestOtherLimitsAfterARestart(t *testing.T) {
-	s := newSite(t)
-	a, b := s.node(limited(8)), s.node(limited(4))
-	_, w, stop := ledWork(t, a, s, 6)
-	first := w.Live()
-	if len(first) != 4 {
-		t.Fatalf("four tasks of 2 cores under a limit of 8: %v", first)
-	}
-	stop()
-	gb, _ := s.elect(b)
-	started := len(w.Starts())
-	for _, task := range first {
-		heartbeat(t, gb, w)
-		s.settle(gb)
-		if got := len(w.Live()); got > 4 {
-			t.Fatalf("%d tasks run", got)
-		}
-		gb.mu.Lock()
-		use := gb.quota.Usage("team")
-		gb.mu.Unlock()
-		if grown := len(w.Starts()) - started; grown > 0 && use.Total.Cores > quota.ToUnits(4) {
-			t.Fatalf("%d tasks started while the team uses %v of 4", grown, use.Total.Cores.Decimal())
-		}
-		w.End(task, wire.CauseDone)
-	}
-	heartbeat(t, gb, w)
-	s.settle(gb)
-	if got := w.Live(); len(got) != 2 {
-		t.Errorf("the last two tasks: %v", got)
-	}
-}
-
 // A limit that is smaller than one task: its submission is refused for good; a job that
 // was accepted under a higher limit waits and stays known, and no machine is rented for it.
 func TestLimitSmallerThanOneTask(t *testing.T) {
--- /dev/null
+++ b/total_loss_test.go
@@ -0,0 +1,133 @@
+package cedardoor
+
+import (
+	"flag"
+	"fmt"
+	"strings"
+	"testing"
+
+	"cedardoor/recovery"
+)
+
+// How much total losses are played: a short seeded form unless more is asked for.
+var (
+	lossSeeds    = flag.Uint64("loss.seeds", 12, "how many random schedules of losses of all controllers are played")
+	lossSeed     = flag.Uint64("loss.seed", 0, "the seed of the first of them")
+	lossMachines = flag.Int("loss.machines", 60, "how many machines the scenes of a total loss have")
+	lossPlot     = flag.String("loss.plot", "", "the file that the figures of the scenes of a total loss are added to")
+)
+
+// allGoingWithin is a leader's lease, the time that a worker needs to try two controllers that do
+// not answer, a report and a quarter, and as much as starts take.
+const allGoingWithin = 5 + 10 + 3.75 + 3
+
+// All controllers end at once while everything runs, and one, two or three return: at once, within
+// the workers' lease, beyond it, and beyond the time within which what is cancelled must be gone.
+// Nothing that runs is stopped or started again without a cause.
+func TestTotalLoss(t *testing.T) {
+	for _, spell := range []float64{0.4, 6, 25, 50} {
+		for returns := 1; returns <= 3; returns++ {
+			x := totalLoss{lossAt: 40, spell: spell, returns: returns}
+			t.Run(fmt.Sprintf("spell=%v,returns=%d", spell, returns), func(t *testing.T) {
+				t.Parallel()
+				broken, f := playLoss(t, x, *lossMachines, nil)
+				for _, b := range broken {
+					t.Error(b)
+				}
+				// Workers whose leases lasted need nothing: no starts, no machines. (With controllers that
+				// stay down some workers try those first, until their leases are over.)
+				if spell < 1 && returns == 3 && (f.Commands.Runs > 0 || f.Commands.Halts > 0 || f.Commands.Rentals > 0) {
+					t.Errorf("%+v, want no starts, stops and rentals", f.Commands)
+				}
+				if f.AllGoingS == 0 || f.AllGoingS > allGoingWithin {
+					t.Errorf("all goes on %.2f s after the first return, want within %v s", f.AllGoingS, allGoingWithin)
+				}
+				t.Log(f)
+				if err := keepFigures(f); err != nil {
+					t.Error(err)
+				}
+			})
+		}
+	}
+}
+
+// Where one of three controllers returns, its workers first wait for the two that do not answer. Meanwhile
+// it hears nobody for longer than would have it give up the lead, if another could be reached.
+func TestWorkersFindTheOneControllerThatIsBack(t *testing.T) {
+	for _, spell := range []float64{6, 14, 32} {
+		t.Run(fmt.Sprintf("spell=%v", spell), func(t *testing.T) {
+			t.Parallel()
+			broken, f := playLoss(t, totalLoss{lossAt: 40, spell: spell, returns: 1, timing: modelTiming}, 20, nil)
+			for _, b := range broken {
+				t.Error(b)
+			}
+			if f.AllGoingS == 0 || f.AllGoingS > allGoingWithin {
+				t.Errorf("all goes on %.2f s after the return, want within %v s", f.AllGoingS, allGoingWithin)
+			}
+			t.Log(f)
+		})
+	}
+}
+
+// The checker sees a leader that starts at once, as if nothing of its predecessors ran.
+func TestCheckerSeesALeaderThatStartsAtOnce(t *testing.T) {
+	forget := func(r *recovery.Records) {
+		for i := range r.Chunks {
+			r.Chunks[i].Runs = nil
+		}
+		r.Shared = nil
+	}
+	broken, _ := playLoss(t, totalLoss{lossAt: 40, spell: 6, returns: 3}, 20, forget)
+	kinds := map[string]bool{}
+	for _, b := range broken {
+		for _, kind := range []string{"is stopped without a cause", "starts on"} {
+			if strings.Contains(b, kind) {
+				kinds[kind] = true
+			}
+		}
+	}
+	if len(kinds) != 2 {
+		t.Errorf("found %v in %d faults", kinds, len(broken))
+	}
+}
+
+// Random losses and returns of all controllers: no rule breaks, and every job is served.
+func TestRandomLosses(t *testing.T) {
+	for seed := *lossSeed; seed < *lossSeed+*lossSeeds; seed++ {
+		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
+			t.Parallel()
+			playOut(t, drawLosses(seed), nil)
+		})
+	}
+}
+
+// After a total loss the leader ends right before one of its requests to the state service,
+// whichever, and its successor at the same one: every step of a recovery can be the last.
+func TestLeaderEndsAtEveryRequest(t *testing.T) {
+	for request := 1; request <= crashPoints; request++ {
+		t.Run(fmt.Sprintf("request=%d", request), func(t *testing.T) {
+			t.Parallel()
+			x := totalLoss{lossAt: 30, spell: 1, returns: 3}
+			h := &histories{}
+			s := x.schedule(12, h)
+			setup := s.setup
+			s.setup = func(w *world) {
+				setup(w)
+				w.crashLeaders(x.lost(w).Add(at(x.spell)), request, 2)
+			}
+			var w *world
+			playOut(t, s, func(played *world) {
+				w = played
+				w.served()
+			})
+			lost := x.lost(w)
+			for _, f := range h.faults(lost, lost.Add(at(x.spell)), lost.Add(at(x.spell)+recoverySpan), func(uid string) bool { return w.facts[uid].asked }) {
+				t.Error(f)
+			}
+		})
+	}
+}
+
+// crashPoints is up to which of its requests a recovering leader ends: with its election it has
+// read all records and begun to write by then.
+const crashPoints = 20
--- /dev/null
+++ b/user_requests_test.go
@@ -0,0 +1,322 @@
+package cedardoor
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"cedardoor/clock"
+	"cedardoor/config"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+func TestAnswersToUsers(t *testing.T) {
+	s := newSite(t)
+	n := s.node(func(f *config.Facts) { f.Teams = append(f.Teams, config.Team{Name: "small", CPUsMax: 3}) })
+	good := spec("j-1", nil)
+	s.submit(n, good)
+	edit := func(mod func(m map[string]any)) []byte {
+		return bodyOf(t, good, func(m map[string]any) { m["uid"] = "j-2"; mod(m) })
+	}
+	tests := []struct {
+		name string
+		body []byte
+		want int
+	}{
+		{"known, repeated", edit(func(m map[string]any) { m["uid"] = "j-1" }), 200},
+		{"known, repeat malformed", edit(func(m map[string]any) { m["uid"] = "j-1"; m["pieces"] = -4 }), 200},
+		{"known, repeat never runs", edit(func(m map[string]any) { m["uid"] = "j-1"; m["owner"] = "nobody" }), 200},
+		{"not MessagePack", []byte{0xc1, 0xff}, 400},
+		{"not a map", []byte{0x93, 1, 2, 3}, 400},
+		{"empty", nil, 400},
+		{"missing field", edit(func(m map[string]any) { delete(m, "rank") }), 400},
+		{"wrong type", edit(func(m map[string]any) { m["cores"] = "four" }), 400},
+		{"negative", edit(func(m map[string]any) { m["ram_gb"] = -1.0 }), 400},
+		{"no pieces", edit(func(m map[string]any) { m["pieces"] = 0 }), 400},
+		{"half a piece", edit(func(m map[string]any) { m["pieces"] = 1.5 }), 400},
+		{"unknown rank", edit(func(m map[string]any) { m["rank"] = "urgent" }), 400},
+		{"too large", bytes.Repeat([]byte{0xc0}, wire.MaxBody+1), 400},
+		{"unknown team", edit(func(m map[string]any) { m["owner"] = "nobody" }), 422},
+		{"fits no type", edit(func(m map[string]any) { m["cores"] = 9.0 }), 422},
+		{"type not in the catalogue", edit(func(m map[string]any) { m["builds"] = []string{"zz"} }), 422},
+		{"over the limit", edit(func(m map[string]any) {
+			m["owner"], m["shape"], m["pieces"] = "small", wire.KindService, 2
+		}), 422},
+		{"array over the limit only in sum", edit(func(m map[string]any) { m["uid"], m["owner"], m["pieces"] = "j-3", "small", 9 }), 201},
+		{"unknown field", edit(func(m map[string]any) { m["uid"], m["new"] = "j-4", []int{1} }), 201},
+	}
+	for _, tt := range tests {
+		if got, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, tt.body); got != tt.want {
+			t.Errorf("%s: status %d, want %d", tt.name, got, tt.want)
+		}
+	}
+	for path, want := range map[string]int{"/j-1": 200, "/j-999": 404, "/nonsense": 404} {
+		if got, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+path, nil); got != want {
+			t.Errorf("GET %s: status %d, want %d", path, got, want)
+		}
+	}
+	if got, _, _ := s.ask(n, http.MethodDelete, wire.PathJobs+"/j-1", nil); got != 405 {
+		t.Errorf("wrong method: status %d", got)
+	}
+	// A store that can't be read is 503 with a time to come back, never 404.
+	s.state.Refuse("", true)
+	for _, q := range []struct{ method, path string }{{"GET", "/j-999"}, {"GET", "/j-1"}, {"POST", "/j-1/abort"}} {
+		got, _, h := s.ask(n, q.method, wire.PathJobs+q.path, nil)
+		if got != 503 || h.Get("Retry-After") == "" {
+			t.Errorf("%s %s in an outage: status %d, Retry-After %q", q.method, q.path, got, h.Get("Retry-After"))
+		}
+	}
+	if got, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, edit(func(m map[string]any) { m["uid"] = "j-9" })); got != 503 {
+		t.Errorf("submit in an outage: status %d", got)
+	}
+}
+
+// A node that the state service refuses alone serves users through another.
+func TestRefusedNodeRelays(t *testing.T) {
+	s := newSite(t)
+	a, b := s.node(nil), s.node(nil)
+	s.connect(a, b)
+	s.elect(b)
+	s.submit(a, spec("j-1", nil))
+	s.state.Refuse(a.cfg.Node, true)
+	for range 2 { // the first refusals show that it is not a single one
+		s.ask(a, http.MethodGet, wire.PathJobs+"/j-1", nil)
+	}
+	if code, v, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || v.UID != "j-1" {
+		t.Errorf("query: %d %+v", code, v)
+	}
+	if code, _, _ := s.ask(a, http.MethodPost, wire.PathJobs, spec("j-2", nil)); code != 201 {
+		t.Errorf("submit: %d", code)
+	}
+	if code, _, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-3", nil); code != 404 {
+		t.Errorf("unknown job: %d", code)
+	}
+	if code, v, _ := s.ask(a, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || v.Status != wire.JobCancelled {
+		t.Errorf("abort: %d %+v", code, v)
+	}
+	// In an outage nobody can serve: the answer is 503, at once.
+	s.state.Refuse("", true)
+	if code, _, h := s.ask(a, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 503 || h.Get("Retry-After") == "" {
+		t.Errorf("in an outage: %d %v", code, h)
+	}
+}
+
+// A node judges jobs by the machine types of now: an old catalogue will do for a
+// moment in which nobody tells it the new one, and no longer.
+func TestOldCatalogueAcceptsNothing(t *testing.T) {
+	s := newSite(t)
+	n := s.node(nil)
+	s.submit(n, spec("j-1", nil))
+	s.cloud.Trouble = true
+	s.clk.Advance(100 * time.Second)
+	s.submit(n, spec("j-2", nil))
+	s.clk.Advance(30 * time.Second)
+	if code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-3", nil)); code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
+		t.Errorf("judged by an old catalogue: %d, Retry-After %q", code, head.Get("Retry-After"))
+	}
+	// A node that has just started and knows no types at all.
+	if code, _, _ := s.ask(s.node(nil), http.MethodPost, wire.PathJobs, spec("j-4", nil)); code != http.StatusServiceUnavailable {
+		t.Errorf("judged by no catalogue: %d", code)
+	}
+	s.cloud.Trouble = false
+	small := bigBuild
+	small.Cores = 1
+	s.cloud.Builds = []wire.MachineType{small}
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-5", nil)); code != http.StatusUnprocessableEntity {
+		t.Errorf("a job that fits no machine of now: %d", code)
+	}
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-1", nil)); code != http.StatusOK {
+		t.Errorf("a known job: %d", code)
+	}
+}
+
+// A node answers no poll from what it knew before the poll came: what another
+// node has told since must not be taken back.
+func TestPollsAreNeverOlderThanAnswersGiven(t *testing.T) {
+	s := newSite(t)
+	a, b := s.node(nil), s.node(nil)
+	s.submit(a, spec("j-1", nil))
+	for _, n := range []*Service{a, b} {
+		if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || v.Status != wire.JobQueued {
+			t.Fatalf("%d %+v", code, v)
+		}
+	}
+	if code, _, _ := s.ask(a, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
+		t.Fatalf("abort: %d", code)
+	}
+	if _, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobCancelled {
+		t.Errorf("the other node still says %q", v.Status)
+	}
+	s.submit(b, spec("j-2", nil))
+	s.state.Forget() // the history of changes is gone: all is read again
+	if code, v, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 200 || v.Status != wire.JobQueued {
+		t.Errorf("after the history was gone: %d %+v", code, v)
+	}
+}
+
+// Users ask at all nodes at the same moment, right after one of them has said that
+// a job is accepted, done or cancelled, whatever befell the transaction that made
+// it so: no node may answer something older, nor anything else than the state to a
+// repeat, even a malformed one, and a transaction carried out late changes nothing.
+func TestAskedEverywhereRightAfterAnAnswer(t *testing.T) {
+	for _, tr := range mishaps {
+		t.Run(tr.name, func(t *testing.T) {
+			s := newSite(t)
+			nodes := []*Service{s.node(nil), s.node(nil), s.node(nil)}
+			l, _ := s.elect(nodes[0])
+			w := s.worker("n-1", "x", true)
+			heartbeat(t, l, w)
+			// Every node knows the time before, so that it could answer from it.
+			for _, n := range nodes {
+				if code, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusNotFound {
+					t.Fatalf("not submitted yet: %d", code)
+				}
+			}
+			for _, uid := range []string{"j-1", "j-2"} {
+				tr.set(s.state)
+				if code, _ := s.until(nodes[1:], http.MethodPost, wire.PathJobs, spec(uid, nil)); code != http.StatusCreated && code != http.StatusOK {
+					t.Fatalf("submit: %d", code)
+				}
+				s.told("accepted", s.asks(nodes, uid, false), wire.JobQueued, wire.JobRunning, "503")
+			}
+			s.resync(l)
+			s.settle(l)
+			tr.set(s.state)
+			if _, v := s.until(nodes[1:], http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
+				t.Fatalf("abort: %+v", v)
+			}
+			s.told("cancelled", s.asks(nodes, "j-2", true), wire.JobCancelled, "503")
+			s.resync(l)
+			w.End("j-1/0", wire.CauseDone)
+			heartbeat(t, l, w)
+			s.settle(l)
+			if _, v := s.until(nodes, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobDone {
+				t.Fatalf("ended: %+v", v)
+			}
+			s.told("done", s.asks(nodes, "j-1", true), wire.JobDone, "503")
+			s.state.Deliver()
+			s.state.Repeat()
+			s.told("cancelled, after late transactions", s.asks(nodes, "j-2", true), wire.JobCancelled)
+			s.told("done, after late transactions", s.asks(nodes, "j-1", true), wire.JobDone)
+			for _, k := range s.state.Keys(store.PrefixJob) {
+				if k == store.JobKey("j-2") {
+					t.Error("the cancelled job is among the unfinished ones again")
+				}
+			}
+		})
+	}
+}
+
+// More submissions than the state service takes: what can't be taken is refused
+// at once and told when to come back, the lowest priority first; what is known
+// already stays known, and cancels go through.
+func TestSwarmIsRefusedAtOnce(t *testing.T) {
+	s := newSite(t)
+	n := s.node(nil)
+	_, _ = s.elect(n)
+	small := n.cfg.Facts.State
+	small.WriteRPS = 12
+	n.users.Store = store.New(n.cfg.Outside.State, small, 5)
+	refused, accepted := 0, 0
+	for k := range 40 {
+		code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, spec(fmt.Sprintf("j-%d", k), func(sp *wire.Spec) { sp.Priority = "low" }))
+		switch code {
+		case http.StatusCreated:
+			accepted++
+		case http.StatusTooManyRequests:
+			refused++
+			if head.Get("Retry-After") == "" {
+				t.Fatal("no Retry-After")
+			}
+		default:
+			t.Fatalf("status %d", code)
+		}
+	}
+	if accepted < 4 || refused < 20 {
+		t.Errorf("%d accepted, %d refused", accepted, refused)
+	}
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-100", func(sp *wire.Spec) { sp.Priority = "critical" })); code != http.StatusCreated {
+		t.Errorf("a critical job: %d, want 201", code)
+	}
+	if code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-0/"+wire.SuffixCancel, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
+		t.Errorf("abort: %d %+v", code, v)
+	}
+}
+
+// A storm of questions about jobs that nobody submitted: what can't be looked up
+// is refused at once, and jobs that run are answered for as ever.
+func TestStormOfUnknownJobs(t *testing.T) {
+	s := newSite(t)
+	n := s.node(nil)
+	_, _ = s.elect(n)
+	s.submit(n, spec("j-1", nil))
+	if code, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK {
+		t.Fatalf("poll: %d", code)
+	}
+	small := n.cfg.Facts.State
+	small.RPS = 20
+	n.users.Store = store.New(n.cfg.Outside.State, small, 5)
+	codes := make(chan int)
+	for k := range 100 {
+		go func() {
+			code, _, _ := s.ask(n, http.MethodGet, fmt.Sprintf("%s/j-9%d", wire.PathJobs, k), nil)
+			codes <- code
+		}()
+	}
+	got := map[int]int{}
+	for range 100 {
+		got[<-codes]++
+	}
+	if got[http.StatusNotFound] == 0 || got[http.StatusServiceUnavailable] < 60 || len(got) != 2 {
+		t.Errorf("answers by status: %v", got)
+	}
+	if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK || v.Status != wire.JobQueued {
+		t.Errorf("a job that runs, in the storm: %d %+v", code, v)
+	}
+}
+
+// Submissions that share a transaction share neither a refusal nor a conflict:
+// what is known hears so, what the store does not take fails alone.
+func TestSubmissionsOfABatchAreJudgedAlone(t *testing.T) {
+	s := newSite(t)
+	n := s.node(nil)
+	_, _ = s.elect(n)
+	s.submit(n, spec("j-1", nil))
+	release := s.state.Stall() // those that come meanwhile share the next transaction
+	codes := make(chan int)
+	const jobs = 12
+	for k := range jobs {
+		go func() {
+			code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, spec(fmt.Sprintf("j-%d", k), nil))
+			codes <- code
+		}()
+	}
+	release()
+	got := map[int]int{}
+	for range jobs {
+		got[<-codes]++
+	}
+	if got[http.StatusCreated] != jobs-1 || got[http.StatusOK] != 1 {
+		t.Errorf("answers by status: %v, want %d accepted and one known", got, jobs-1)
+	}
+}
+
+// How often polls make a node read is bounded by its share of a processor, however
+// many come, and an answer never waits long for its read.
+func TestPollsReadByTheShare(t *testing.T) {
+	for _, tt := range []struct {
+		share float64
+		reads int // a second, at most
+	}{{0.01, 4}, {0.04, 4}, {0.1, 6}, {0.3, 22}, {0.5, 50}} {
+		pause := pollPause(tt.share)
+		if reads := int(clock.Second / pause); reads > tt.reads || pause > clock.Second/4 {
+			t.Errorf("%v of a core: %d reads a second, %v us apart; want at most %d, and at most a quarter of a second", tt.share, reads, pause, tt.reads)
+		}
+	}
+	if pollPause(1) != 0 {
+		t.Error("a whole core waits")
+	}
+}
