--- a/autoscaling_test.go
+++ b/autoscaling_test.go
@@ -13,19 +13,19 @@
 	"cedardoor/wire"
 )
 
-// booting is a leader that asked for so many machines some time ago; the list
+// bootingFleet is a leader that asked for so many machines some time ago; the list
 // shows them, and none has come up.
-func booting(t *testing.T, n int, ago time.Duration) (*site, *leader) {
+func bootingFleet(t *testing.T, n int, ago time.Duration) (*testCluster, *leader) {
 	t.Helper()
-	s := newSite(t)
+	s := newTestCluster(t)
 	node := s.node(nil)
 	l, _ := s.elect(node)
-	rentMore(l, 0, n)
+	addRentals(l, 0, n)
 	s.advance(ago)
 	return s, l
 }
 
-func rentMore(l *leader, from, n int) {
+func addRentals(l *leader, from, n int) {
 	now := l.clock.Now()
 	for i := from; i < from+n; i++ {
 		machine := l.fleet.Ensure(fmt.Sprintf("n-%02d", i), now)
@@ -35,7 +35,7 @@
 	}
 }
 
-func (l *leader) upFrom(from, n int) {
+func (l *leader) markUp(from, n int) {
 	for i := from; i < from+n; i++ {
 		machine := l.fleet.Machine(fmt.Sprintf("n-%02d", i))
 		machine.Reported, machine.LastHeartbeat = true, l.clock.Now()
@@ -43,7 +43,7 @@
 	}
 }
 
-func counts(l *leader) (out, givenUp int) {
+func overdueCounts(l *leader) (out, givenUp int) {
 	overdue := l.autoscaler.Overdue(l.scalingView(l.clock.Now()))
 	return len(overdue.Replace), len(overdue.Return)
 }
@@ -51,13 +51,13 @@
 // A machine that stays away while others come is replaced and returned long
 // before the whole of the patience with it.
 func TestOneMachineThatNeverComes(t *testing.T) {
-	s, l := booting(t, 10, 30*time.Second)
-	l.upFrom(1, 9)
-	if out, up := counts(l); out != 0 || up != 0 {
+	s, l := bootingFleet(t, 10, 30*time.Second)
+	l.markUp(1, 9)
+	if out, up := overdueCounts(l); out != 0 || up != 0 {
 		t.Errorf("in its time: %d counted out, %d given up", out, up)
 	}
 	s.advance(22 * time.Second) // 52 s of the 30 that its type takes
-	if out, up := counts(l); out != 1 || up != 1 {
+	if out, up := overdueCounts(l); out != 1 || up != 1 {
 		t.Errorf("late: %d counted out, %d given up, want it", out, up)
 	}
 	for _, share := range l.autoscaler.BootShares() {
@@ -70,20 +70,20 @@
 // When all come late, neither a second fleet is rented on top nor all are
 // returned and rented anew; when new ones come in time again, the rest goes.
 func TestAllMachinesComeLate(t *testing.T) {
-	s, l := booting(t, 20, 60*time.Second)
-	if out, up := counts(l); out == 0 || out > 6 || up != 0 {
+	s, l := bootingFleet(t, 20, 60*time.Second)
+	if out, up := overdueCounts(l); out == 0 || out > 6 || up != 0 {
 		t.Errorf("all late: %d counted out, %d given up, want a part and none", out, up)
 	}
 	s.advance(30 * time.Second)
-	l.upFrom(0, 8) // at three times the stated time
+	l.markUp(0, 8) // at three times the stated time
 	s.advance(40 * time.Second)
-	if out, up := counts(l); out == 0 || out > 4 || up != 0 {
+	if out, up := overdueCounts(l); out == 0 || out > 4 || up != 0 {
 		t.Errorf("at 4.3 times, others having come at 3: %d counted out, %d given up", out, up)
 	}
-	rentMore(l, 20, 12)
+	addRentals(l, 20, 12)
 	s.advance(20 * time.Second)
-	l.upFrom(20, 12)
-	if out, up := counts(l); out != 12 || up != 12 {
+	l.markUp(20, 12)
+	if out, up := overdueCounts(l); out != 12 || up != 12 {
 		t.Errorf("new ones come in time: %d counted out, %d given up, want the 12 left", out, up)
 	}
 }
@@ -91,10 +91,10 @@
 // A machine may report before the rental is answered and before any list shows
 // it: it counts once, and nothing is rented in its stead.
 func TestMachineUpAtOnce(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, _ := s.elect(n)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) {
+	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) {
 		sp.Cores, sp.Preemptible, sp.Kind, sp.Priority = 6, false, wire.KindService, "critical"
 	}))
 	s.resync(l)
@@ -125,12 +125,12 @@
 // fleet before it gives the lead up.
 func TestNothingIsRentedByALeaderThatHearsNobody(t *testing.T) {
 	for _, machines := range []int{3, 14} {
-		s, n, l, ws := crew(t, machines)
-		s.submit(n, spec("j-1", func(sp *wire.Spec) {
+		s, n, l, ws := clusterWithWorkers(t, machines)
+		s.submit(n, jobSpec("j-1", func(sp *wire.Spec) {
 			sp.Tasks, sp.Cores, sp.Kind, sp.Priority, sp.ExpectedS = machines, 6, wire.KindService, "critical", 0
 		}))
 		s.resync(l)
-		s.pass(l, ws, 20)
+		s.runSeconds(l, ws, 20)
 		for range 4 {
 			l.autoscale(t.Context()) // what is short is rented while they are heard
 		}
@@ -148,11 +148,11 @@
 
 // A rental whose answer was lost is repeated under its own name and rents nothing more.
 func TestLostRentalAnswer(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, _ := s.elect(n)
 	s.cloud.LoseNext = true
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Preemptible = false }))
+	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Preemptible = false }))
 	s.resync(l)
 	if err := l.readMachineList(t.Context()); err != nil {
 		t.Fatal(err)
@@ -160,8 +160,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() {
-		for s.clk.BlockUntilContext(ctx, 2) == nil {
-			s.clk.Advance(time.Second)
+		for s.clock.BlockUntilContext(ctx, 2) == nil {
+			s.clock.Advance(time.Second)
 		}
 	}()
 	l.autoscale(t.Context())
@@ -174,8 +174,8 @@
 
 // With no work at all, the machines that were held for more are given back.
 func TestNoWorkGivesMachinesBack(t *testing.T) {
-	s, n, l, w := alone(t)
-	s.submit(n, spec("j-1", nil))
+	s, n, l, w := clusterWithWorker(t)
+	s.submit(n, jobSpec("j-1", nil))
 	s.resync(l)
 	s.settle(l)
 	l.mu.Lock()
@@ -203,10 +203,10 @@
 // Machines that have not had the time to find the new leader are neither replaced nor returned.
 func TestMachinesThatAreYetToReportAreNotReplaced(t *testing.T) {
 	const replicas = 12
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, _ := s.elect(n)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) {
+	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) {
 		sp.Tasks, sp.Cores, sp.Kind, sp.Priority, sp.ExpectedS, sp.Preemptible = replicas, 8, wire.KindService, "critical", 0, false
 	}))
 	s.resync(l)
@@ -220,11 +220,11 @@
 	if len(ws) < replicas {
 		t.Fatalf("%d machines rented", len(ws))
 	}
-	s.pass(l, ws, 10)
+	s.runSeconds(l, ws, 10)
 	next := s.node(nil)
 	next.cfg.Others = []config.Node{{Node: "node-8"}, {Node: "node-9"}}
-	s.kill(n)
-	s.clk.Advance(10 * time.Second)
+	s.disconnect(n)
+	s.clock.Advance(10 * time.Second)
 	gb, _ := s.elect(next)
 	if err := gb.readMachineList(t.Context()); err != nil {
 		t.Fatal(err)
@@ -248,7 +248,7 @@
 	if got := s.cloud.Returns(); len(got) != 0 {
 		t.Errorf("returned %v", got)
 	}
-	if r := mustReport(t, gb); r.Stage != recovery.StageComplete || r.Machines.Reconciled != r.Machines.Recorded || r.Machines.Recorded < replicas {
+	if r := mustRecoveryReport(t, gb); r.Stage != recovery.StageComplete || r.Machines.Reconciled != r.Machines.Recorded || r.Machines.Recorded < replicas {
 		t.Errorf("recovery %+v", r)
 	}
 }
--- a/bench_serving_test.go
+++ b/bench_serving_test.go
@@ -16,8 +16,8 @@
 	"cedardoor/wire"
 )
 
-// front serves users and workers on loopback as the daemon does.
-func front(tb testing.TB, l *leader, h http.Handler) string {
+// serveLimited serves users and workers on loopback as the daemon does.
+func serveLimited(tb testing.TB, l *leader, h http.Handler) string {
 	ln, err := listen(tb.Context(), "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
@@ -30,22 +30,22 @@
 	return ln.Addr().String()
 }
 
-// exchange sends requests over one raw connection, so that the client costs little.
-type exchange struct {
+// rawConnection sends requests over one raw connection, so that the client costs little.
+type rawConnection struct {
 	c net.Conn
 	r *bufio.Reader
 }
 
-func dial(tb testing.TB, addr string) *exchange {
+func dialRaw(tb testing.TB, addr string) *rawConnection {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { c.Close() })
-	return &exchange{c, bufio.NewReader(c)}
+	return &rawConnection{c, bufio.NewReader(c)}
 }
 
-func (x *exchange) send(tb testing.TB, method, path string, body []byte) {
+func (x *rawConnection) send(tb testing.TB, method, path string, body []byte) {
 	req := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/msgpack\r\nContent-Length: %d\r\n\r\n", method, path, len(body))
 	if _, err := x.c.Write(append(req, body...)); err != nil {
 		tb.Fatal(err)
@@ -78,39 +78,39 @@
 		change bool
 	}{{"unchanged", false}, {"changed", true}} {
 		b.Run(c.name, func(b *testing.B) {
-			_, l := ledFleet(b, benchMachines, benchTasks)
-			h := agent.ServeHeartbeat(benchSteward{l}, func() bool { return false })
+			_, l := trustedFleet(b, benchMachines, benchTasks)
+			h := agent.ServeHeartbeat(benchAgent{l}, func() bool { return false })
 			var raws [][]byte
 			for n := range 2 {
 				for i := range benchMachines {
-					rep := report(i, benchTasks, 1, l.term.Token)
+					rep := fleetReport(i, benchTasks, 1, l.term.Token)
 					if n == 1 && c.change {
 						rep.Tasks[0].Status = wire.TaskFlushing
 					}
-					raws = append(raws, body(b, rep))
+					raws = append(raws, encodeReport(b, rep))
 				}
 			}
-			single(b)
+			useOneThread(b)
 			b.ResetTimer()
 			for n := range b.N {
 				i := n % len(raws)
-				setTally(b, raws[i], uint64(n)+100)
-				h(&discard{h: http.Header{}}, &http.Request{Method: http.MethodPost, Body: io.NopCloser(bytes.NewReader(raws[i]))})
+				setSequence(b, raws[i], uint64(n)+100)
+				h(&discardResponse{h: http.Header{}}, &http.Request{Method: http.MethodPost, Body: io.NopCloser(bytes.NewReader(raws[i]))})
 			}
 		})
 	}
 }
 
-type discard struct{ h http.Header }
+type discardResponse struct{ h http.Header }
 
-func (d *discard) Header() http.Header { return d.h }
+func (d *discardResponse) Header() http.Header { return d.h }
 
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardResponse) Write(p []byte) (int, error) { return len(p), nil }
 
-func (d *discard) WriteHeader(int) {}
+func (d *discardResponse) WriteHeader(int) {}
 
-// setTally replaces a report's tally in place; it is written with eight bytes.
-func setTally(tb testing.TB, raw []byte, tally uint64) {
+// setSequence replaces a report's tally in place; it is written with eight bytes.
+func setSequence(tb testing.TB, raw []byte, tally uint64) {
 	at := bytes.Index(raw, []byte("\xa5tally\xcf"))
 	if at < 0 {
 		tb.Fatalf("no tally in %x", raw)
@@ -120,58 +120,58 @@
 	}
 }
 
-type benchSteward struct{ g *leader }
+type benchAgent struct{ g *leader }
 
-func (s benchSteward) Heartbeat(report *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+func (s benchAgent) Heartbeat(report *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
 	return s.g.Heartbeat(report)
 }
 
-func (s benchSteward) Leader() string { return "" }
+func (s benchAgent) Leader() string { return "" }
 
 // BenchmarkBeatServed is the same over a connection.
 func BenchmarkBeatServed(b *testing.B) {
-	_, l := ledFleet(b, benchMachines, benchTasks)
-	n := l.service(b)
-	n.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(benchSteward{l}, func() bool { return false }))
-	addr := front(b, l, n.router)
-	raws, conns := make([][]byte, benchMachines), make([]*exchange, benchMachines)
+	_, l := trustedFleet(b, benchMachines, benchTasks)
+	n := l.servingNode(b)
+	n.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(benchAgent{l}, func() bool { return false }))
+	addr := serveLimited(b, l, n.router)
+	raws, conns := make([][]byte, benchMachines), make([]*rawConnection, benchMachines)
 	for i := range raws {
-		raws[i] = body(b, report(i, benchTasks, 1, l.term.Token))
-		conns[i] = dial(b, addr)
+		raws[i] = encodeReport(b, fleetReport(i, benchTasks, 1, l.term.Token))
+		conns[i] = dialRaw(b, addr)
 	}
-	single(b)
+	useOneThread(b)
 	b.ResetTimer()
 	for k := range b.N {
 		i := k % benchMachines
-		setTally(b, raws[i], uint64(k)+100)
+		setSequence(b, raws[i], uint64(k)+100)
 		conns[i].send(b, http.MethodPost, wire.PathHeartbeat, raws[i])
 	}
 }
 
 // BenchmarkRedirectServed is a heartbeat at a controller that does not lead.
 func BenchmarkRedirectServed(b *testing.B) {
-	_, l := ledFleet(b, 10, benchTasks)
-	h := http.HandlerFunc(agent.ServeHeartbeat(sends{}, func() bool { return false }))
-	addr := front(b, l, h)
-	x := dial(b, addr)
-	raw := body(b, report(1, benchTasks, 1, l.term.Token))
-	single(b)
+	_, l := trustedFleet(b, 10, benchTasks)
+	h := http.HandlerFunc(agent.ServeHeartbeat(redirecting{}, func() bool { return false }))
+	addr := serveLimited(b, l, h)
+	x := dialRaw(b, addr)
+	raw := encodeReport(b, fleetReport(1, benchTasks, 1, l.term.Token))
+	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
 		x.send(b, http.MethodPost, wire.PathHeartbeat, raw)
 	}
 }
 
-type sends struct{}
+type redirecting struct{}
 
-func (sends) Heartbeat(*wire.Heartbeat) (wire.HeartbeatResponse, bool) {
+func (redirecting) Heartbeat(*wire.Heartbeat) (wire.HeartbeatResponse, bool) {
 	return wire.HeartbeatResponse{}, false
 }
 
-func (sends) Leader() string { return "node-2" }
+func (redirecting) Leader() string { return "node-2" }
 
-// service gives a second node of the leader's site that serves users.
-func (l *leader) service(tb testing.TB) *Service {
+// servingNode gives a second node of the leader's site that serves users.
+func (l *leader) servingNode(tb testing.TB) *Service {
 	operator, err := config.LoadOperator("")
 	if err != nil {
 		tb.Fatal(err)
@@ -184,11 +184,11 @@
 
 // BenchmarkPoll is one poll of an unfinished job, alone in its read, over a connection.
 func BenchmarkPollServed(b *testing.B) {
-	s, l := ledFleet(b, benchMachines, benchTasks)
-	n := l.service(b)
-	s.submit(n, spec("j-900", nil))
-	x := dial(b, front(b, l, n.router))
-	single(b)
+	s, l := trustedFleet(b, benchMachines, benchTasks)
+	n := l.servingNode(b)
+	s.submit(n, jobSpec("j-900", nil))
+	x := dialRaw(b, serveLimited(b, l, n.router))
+	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
 		x.send(b, http.MethodGet, wire.PathJobs+"/j-900", nil)
@@ -197,22 +197,22 @@
 
 // BenchmarkSubmitServed is one submission, alone in its transaction, over a connection.
 func BenchmarkSubmitServed(b *testing.B) {
-	_, l := ledFleet(b, benchMachines, benchTasks)
-	n := l.service(b)
-	x := dial(b, front(b, l, n.router))
-	single(b)
+	_, l := trustedFleet(b, benchMachines, benchTasks)
+	n := l.servingNode(b)
+	x := dialRaw(b, serveLimited(b, l, n.router))
+	useOneThread(b)
 	b.ResetTimer()
 	for k := range b.N {
-		x.send(b, http.MethodPost, wire.PathJobs, bodyOf(b, spec(fmt.Sprintf("j-%d", 100000+k), nil), nil))
+		x.send(b, http.MethodPost, wire.PathJobs, submissionBody(b, jobSpec(fmt.Sprintf("j-%d", 100000+k), nil), nil))
 	}
 }
 
 // BenchmarkHealth is a probe of the load balancer.
 func BenchmarkHealthServed(b *testing.B) {
-	_, l := ledFleet(b, 10, benchTasks)
-	n := l.service(b)
-	x := dial(b, front(b, l, n.router))
-	single(b)
+	_, l := trustedFleet(b, 10, benchTasks)
+	n := l.servingNode(b)
+	x := dialRaw(b, serveLimited(b, l, n.router))
+	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
 		x.send(b, http.MethodGet, wire.PathHealth, nil)
@@ -221,16 +221,16 @@
 
 // BenchmarkConnect is a connection that comes, with one probe, and goes.
 func BenchmarkConnect(b *testing.B) {
-	_, l := ledFleet(b, 10, benchTasks)
-	addr := front(b, l, l.service(b).router)
-	single(b)
+	_, l := trustedFleet(b, 10, benchTasks)
+	addr := serveLimited(b, l, l.servingNode(b).router)
+	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
 		c, err := (&net.Dialer{KeepAlive: -1}).Dial("tcp", addr)
 		if err != nil {
 			b.Fatal(err)
 		}
-		x := &exchange{c, bufio.NewReaderSize(c, 64)}
+		x := &rawConnection{c, bufio.NewReaderSize(c, 64)}
 		x.send(b, http.MethodGet, wire.PathHealth, nil)
 		c.Close()
 	}
@@ -246,7 +246,7 @@
 				b.Fatal(err)
 			}
 			b.Cleanup(func() { ln.Close() })
-			raw := body(b, report(1, benchTasks, 1, 1))
+			raw := encodeReport(b, fleetReport(1, benchTasks, 1, 1))
 			answer := append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/msgpack\r\n%sContent-Length: %d\r\n\r\n", c.header, len(raw)), raw...)
 			go func() {
 				for {
@@ -275,7 +275,7 @@
 			for i := range 2 {
 				do.Commands = append(do.Commands, wire.Command{Verb: wire.VerbRun, Task: fmt.Sprintf("j-100/%d", i), Attempt: 1})
 			}
-			single(b)
+			useOneThread(b)
 			b.ResetTimer()
 			for range b.N {
 				if _, _, err := cl.Do(b.Context(), ln.Addr().String(), do); err != nil {
@@ -286,8 +286,8 @@
 	}
 }
 
-// body is a report as it comes.
-func body(tb testing.TB, report *wire.Heartbeat) []byte {
+// encodeReport is a report as it comes.
+func encodeReport(tb testing.TB, report *wire.Heartbeat) []byte {
 	raw, err := wire.Marshal(report)
 	if err != nil {
 		tb.Fatal(err)
--- a/bench_test.go
+++ b/bench_test.go
@@ -21,8 +21,8 @@
 	benchTasks    = 6
 )
 
-// single runs a benchmark on one thread, as the daemon does.
-func single(b *testing.B) {
+// useOneThread runs a benchmark on one thread, as the daemon does.
+func useOneThread(b *testing.B) {
 	was := runtime.GOMAXPROCS(1)
 	b.Cleanup(func() { runtime.GOMAXPROCS(was) })
 	b.ReportAllocs()
@@ -30,9 +30,9 @@
 
 // BenchmarkStep is a pass of the leader's loop with nothing to do.
 func BenchmarkStep(b *testing.B) {
-	_, l := ledFleet(b, benchMachines, benchTasks)
+	_, l := trustedFleet(b, benchMachines, benchTasks)
 	l.pass(b.Context())
-	single(b)
+	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
 		l.pass(b.Context())
@@ -41,9 +41,9 @@
 
 // BenchmarkRound is a repair round.
 func BenchmarkRound(b *testing.B) {
-	_, l := ledFleet(b, benchMachines, benchTasks)
+	_, l := trustedFleet(b, benchMachines, benchTasks)
 	l.pass(b.Context())
-	single(b)
+	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
 		l.mu.Lock()
@@ -55,8 +55,8 @@
 
 // BenchmarkResize is a pass of the fleet's sizing with nothing to rent or return.
 func BenchmarkResize(b *testing.B) {
-	_, l := ledFleet(b, benchMachines, benchTasks)
-	single(b)
+	_, l := trustedFleet(b, benchMachines, benchTasks)
+	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
 		l.autoscale(b.Context())
@@ -65,8 +65,8 @@
 
 // BenchmarkList is one reading of the cloud's list, without its request.
 func BenchmarkCheckStall(b *testing.B) {
-	_, l := ledFleet(b, benchMachines, benchTasks)
-	single(b)
+	_, l := trustedFleet(b, benchMachines, benchTasks)
+	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
 		l.checkPause()
@@ -75,12 +75,12 @@
 
 // BenchmarkChange is a job that comes with the changes, and a plan that finds no room for it.
 func BenchmarkChange(b *testing.B) {
-	_, l := ledFleet(b, benchMachines, benchTasks)
-	raw, err := wire.Marshal(store.JobRecord{Spec: spec("j-900", func(sp *wire.Spec) { sp.Tasks = 8 })})
+	_, l := trustedFleet(b, benchMachines, benchTasks)
+	raw, err := wire.Marshal(store.JobRecord{Spec: jobSpec("j-900", func(sp *wire.Spec) { sp.Tasks = 8 })})
 	if err != nil {
 		b.Fatal(err)
 	}
-	single(b)
+	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
 		l.mu.Lock()
@@ -97,7 +97,7 @@
 // BenchmarkTask is a task placed, told, seen running, ended, recorded and
 // forgotten, in jobs of 48.
 func BenchmarkTask(b *testing.B) {
-	s := newSite(b)
+	s := newTestCluster(b)
 	n := s.node(nil)
 	l, _ := s.elect(n)
 	tallies := make([]uint64, benchMachines)
@@ -112,14 +112,14 @@
 	}
 	for range 3 {
 		for i := range benchMachines {
-			heartbeat(i, report(i, 0, 0, l.term.Token))
+			heartbeat(i, fleetReport(i, 0, 0, l.term.Token))
 		}
 	}
-	single(b)
+	useOneThread(b)
 	b.ResetTimer()
 	for k := 0; k < b.N; {
 		uid := fmt.Sprintf("j-%d", 1000+k)
-		raw, err := wire.Marshal(store.JobRecord{Spec: spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Priority = 48, "low" })})
+		raw, err := wire.Marshal(store.JobRecord{Spec: jobSpec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Priority = 48, "low" })})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -154,7 +154,7 @@
 			})
 			l.mu.Unlock()
 			for i, list := range on {
-				rep := report(i, 0, 0, l.term.Token)
+				rep := fleetReport(i, 0, 0, l.term.Token)
 				rep.Tasks = list
 				heartbeat(i, rep)
 			}
@@ -166,7 +166,7 @@
 				l.mu.Unlock()
 				l.pass(b.Context())
 				for i := range on {
-					heartbeat(i, report(i, 0, 0, l.term.Token))
+					heartbeat(i, fleetReport(i, 0, 0, l.term.Token))
 				}
 			}
 			k += 16
@@ -176,10 +176,10 @@
 
 // BenchmarkPlanShort is a plan for 60 jobs that find no room.
 func BenchmarkPlanShort(b *testing.B) {
-	_, l := ledFleet(b, benchMachines, benchTasks)
+	_, l := trustedFleet(b, benchMachines, benchTasks)
 	l.mu.Lock()
 	for k := range 60 {
-		sp := spec(fmt.Sprintf("j-%d", 2000+k), func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 8, 3+float64(k%4), 8+float64(k%7) })
+		sp := jobSpec(fmt.Sprintf("j-%d", 2000+k), func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 8, 3+float64(k%4), 8+float64(k%7) })
 		raw, err := wire.Marshal(store.JobRecord{Spec: sp})
 		if err != nil {
 			b.Fatal(err)
@@ -189,7 +189,7 @@
 		}
 	}
 	l.mu.Unlock()
-	single(b)
+	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
 		l.mu.Lock()
@@ -201,10 +201,10 @@
 
 // BenchmarkRefresh is a machine brought into the picture.
 func BenchmarkRefresh(b *testing.B) {
-	_, l := ledFleet(b, benchMachines, benchTasks)
+	_, l := trustedFleet(b, benchMachines, benchTasks)
 	l.pass(b.Context())
 	machines := l.fleet.Machines()
-	single(b)
+	useOneThread(b)
 	b.ResetTimer()
 	for k := range b.N {
 		l.mu.Lock()
--- a/cancellation_outage_test.go
+++ b/cancellation_outage_test.go
@@ -14,18 +14,18 @@
 	"cedardoor/wire"
 )
 
-// deafToHints lets no hint of a node's cancels reach the leader: they are hints.
-func deafToHints(n *Service) { n.users.Cancelled = nil }
+// dropCancelHints lets no hint of a node's cancels reach the leader: they are hints.
+func dropCancelHints(n *Service) { n.users.Cancelled = nil }
 
 // The cancellation gap: the state service refuses the leader alone, another
 // controller confirms a cancel, then it is down for all. The leader goes on
 // answering heartbeats on the others' word, which must carry the cancel: the task is
 // stopped by the answer to a heartbeat, without any hold, and no other is.
 func TestAttestationCarriesCancels(t *testing.T) {
-	s, nodes, l, w := gap(t)
-	deafToHints(nodes[1])
+	s, nodes, l, w := connectedCluster(t)
+	dropCancelHints(nodes[1])
 	s.state.Refuse(nodes[0].cfg.Node, true)
-	s.abort(nodes[1], "j-1")
+	s.cancelJob(nodes[1], "j-1")
 	if got := w.Live(); len(got) != 2 {
 		t.Fatalf("running %v: the leader can't know yet", got)
 	}
@@ -51,47 +51,47 @@
 	if got := w.Starts(); len(got) != 2 {
 		t.Errorf("starts %v, want each job's once", got)
 	}
-	s.status(nodes[0], "j-1", wire.JobCancelled)
+	s.checkStatus(nodes[0], "j-1", wire.JobCancelled)
 }
 
 // A controller that can't name every cancel since the leader last knew does not
 // attest: it began since, it has forgotten some, or they fit no message. Then
 // heartbeats go unanswered when the lease ends, and the leases do the rest.
 func TestWhoCannotVouchDoesNotAttest(t *testing.T) {
-	tests := map[string]func(s *site, n *Service) *Service{
-		"began since": func(s *site, n *Service) *Service {
-			s.submit(n, spec("j-7", nil))
-			s.nodes -= 2 // the same node again
+	tests := map[string]func(s *testCluster, n *Service) *Service{
+		"began since": func(s *testCluster, n *Service) *Service {
+			s.submit(n, jobSpec("j-7", nil))
+			s.nodeCount -= 2 // the same node again
 			again := s.node(nil)
-			s.nodes++
-			s.status(again, "j-7", wire.JobQueued)
+			s.nodeCount++
+			s.checkStatus(again, "j-7", wire.JobQueued)
 			return again
 		},
-		"never had an answer": func(s *site, _ *Service) *Service { return s.node(nil) },
-		"has forgotten": func(s *site, n *Service) *Service {
-			s.abort(n, "j-1")
+		"never had an answer": func(s *testCluster, _ *Service) *Service { return s.node(nil) },
+		"has forgotten": func(s *testCluster, n *Service) *Service {
+			s.cancelJob(n, "j-1")
 			for i := range 9000 {
 				n.users.Cancels.Known(fmt.Sprintf("j-%d", 100+i), 1)
 			}
 			return n
 		},
-		"too many for a message": func(_ *site, n *Service) *Service {
+		"too many for a message": func(_ *testCluster, n *Service) *Service {
 			for i := range 2000 {
 				n.users.Cancels.Expect(fmt.Sprintf("j-%d", 100+i))
 			}
 			return n
 		},
-		"knows a later leader": func(s *site, n *Service) *Service {
-			s.kill(s.first)
-			s.clk.Advance(6 * time.Second)
+		"knows a later leader": func(s *testCluster, n *Service) *Service {
+			s.disconnect(s.firstLeader)
+			s.clock.Advance(6 * time.Second)
 			s.elect(n)
 			return n
 		},
 	}
 	for name, mod := range tests {
 		t.Run(name, func(t *testing.T) {
-			s, nodes, l, _ := gap(t)
-			s.first = nodes[0]
+			s, nodes, l, _ := connectedCluster(t)
+			s.firstLeader = nodes[0]
 			o := peer.Outage{Asked: true, Lead: l.term.Revision, Epoch: l.syncedRevision()}
 			s.state.Refuse("", true)
 			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: o}); !r.Word.Attests {
@@ -117,7 +117,7 @@
 // A cancel counts as told whether this node made it, passed it on, read it, or
 // does not know yet what became of it.
 func TestEveryCancelToldIsRemembered(t *testing.T) {
-	s, nodes, l, _ := gap(t)
+	s, nodes, l, _ := connectedCluster(t)
 	since := l.syncedRevision()
 	named := func(n *Service) []string {
 		uids, whole := n.users.Cancels.Since(since, n.store.FirstRevision())
@@ -126,20 +126,20 @@
 		}
 		return uids
 	}
-	s.abort(nodes[1], "j-1")
+	s.cancelJob(nodes[1], "j-1")
 	if got := named(nodes[1]); len(got) != 1 || got[0] != "j-1" {
 		t.Errorf("made: %v", got)
 	}
-	s.status(nodes[2], "j-1", wire.JobCancelled)
+	s.checkStatus(nodes[2], "j-1", wire.JobCancelled)
 	if got := named(nodes[2]); len(got) != 1 || got[0] != "j-1" {
 		t.Errorf("read: %v", got)
 	}
-	s.submit(nodes[1], spec("j-3", nil))
+	s.submit(nodes[1], jobSpec("j-3", nil))
 	s.state.Refuse(nodes[0].cfg.Node, true)
 	for nodes[0].store.Failing() == false {
 		nodes[0].store.Refused(t.Context(), 1_000_000)
 	}
-	s.abort(nodes[0], "j-3") // passed on
+	s.cancelJob(nodes[0], "j-3") // passed on
 	if got := named(nodes[0]); len(got) != 1 || got[0] != "j-3" || nodes[0].users.Cancels.Epoch("j-3") == 0 {
 		t.Errorf("passed on: %v, of epoch %d", got, nodes[0].users.Cancels.Epoch("j-3"))
 	}
@@ -158,10 +158,10 @@
 // controllers: its task is stopped directly before any change could be read.
 // Lost, repeated or untrue, the hint harms nothing.
 func TestHintStopsAtOnce(t *testing.T) {
-	s, nodes, l, w := gap(t)
+	s, nodes, l, w := connectedCluster(t)
 	nodes[1].elector = nodes[0].elector // knows who leads
 	s.state.Refuse(nodes[0].cfg.Node, true)
-	s.abort(nodes[1], "j-1")
+	s.cancelJob(nodes[1], "j-1")
 	for len(w.Live()) != 1 {
 		runtime.Gosched()
 	}
@@ -188,32 +188,32 @@
 	if got := w.Live(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Errorf("running %v, want the job that was not cancelled", got)
 	}
-	s.status(nodes[2], "j-2", wire.JobQueued)
+	s.checkStatus(nodes[2], "j-2", wire.JobQueued)
 }
 
 // After a spell in which changes may have been missed, no run goes out before
 // they have been read, not even one that was recorded before the spell.
 func TestNoRunOnOldKnowledge(t *testing.T) {
-	spells := map[string]func(s *site, n *Service, l *leader){
-		"refused alone": func(s *site, n *Service, _ *leader) {
+	spells := map[string]func(s *testCluster, n *Service, l *leader){
+		"refused alone": func(s *testCluster, n *Service, _ *leader) {
 			s.state.Refuse(n.cfg.Node, true)
 			s.advance(3 * time.Second)
 			s.state.Refuse(n.cfg.Node, false)
 		},
-		"stood still": func(s *site, _ *Service, l *leader) {
-			s.clk.Advance(4 * time.Second)
+		"stood still": func(s *testCluster, _ *Service, l *leader) {
+			s.clock.Advance(4 * time.Second)
 			l.checkPause()
 		},
 	}
 	for name, spell := range spells {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t)
+			s := newTestCluster(t)
 			n, other := s.node(nil), s.node(nil)
 			l, _ := s.elect(n)
 			w := s.worker("n-1", "x", true)
 			heartbeat(t, l, w)
 			l.checkPause()
-			s.submit(n, spec("j-1", nil))
+			s.submit(n, jobSpec("j-1", nil))
 			s.resync(l)
 			l.mu.Lock()
 			l.runPlan(l.clock.Now())
@@ -222,7 +222,7 @@
 			if !l.commit(t.Context(), write) { // recorded, not sent yet
 				t.Fatal("not recorded")
 			}
-			s.abort(other, "j-1")
+			s.cancelJob(other, "j-1")
 			spell(s, n, l)
 			s.advance(2 * time.Second)
 			if _, may := n.elector.HoldsLease(); !may {
@@ -262,9 +262,9 @@
 // A cancel that the leader knows, of a task whose machine could not be told, stops
 // it also when the machine reports only in an outage that all attest.
 func TestKnownCancelStopsInAnOutage(t *testing.T) {
-	s, nodes, l, w := gap(t)
+	s, nodes, l, w := connectedCluster(t)
 	w.Unreachable(true)
-	s.abort(nodes[1], "j-1")
+	s.cancelJob(nodes[1], "j-1")
 	s.resync(l)
 	s.settle(l)
 	s.state.Refuse("", true)
--- a/cancellation_test.go
+++ b/cancellation_test.go
@@ -19,12 +19,12 @@
 
 // A cancel accepted elsewhere, unseen by the leader, still keeps it from placing.
 func TestCancelWinsOverPlacement(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	l, _ := s.elect(a)
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, l, w)
-	s.submit(b, spec("j-1", nil))
+	s.submit(b, jobSpec("j-1", nil))
 	s.resync(l)
 	if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || v.Status != wire.JobCancelled {
 		t.Fatalf("abort: %d %+v", code, v)
@@ -41,8 +41,8 @@
 }
 
 func TestCancelStopsRunningTasks(t *testing.T) {
-	s, n, l, w := alone(t)
-	s.submit(n, spec("j-1", nil))
+	s, n, l, w := clusterWithWorker(t)
+	s.submit(n, jobSpec("j-1", nil))
 	s.resync(l)
 	s.settle(l)
 	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
@@ -62,7 +62,7 @@
 // repeat it at other nodes and cancel at once. Whoever is told that the job is
 // cancelled is told nothing else from then on, and it never runs.
 func TestCancelledAtOnceWhileAnswersAreSlow(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	nodes := []*Service{s.node(nil), s.node(nil), s.node(nil)}
 	l, _ := s.elect(nodes[0])
 	w := s.worker("n-1", "x", true)
@@ -72,11 +72,11 @@
 		release := s.state.Stall()
 		var wg sync.WaitGroup
 		for _, n := range nodes {
-			wg.Go(func() { s.ask(n, http.MethodPost, wire.PathJobs, spec(uid, nil)) })
+			wg.Go(func() { s.ask(n, http.MethodPost, wire.PathJobs, jobSpec(uid, nil)) })
 			wg.Go(func() {
 				code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
 				if code == http.StatusOK && v.Status == wire.JobCancelled {
-					s.told("told to be cancelled", s.asks(nodes, uid, true), wire.JobCancelled, "503")
+					s.checkAnswers("told to be cancelled", s.askEverywhere(nodes, uid, true), wire.JobCancelled, "503")
 				} else if code != http.StatusNotFound {
 					t.Errorf("abort: %d %+v", code, v)
 				}
@@ -90,7 +90,7 @@
 		if _, v, _ := s.ask(nodes[k%3], http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
 			t.Fatalf("abort: %+v", v)
 		}
-		s.told("cancelled", s.asks(nodes, uid, true), wire.JobCancelled)
+		s.checkAnswers("cancelled", s.askEverywhere(nodes, uid, true), wire.JobCancelled)
 	}
 	s.resync(l)
 	s.settle(l)
@@ -104,12 +104,12 @@
 func TestCancelMeetsTheEndOfTheLastTask(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
 		for _, first := range []string{"cancel", "end", "end between the cancel's reading and writing"} {
-			s := newSite(t)
+			s := newTestCluster(t)
 			nodes := []*Service{s.node(nil), s.node(nil)}
 			l, _ := s.elect(nodes[0])
 			w := s.worker("n-1", "x", true)
 			heartbeat(t, l, w)
-			s.submit(nodes[1], spec("j-1", func(sp *wire.Spec) { sp.Tasks = pieces }))
+			s.submit(nodes[1], jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = pieces }))
 			s.resync(l)
 			s.settle(l)
 			for _, p := range w.Live() {
@@ -145,10 +145,10 @@
 			if first == "cancel" {
 				l.commit(t.Context(), wr)
 			}
-			s.told(first+" first", s.asks(nodes, "j-1", true), want)
+			s.checkAnswers(first+" first", s.askEverywhere(nodes, "j-1", true), want)
 			s.resync(l)
 			s.settle(l)
-			s.told(first+" first, not "+other, s.asks(append(nodes, s.node(nil)), "j-1", true), want)
+			s.checkAnswers(first+" first, not "+other, s.askEverywhere(append(nodes, s.node(nil)), "j-1", true), want)
 			if left := append(s.state.Keys(store.PrefixAttempts), s.state.Keys(store.PrefixJob)...); len(left) != 0 {
 				t.Errorf("%s first: left %v", first, left)
 			}
@@ -164,15 +164,15 @@
 	for _, pieces := range []int{1, 2} {
 		for _, moment := range []string{"before", "starts=j", "starts=p", "starts=s", "catalog", "demand", "watch"} {
 			t.Run(fmt.Sprintf("%d tasks, %s", pieces, moment), func(t *testing.T) {
-				s := newSite(t)
-				a, b, c := s.node(limited(8)), s.node(limited(8)), s.node(limited(8))
+				s := newTestCluster(t)
+				a, b, c := s.node(withTeamLimit(8)), s.node(withTeamLimit(8)), s.node(withTeamLimit(8))
 				l, stop := s.elect(a)
 				w := s.worker("n-1", "x", true)
 				heartbeat(t, l, w)
 				for _, uid := range []string{"j-1", "j-2"} {
-					s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 4/float64(pieces) }))
+					s.submit(a, jobSpec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 4/float64(pieces) }))
 				}
-				s.submit(a, spec("j-3", func(sp *wire.Spec) { sp.Cores = 4 }))
+				s.submit(a, jobSpec("j-3", func(sp *wire.Spec) { sp.Cores = 4 }))
 				s.resync(l)
 				s.settle(l)
 				stop()
@@ -194,7 +194,7 @@
 					})
 				}
 				ctx, end := context.WithCancel(t.Context())
-				r := s.termOf(b)
+				r := s.acquireTerm(b)
 				l = newLeader(b, r)
 				l.ctx = ctx
 				epoch, err := l.loadRecords(ctx)
@@ -235,7 +235,7 @@
 					}
 				}
 				ws := []*standin.Worker{w}
-				if startsOf(ws, "j-1") != pieces || startsOf(ws, "j-2") != pieces || startsOf(ws, "j-3") != 1 {
+				if startCount(ws, "j-1") != pieces || startCount(ws, "j-2") != pieces || startCount(ws, "j-3") != 1 {
 					t.Errorf("starts %v", w.Starts())
 				}
 				if left := s.state.Keys(store.PrefixAttempts + "j-2"); len(left) != 0 {
@@ -251,15 +251,15 @@
 // users nothing and answers no worker once another can act, a command of it that was
 // under way is void, and the task is stopped by the new leader.
 func TestCutLeaderWhileJobsAreCancelledThroughTheNewOne(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	a.attestationLinks["node-2"], a.relayLinks["node-2"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
 	a.users.Relay = a.relay
 	ga, _ := s.elect(a)
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", nil))
-	s.submit(a, spec("j-2", nil))
+	s.submit(a, jobSpec("j-1", nil))
+	s.submit(a, jobSpec("j-2", nil))
 	s.resync(ga)
 	w.KeepNext()
 	s.settle(ga) // the runs are on their way
@@ -279,7 +279,7 @@
 		t.Fatalf("abort: %d %+v", code, v)
 	}
 	s.resync(gb)
-	s.told("asked at the cut node", s.asks([]*Service{a}, "j-1", true), "503")
+	s.checkAnswers("asked at the cut node", s.askEverywhere([]*Service{a}, "j-1", true), "503")
 	s.settle(ga)
 	if rep := w.Report(); func() bool { _, ok := ga.Heartbeat(&rep); return ok }() {
 		t.Error("the cut leader still answers heartbeats")
@@ -294,7 +294,7 @@
 	if got := w.Live(); !slices.Equal(got, []string{"j-2/0"}) {
 		t.Errorf("on the machine %v, want the job that was not cancelled", got)
 	}
-	if got := startsOf([]*standin.Worker{w}, "j-2"); got != 1 {
+	if got := startCount([]*standin.Worker{w}, "j-2"); got != 1 {
 		t.Errorf("starts %v", w.Starts())
 	}
 }
@@ -302,13 +302,13 @@
 // A cancelled job's attempt stays on record until nothing of it can be anywhere,
 // whichever jobs share the record, and under the next leader too.
 func TestCancelInASharedRecord(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	l, stop := s.elect(a)
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, l, w)
 	for _, uid := range []string{"j-1", "j-2", "j-3"} {
-		s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Cores = 2 }))
+		s.submit(a, jobSpec(uid, func(sp *wire.Spec) { sp.Cores = 2 }))
 	}
 	s.resync(l)
 	s.settle(l)
--- a/commands_test.go
+++ b/commands_test.go
@@ -12,10 +12,10 @@
 // A run sent directly may arrive minutes after it was given up. The task must
 // not be started elsewhere, nor its room given away, before that is ruled out.
 func TestLateDirectRunAfterCancelOfMachine(t *testing.T) {
-	s, n, l, w := alone(t)
+	s, n, l, w := clusterWithWorker(t)
 	other := s.worker("n-2", "y", true)
 	w.KeepNext()
-	s.submit(n, spec("j-1", nil))
+	s.submit(n, jobSpec("j-1", nil))
 	s.resync(l)
 	s.settle(l) // the run is kept back; the token is raised against it
 	heartbeat(t, l, other)
@@ -56,9 +56,9 @@
 
 // A forget must not go out while a copy of the run may: the worker would start it again.
 func TestNoForgetWhileCopyIsOut(t *testing.T) {
-	s, n, l, w := alone(t)
+	s, n, l, w := clusterWithWorker(t)
 	w.KeepNext()
-	s.submit(n, spec("j-1", nil))
+	s.submit(n, jobSpec("j-1", nil))
 	s.resync(l)
 	s.settle(l)
 	rep := w.Report()
@@ -96,10 +96,10 @@
 // They do not renew its lease: it gets nothing new beyond that, what it holds is
 // started elsewhere only then, and a cancel still stops a task there at once.
 func TestMuteWorkerThatDirectCommandsReach(t *testing.T) {
-	s, n, l, w := alone(t)
+	s, n, l, w := clusterWithWorker(t)
 	other := s.worker("n-2", "y", true)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Cores = 4 }))
-	s.submit(n, spec("j-2", func(sp *wire.Spec) { sp.Cores = 4 }))
+	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Cores = 4 }))
+	s.submit(n, jobSpec("j-2", func(sp *wire.Spec) { sp.Cores = 4 }))
 	s.resync(l)
 	s.settle(l)
 	heartbeat(t, l, other)
@@ -127,7 +127,7 @@
 	w.Expire()
 	s.advance(3 * time.Second)
 	before := len(w.Starts())
-	s.submit(n, spec("j-3", nil))
+	s.submit(n, jobSpec("j-3", nil))
 	s.resync(l)
 	for range 2 {
 		heartbeat(t, l, other)
--- a/concurrent_failures_test.go
+++ b/concurrent_failures_test.go
@@ -24,41 +24,41 @@
 func TestZoneCutLongerThanTheLease(t *testing.T) {
 	for _, leads := range []int{1, 2} {
 		t.Run(fmt.Sprintf("node %d leads", leads), func(t *testing.T) {
-			s := schedule{seed: 1, lasts: at(70), leads: leads}
-			s.troubles = []trouble{{kind: cutZone, at: at(25), lasts: at(35), which: 0}}
+			s := schedule{seed: 1, duration: seconds(70), firstLeader: leads}
+			s.faults = []fault{{kind: zoneIsolated, at: seconds(25), duration: seconds(35), machine: 0}}
 			bound := func(zone string, mod func(sp *wire.Spec)) func(sp *wire.Spec) {
 				return func(sp *wire.Spec) { mod(sp); sp.Zone = zone }
 			}
-			s.users = []submission{
-				user(1, 2, 0, bound("x", standing(2))), user(2, 2, 0, bound("x", standing(2))), user(3, 2, 0, bound("y", standing(2))),
-				user(4, 3, 0, standing(4)), user(5, 20, 60, func(sp *wire.Spec) { sp.Tasks = 4 }),
+			s.submissions = []submission{
+				newSubmission(1, 2, 0, bound("x", asService(2))), newSubmission(2, 2, 0, bound("x", asService(2))), newSubmission(3, 2, 0, bound("y", asService(2))),
+				newSubmission(4, 3, 0, asService(4)), newSubmission(5, 20, 60, func(sp *wire.Spec) { sp.Tasks = 4 }),
 			}
-			s.users[1].onKind = cutZone
-			s.users[2].onKind = cutZone
+			s.submissions[1].cancelOnFault = zoneIsolated
+			s.submissions[2].cancelOnFault = zoneIsolated
 			var mu sync.Mutex
 			var before, late int
-			s.setup = func(w *world) {
-				w.during(24.9, func() {
+			s.setup = func(w *simulation) {
+				w.runAt(24.9, func() {
 					mu.Lock()
 					defer mu.Unlock()
-					before = w.on("j-1")["x"] + w.on("j-2")["x"]
+					before = w.tasksByZone("j-1")["x"] + w.tasksByZone("j-2")["x"]
 				})
-				w.during(59, func() { // the leases ended long ago; the zone is cut still
+				w.runAt(59, func() { // the leases ended long ago; the zone is cut still
 					mu.Lock()
 					defer mu.Unlock()
-					late = w.on("j-2")["x"]
+					late = w.tasksByZone("j-2")["x"]
 				})
 			}
-			playOut(t, s, func(w *world) {
+			playSchedule(t, s, func(w *simulation) {
 				mu.Lock()
 				defer mu.Unlock()
 				if before != 4 || late != 0 {
 					w.t.Errorf("%d tasks ran in the zone before the cut, want 4; %d cancelled ones at its end, want none", before, late)
 				}
-				if !w.facts["j-2"].cancelledAt.Before(w.began.Add(at(30))) || w.facts["j-2"].cancelledAt.IsZero() {
-					w.t.Errorf("cancelled at %v, want inside the cut", w.facts["j-2"].cancelledAt.Sub(w.began))
+				if !w.views["j-2"].cancelledAt.Before(w.startedAt.Add(seconds(30))) || w.views["j-2"].cancelledAt.IsZero() {
+					w.t.Errorf("cancelled at %v, want inside the cut", w.views["j-2"].cancelledAt.Sub(w.startedAt))
 				}
-				w.served()
+				w.checkAllServed()
 			})
 		})
 	}
@@ -70,37 +70,37 @@
 // begins soon, however much has waited long beside it: that goes first with one task
 // a job, not with so many that they fill all room.
 func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
-	s := schedule{seed: 2, lasts: at(300), most: 3, slow: at(0.15)}
-	s.users = append(s.users, user(1, 10, 20, func(sp *wire.Spec) {
+	s := schedule{seed: 2, duration: seconds(300), maxMachines: 3, extraLatency: seconds(0.15)}
+	s.submissions = append(s.submissions, newSubmission(1, 10, 20, func(sp *wire.Spec) {
 		sp.Tasks, sp.Cores, sp.RAM, sp.Priority, sp.MachineTypes = 20, 8, 16, "low", []string{"b"}
 	}))
 	for n := range 60 { // more than the machines can work off, at any time
-		s.users = append(s.users, user(2+n, float64(2+4*n), 12, func(sp *wire.Spec) {
+		s.submissions = append(s.submissions, newSubmission(2+n, float64(2+4*n), 12, func(sp *wire.Spec) {
 			sp.Tasks, sp.Cores, sp.Priority, sp.MachineTypes = 6, 2, []string{"standard", "high", "critical"}[n%3], []string{"b"}
 		}))
 	}
-	playOut(t, s, func(w *world) {
+	playSchedule(t, s, func(w *simulation) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		began := map[string]time.Time{}
-		for p, when := range w.first {
+		for p, when := range w.firstStarts {
 			uid, _, _ := strings.Cut(p, "/")
 			if b, ok := began[uid]; !ok || when.Before(b) {
 				began[uid] = when
 			}
 		}
-		if b, ok := began["j-1"]; !ok || b.Sub(w.began.Add(at(10))) > 4*time.Minute {
-			w.t.Errorf("the largest job began after %v, want four minutes at most", b.Sub(w.began.Add(at(10))))
+		if b, ok := began["j-1"]; !ok || b.Sub(w.startedAt.Add(seconds(10))) > 4*time.Minute {
+			w.t.Errorf("the largest job began after %v, want four minutes at most", b.Sub(w.startedAt.Add(seconds(10))))
 		}
-		for _, u := range s.users[1:] {
-			if b, ok := began[u.spec.UID]; u.spec.Priority == "critical" && (!ok || b.Sub(w.began.Add(u.at)) > at(15)) {
-				w.t.Errorf("%s is critical and began after %v", u.spec.UID, b.Sub(w.began.Add(u.at)))
-			} else if !ok || b.Sub(w.began.Add(u.at)) > 4*time.Minute {
-				w.t.Errorf("%s began after %v", u.spec.UID, b.Sub(w.began.Add(u.at)))
+		for _, u := range s.submissions[1:] {
+			if b, ok := began[u.spec.UID]; u.spec.Priority == "critical" && (!ok || b.Sub(w.startedAt.Add(u.after)) > seconds(15)) {
+				w.t.Errorf("%s is critical and began after %v", u.spec.UID, b.Sub(w.startedAt.Add(u.after)))
+			} else if !ok || b.Sub(w.startedAt.Add(u.after)) > 4*time.Minute {
+				w.t.Errorf("%s began after %v", u.spec.UID, b.Sub(w.startedAt.Add(u.after)))
 			}
 		}
 		left := 0
-		for _, n := range w.left {
+		for _, n := range w.remainingTasks {
 			left += n
 		}
 		if left == 0 {
@@ -113,24 +113,24 @@
 // then it is out for all for longer than cancel_s. Inside the outage the others
 // start anew, which know nothing of the cancels, then the leader, and again.
 func TestLeadersChangeInsideAnOutage(t *testing.T) {
-	s := schedule{seed: 3, lasts: at(100), leads: 2}
-	kill := func(node int, when float64) trouble {
-		return trouble{kind: killNode, at: at(when), lasts: at(0.6), node: node}
+	s := schedule{seed: 3, duration: seconds(100), firstLeader: 2}
+	kill := func(node int, when float64) fault {
+		return fault{kind: controllerKilled, at: seconds(when), duration: seconds(0.6), controller: node}
 	}
-	s.troubles = []trouble{
-		{kind: cutPeers, at: at(19), lasts: at(3.3), node: 1}, // no hint of the cancels reaches it
-		{kind: refuseOne, at: at(20), lasts: at(43), node: 1}, {kind: refuseAll, at: at(22), lasts: at(40)},
+	s.faults = []fault{
+		{kind: controllerCutFromPeers, at: seconds(19), duration: seconds(3.3), controller: 1}, // no hint of the cancels reaches it
+		{kind: stateRefusesNode, at: seconds(20), duration: seconds(43), controller: 1}, {kind: stateRefusesAll, at: seconds(22), duration: seconds(40)},
 		kill(0, 22.1), kill(2, 22.1), kill(1, 52), kill(0, 55), kill(2, 58),
 		kill(3, 64), kill(3, 68), kill(3, 72), kill(3, 76),
 	}
 	for n := range 4 {
-		s.users = append(s.users, user(1+n, 2+float64(n)/4, 0, standing(2)))
+		s.submissions = append(s.submissions, newSubmission(1+n, 2+float64(n)/4, 0, asService(2)))
 	}
-	s.users[1].onKind, s.users[2].onKind = refuseOne, refuseOne
-	s.users = append(s.users, user(5, 18, 30, func(sp *wire.Spec) { sp.Tasks = 3 }))
-	playOut(t, s, func(w *world) {
+	s.submissions[1].cancelOnFault, s.submissions[2].cancelOnFault = stateRefusesNode, stateRefusesNode
+	s.submissions = append(s.submissions, newSubmission(5, 18, 30, func(sp *wire.Spec) { sp.Tasks = 3 }))
+	playSchedule(t, s, func(w *simulation) {
 		for _, uid := range []string{"j-2", "j-3"} {
-			if when := w.facts[uid].cancelledAt.Sub(w.began); when < at(21) || when > at(23) {
+			if when := w.views[uid].cancelledAt.Sub(w.startedAt); when < seconds(21) || when > seconds(23) {
 				w.t.Errorf("%s was cancelled at %v, want while the leader alone was refused", uid, when)
 			}
 		}
@@ -138,7 +138,7 @@
 		if !w.state.Value(store.KeyToken, &rec) || rec.Token < 5 {
 			w.t.Errorf("the token is %d: the leaders did not change", rec.Token)
 		}
-		w.served()
+		w.checkAllServed()
 	})
 }
 
@@ -147,59 +147,59 @@
 // until it is proved gone; the work that waits then takes its place.
 func TestTeamsAtTheirLimitsWhileLeadersChange(t *testing.T) {
 	limits := map[string]float64{"tight": tightLimit, "narrow": 4}
-	s := schedule{seed: 4, lasts: at(80), limits: map[string]float64{"narrow": 4}, leads: 1}
+	s := schedule{seed: 4, duration: seconds(80), limits: map[string]float64{"narrow": 4}, firstLeader: 1}
 	for i, when := range []float64{25.6, 29, 36, 47} {
-		s.troubles = append(s.troubles, trouble{kind: killNode, at: at(when), lasts: at(0.5), node: 3, which: i})
+		s.faults = append(s.faults, fault{kind: controllerKilled, at: seconds(when), duration: seconds(0.5), controller: 3, machine: i})
 	}
 	n := 0
 	var cancelled []string
 	for team, limit := range limits {
 		owned := func(replicas int) func(sp *wire.Spec) {
-			return func(sp *wire.Spec) { standing(replicas)(sp); sp.Team = team }
+			return func(sp *wire.Spec) { asService(replicas)(sp); sp.Team = team }
 		}
 		for range int(limit) / 2 {
 			n++
-			s.users = append(s.users, user(n, 2, 0, owned(2)))
-			s.users[len(s.users)-1].onKind = hangMachine
-			cancelled = append(cancelled, s.users[len(s.users)-1].spec.UID)
+			s.submissions = append(s.submissions, newSubmission(n, 2, 0, owned(2)))
+			s.submissions[len(s.submissions)-1].cancelOnFault = machineHangs
+			cancelled = append(cancelled, s.submissions[len(s.submissions)-1].spec.UID)
 		}
 		for range int(limit) / 2 { // takes their place
 			n++
-			s.users = append(s.users, user(n, 12, 0, owned(2)))
+			s.submissions = append(s.submissions, newSubmission(n, 12, 0, owned(2)))
 		}
 	}
 	// Its machines have room when it goes, so that nothing waits for a boot.
-	s.users = append(s.users, user(n+1, 1, 0, func(sp *wire.Spec) { standing(4)(sp); sp.Cores, sp.RAM = 4, 8 }))
-	s.users[n].cancelAt = at(21)
-	s.setup = func(w *world) {
-		w.during(25, func() { // the machines of what is cancelled: every other hangs, or is cut off
+	s.submissions = append(s.submissions, newSubmission(n+1, 1, 0, func(sp *wire.Spec) { asService(4)(sp); sp.Cores, sp.RAM = 4, 8 }))
+	s.submissions[n].cancelAfter = seconds(21)
+	s.setup = func(w *simulation) {
+		w.runAt(25, func() { // the machines of what is cancelled: every other hangs, or is cut off
 			for i, m := range w.cloud.Machines() {
 				if slices.ContainsFunc(m.Live(), func(p string) bool { uid, _, _ := strings.Cut(p, "/"); return slices.Contains(cancelled, uid) }) {
-					kinds := []string{hangMachine}
+					kinds := []string{machineHangs}
 					if i%2 == 1 {
-						kinds = []string{deafMachine, muteMachine}
+						kinds = []string{machineReceivesNothing, machineSendsNothing}
 					}
 					for k, kind := range kinds {
-						w.wg.Go(func() { w.suffer(100+2*i+k, trouble{kind: kind, at: at(25), lasts: at(14), which: i}) })
+						w.wg.Go(func() { w.injectFault(100+2*i+k, fault{kind: kind, at: seconds(25), duration: seconds(14), machine: i}) })
 					}
 				}
 			}
 		})
-		w.during(24.9, func() {
+		w.runAt(24.9, func() {
 			for team, limit := range limits {
-				if got := w.used(team); got != limit {
+				if got := w.teamCores(team); got != limit {
 					w.t.Errorf("%s uses %v before the troubles, want %v", team, got, limit)
 				}
 			}
 		})
 	}
-	playOut(t, s, func(w *world) {
+	playSchedule(t, s, func(w *simulation) {
 		for team, limit := range limits {
-			if got := w.used(team); got != limit {
+			if got := w.teamCores(team); got != limit {
 				w.t.Errorf("%s uses %v after the troubles, want %v", team, got, limit)
 			}
 		}
-		w.served()
+		w.checkAllServed()
 	})
 }
 
@@ -207,20 +207,20 @@
 // an answer, and they are up within two seconds. No later request bears its name,
 // the work runs, and no machine stays that nobody uses.
 func TestRentalWithoutAnswerWhileTheLeaderEnds(t *testing.T) {
-	s := schedule{seed: 5, lasts: at(40), boot: at(1.2), lag: true}
-	s.users = []submission{user(1, 10, 25, func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.MachineTypes = 6, 4, []string{"b"} }),
-		user(2, 10, 0, standing(2)), user(3, 14, 0, standing(6)), user(4, 18, 0, standing(6)), user(5, 24, 0, standing(6))}
+	s := schedule{seed: 5, duration: seconds(40), bootTime: seconds(1.2), listLags: true}
+	s.submissions = []submission{newSubmission(1, 10, 25, func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.MachineTypes = 6, 4, []string{"b"} }),
+		newSubmission(2, 10, 0, asService(2)), newSubmission(3, 14, 0, asService(6)), newSubmission(4, 18, 0, asService(6)), newSubmission(5, 24, 0, asService(6))}
 	var mu sync.Mutex
 	lost := 0
 	var last time.Time
-	s.setup = func(w *world) {
+	s.setup = func(w *simulation) {
 		hires := map[string]string{}
 		w.cloud.Asked = func(who string, q wire.RentRequest) {
 			mu.Lock()
 			defer mu.Unlock()
 			by := fmt.Sprintf("%s %+v", who, q)
 			if was, known := hires[q.RequestID]; known && was != by {
-				w.breach("hire", "%s asks under the name of %s", by, was)
+				w.recordViolation("hire", "%s asks under the name of %s", by, was)
 			}
 			hires[q.RequestID] = by
 		}
@@ -234,16 +234,16 @@
 			lost++
 			w.wg.Go(func() {
 				time.Sleep(200 * time.Millisecond)
-				w.suffer(100+lost, trouble{kind: killNode, node: 3, lasts: at(3)})
+				w.injectFault(100+lost, fault{kind: controllerKilled, controller: 3, duration: seconds(3)})
 			})
 			return false, time.Minute
 		}
 	}
-	playOut(t, s, func(w *world) {
+	playSchedule(t, s, func(w *simulation) {
 		if lost != 2 {
 			w.t.Errorf("%d requests went without an answer, want 2", lost)
 		}
-		w.served()
+		w.checkAllServed()
 		for _, m := range w.cloud.Machines() {
 			if len(m.Live()) == 0 {
 				w.t.Errorf("%s is paid for, and holds nothing", m.Host.UID)
@@ -265,56 +265,56 @@
 		way   standin.Way
 	}{{"to machines", false, standin.Out}, {"from machines", false, standin.In}, {"to machines and from the state service", true, standin.Out}} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := schedule{seed: 6, lasts: at(60), leads: 1, holds: true}
+			s := schedule{seed: 6, duration: seconds(60), firstLeader: 1, buffersMessages: true}
 			tight := func(zone string) func(sp *wire.Spec) {
 				return func(sp *wire.Spec) {
-					standing(6)(sp)
+					asService(6)(sp)
 					sp.Team, sp.Zone, sp.MachineTypes = "tight", zone, []string{"b"}
 				}
 			}
-			s.users = []submission{
+			s.submissions = []submission{
 				// Machines have room and connections when it begins.
-				user(1, 1, 0, func(sp *wire.Spec) { standing(4)(sp); sp.Cores, sp.Zone, sp.MachineTypes = 6, "x", []string{"b"} }),
-				user(2, 1, 0, func(sp *wire.Spec) { standing(4)(sp); sp.Cores, sp.Zone, sp.MachineTypes = 6, "y", []string{"b"} }),
-				user(3, from-0.95, 0, tight("x")), user(4, from, 0, tight("y")),
+				newSubmission(1, 1, 0, func(sp *wire.Spec) { asService(4)(sp); sp.Cores, sp.Zone, sp.MachineTypes = 6, "x", []string{"b"} }),
+				newSubmission(2, 1, 0, func(sp *wire.Spec) { asService(4)(sp); sp.Cores, sp.Zone, sp.MachineTypes = 6, "y", []string{"b"} }),
+				newSubmission(3, from-0.95, 0, tight("x")), newSubmission(4, from, 0, tight("y")),
 			}
-			s.users[0].cancelAt, s.users[1].cancelAt = at(from-5), at(from-5)
-			s.users[2].cancelAt = at(0.4)
+			s.submissions[0].cancelAfter, s.submissions[1].cancelAfter = seconds(from-5), seconds(from-5)
+			s.submissions[2].cancelAfter = seconds(0.4)
 			var mu sync.Mutex
 			var there []int // tasks of the cancelled job on machines, through the hold
-			s.setup = func(w *world) {
+			s.setup = func(w *simulation) {
 				hold := func(yes bool) {
 					for _, m := range w.cloud.Machines() {
 						if m.Host.Zone == "x" {
-							w.net.Hold("node-1", m.Host.UID, tt.way, yes)
+							w.network.Hold("node-1", m.Host.UID, tt.way, yes)
 						}
 					}
 				}
-				w.during(from, func() { hold(true) })
-				w.during(until, func() { hold(false) })
+				w.runAt(from, func() { hold(true) })
+				w.runAt(until, func() { hold(false) })
 				if tt.state {
-					w.during(from+1.2, func() { w.net.Hold("state", "node-1", standin.Out, true) })
-					w.during(from+4, func() { w.net.Hold("state", "node-1", standin.Out, false) })
+					w.runAt(from+1.2, func() { w.network.Hold("state", "node-1", standin.Out, true) })
+					w.runAt(from+4, func() { w.network.Hold("state", "node-1", standin.Out, false) })
 				}
 				for when := from; when < until; when += 0.1 {
-					w.during(when, func() {
+					w.runAt(when, func() {
 						mu.Lock()
 						defer mu.Unlock()
-						there = append(there, w.on("j-3")["x"])
+						there = append(there, w.tasksByZone("j-3")["x"])
 					})
 				}
 			}
-			playOut(t, s, func(w *world) {
+			playSchedule(t, s, func(w *simulation) {
 				w.mu.Lock()
-				next, began := w.first["j-4/0"]
+				next, began := w.firstStarts["j-4/0"]
 				w.mu.Unlock()
 				if most := slices.Max(there); (most > 0) != (tt.way == standin.In) {
 					w.t.Errorf("at most %d tasks of the cancelled job were on machines inside the hold", most)
 				}
-				if wait := next.Sub(w.began); !began || tt.way == standin.Out && wait < at(until) {
+				if wait := next.Sub(w.startedAt); !began || tt.way == standin.Out && wait < seconds(until) {
 					w.t.Errorf("the team's next job began at %v, while runs of the cancelled one were on their way", wait)
 				}
-				w.served()
+				w.checkAllServed()
 			})
 		})
 	}
@@ -324,32 +324,32 @@
 // has waited long when it begins. Urgent work that comes beside them begins soon all
 // the same, and none of them waits for ever.
 func TestOneTaskJobsThatWaitLongHoldUpNoUrgentWork(t *testing.T) {
-	s := schedule{seed: 7, lasts: at(150), most: 2}
+	s := schedule{seed: 7, duration: seconds(150), maxMachines: 2}
 	for n := range 90 {
-		s.users = append(s.users, user(1+n, 1+0.8*float64(n), float64(10+n*7%30), func(sp *wire.Spec) {
+		s.submissions = append(s.submissions, newSubmission(1+n, 1+0.8*float64(n), float64(10+n*7%30), func(sp *wire.Spec) {
 			sp.Cores, sp.Priority, sp.MachineTypes = 2, "standard", []string{"b"}
 		}))
 	}
 	for n := range 7 {
-		s.users = append(s.users, user(300+n, 20+15*float64(n), 15, func(sp *wire.Spec) {
+		s.submissions = append(s.submissions, newSubmission(300+n, 20+15*float64(n), 15, func(sp *wire.Spec) {
 			sp.Tasks, sp.Cores, sp.Priority, sp.MachineTypes = 3, 2, "high", []string{"b"}
 		}))
 	}
-	playOut(t, s, func(w *world) {
+	playSchedule(t, s, func(w *simulation) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		began := func(u submission, index int) (time.Duration, bool) {
-			when, ok := w.first[fmt.Sprintf("%s/%d", u.spec.UID, index)]
-			return when.Sub(w.began.Add(u.at)), ok
+			when, ok := w.firstStarts[fmt.Sprintf("%s/%d", u.spec.UID, index)]
+			return when.Sub(w.startedAt.Add(u.after)), ok
 		}
 		most := time.Duration(0)
-		for _, u := range s.users {
+		for _, u := range s.submissions {
 			for index := range u.spec.Tasks {
 				wait, ok := began(u, index)
 				switch {
-				case u.spec.Priority == "high" && (!ok || wait > at(40) || index == 0 && wait > at(25)):
+				case u.spec.Priority == "high" && (!ok || wait > seconds(40) || index == 0 && wait > seconds(25)):
 					w.t.Errorf("%s/%d is urgent and began after %v", u.spec.UID, index, wait)
-				case u.spec.Priority != "high" && u.at < at(40) && (!ok || wait > 4*time.Minute):
+				case u.spec.Priority != "high" && u.after < seconds(40) && (!ok || wait > 4*time.Minute):
 					w.t.Errorf("%s began after %v (%t)", u.spec.UID, wait, ok)
 				}
 				if u.spec.Priority != "high" {
@@ -357,7 +357,7 @@
 				}
 			}
 		}
-		if most < planinput.StarvedAfter.Duration()+at(10) {
+		if most < planinput.StarvedAfter.Duration()+seconds(10) {
 			w.t.Errorf("no job waited for longer than %v: there was room", most)
 		}
 	})
--- a/damaged_records_test.go
+++ b/damaged_records_test.go
@@ -15,23 +15,23 @@
 
 // A job whose record can't be decoded stays known and its tasks run on; the others are served.
 func TestJobWithADamagedRecord(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	ga, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
+	s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(ga)
 	s.settle(ga)
-	s.write(a, store.JobKey("j-1"), torn)
+	s.writeRecord(a, store.JobKey("j-1"), damagedRecord)
 	stop()
 	gb, _ := s.elect(b)
-	s.submit(b, spec("j-2", nil))
+	s.submit(b, jobSpec("j-2", nil))
 	s.resync(gb)
 	for range 3 {
 		heartbeat(t, gb, w)
 		heartbeat(t, gb, other)
-		s.lookUps(gb)
+		s.lookUpOrphans(gb)
 		s.settle(gb)
 		s.advance(15 * time.Second)
 	}
@@ -50,10 +50,10 @@
 			t.Errorf("%s of it: status %d, want that it can't be told now", method, code)
 		}
 	}
-	if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs, spec("j-1", nil)); code != http.StatusServiceUnavailable {
+	if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs, jobSpec("j-1", nil)); code != http.StatusServiceUnavailable {
 		t.Errorf("its submission again: status %d", code)
 	}
-	r := mustReport(t, gb)
+	r := mustRecoveryReport(t, gb)
 	if len(r.Damaged) != 1 || r.Damaged[0].Kind != recovery.DamageJob || r.Damaged[0].Job != "j-1" || len(r.Unrecorded) != 2 {
 		t.Errorf("operators are told %+v", r)
 	}
@@ -68,21 +68,21 @@
 		missing bool
 	}{{"unreadable", 2, false}, {"missing", 2, true}, {"unreadable, shared attempts", 1, false}, {"missing, shared attempts", 1, true}} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newSite(t)
+			s := newTestCluster(t)
 			a, b, c := s.node(nil), s.node(nil), s.node(nil)
 			ga, stop := s.elect(a)
 			w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 			heartbeat(t, ga, w)
-			s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = tt.tasks }))
-			s.submit(a, spec("j-2", nil)) // shares the record, where there is one
+			s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = tt.tasks }))
+			s.submit(a, jobSpec("j-2", nil)) // shares the record, where there is one
 			s.resync(ga)
 			s.settle(ga)
 			var whole store.JobRecord
 			s.state.Value(store.JobKey("j-1"), &whole)
 			if tt.missing {
-				s.remove(a, store.JobKey("j-1"))
+				s.deleteRecord(a, store.JobKey("j-1"))
 			} else {
-				s.write(a, store.JobKey("j-1"), torn)
+				s.writeRecord(a, store.JobKey("j-1"), damagedRecord)
 			}
 			stop()
 			gb, _ := s.elect(b)
@@ -94,12 +94,12 @@
 				s.advance(3 * time.Second)
 				s.settle(gb)
 			}
-			s.write(b, store.JobKey("j-1"), whole)
+			s.writeRecord(b, store.JobKey("j-1"), whole)
 			s.resync(gb)
 			for s.state.Value(store.KeyLead, nil) { // it gives the lead up
 				runtime.Gosched()
 			}
-			s.kill(b)
+			s.disconnect(b)
 			gc, _ := s.elect(c)
 			for range 8 {
 				heartbeat(t, gc, other)
@@ -121,7 +121,7 @@
 // rest starts only once every machine is accounted for, under numbers that were never used.
 func TestDamagedRecordOfAttempts(t *testing.T) {
 	for _, shared := range []bool{false, true} {
-		s := newSite(t)
+		s := newTestCluster(t)
 		tight := func(f *config.Facts) { f.Teams[0].CPUsMax = 8 }
 		a, b := s.node(tight), s.node(tight)
 		ga, stop := s.elect(a)
@@ -132,29 +132,29 @@
 			jobs, tasks = []string{"j-1", "j-2", "j-3"}, []string{"j-1/0", "j-2/0", "j-3/0"}
 		}
 		for _, uid := range jobs {
-			s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Tasks = len(tasks) / len(jobs) }))
+			s.submit(a, jobSpec(uid, func(sp *wire.Spec) { sp.Tasks = len(tasks) / len(jobs) }))
 		}
-		s.submit(a, spec("j-7", func(sp *wire.Spec) { sp.Kind, sp.Tasks = wire.KindService, 1 }))
+		s.submit(a, jobSpec("j-7", func(sp *wire.Spec) { sp.Kind, sp.Tasks = wire.KindService, 1 }))
 		s.resync(ga)
 		s.settle(ga)
 		key := store.ChunkKey("j-1", 0)
 		if shared {
 			key = s.state.Keys(store.PrefixShared)[0]
 		}
-		s.write(a, key, torn)
+		s.writeRecord(a, key, damagedRecord)
 		stop()
 		w.End(tasks[2], "lost") // gone without a trace
-		dropEnded(w, ga.term.Token)
+		forgetEnded(w, ga.term.Token)
 		gb, _ := s.elect(b)
 		if use := gb.quota.Usage("team").Total.Cores.Decimal(); use < 8 {
 			t.Fatalf("shared %t: the team uses %v, want that what may run counts", shared, use)
 		}
-		s.submit(b, spec("j-8", nil))
+		s.submit(b, jobSpec("j-8", nil))
 		s.resync(gb)
 		look := func() {
 			heartbeat(t, gb, w)
 			heartbeat(t, gb, other)
-			s.lookUps(gb)
+			s.lookUpOrphans(gb)
 			s.settle(gb)
 		}
 		look()
@@ -203,17 +203,17 @@
 // A machine that has not shown the new leader's token may yet get an old command: nothing of an
 // unreadable record starts while its lease may last, though it answers questions.
 func TestUnaccountedMachineKeepsTasksBack(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	ga, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 3 }))
+	s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = 3 }))
 	s.resync(ga)
 	s.settle(ga)
-	s.write(a, store.ChunkKey("j-1", 0), torn)
+	s.writeRecord(a, store.ChunkKey("j-1", 0), damagedRecord)
 	w.End("j-1/2", "lost")
-	dropEnded(w, ga.term.Token)
+	forgetEnded(w, ga.term.Token)
 	stop()
 	gb, _ := s.elect(b)
 	for i := range 10 {
@@ -228,7 +228,7 @@
 	if got := len(w.Starts()) + len(other.Starts()); got != 3 {
 		t.Fatalf("%d starts, want only those of the first leader", got)
 	}
-	if r := mustReport(t, gb); r.Attempts.Unreadable != 1 {
+	if r := mustRecoveryReport(t, gb); r.Attempts.Unreadable != 1 {
 		t.Errorf("operators are told of %d unreadable tasks, want the one that is not seen to run", r.Attempts.Unreadable)
 	}
 	for range 8 {
@@ -245,16 +245,16 @@
 // The record that can't be decoded is not written over before all of its tasks are known: a
 // leader that ends in between leaves its successor what it found.
 func TestLeaderEndsWhileARecordIsUnreadable(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b, c := s.node(nil), s.node(nil), s.node(nil)
 	ga, stop := s.elect(a)
 	first, second, free := s.worker("n-1", "x", true), s.worker("n-2", "x", true), s.worker("n-3", "y", true)
 	heartbeat(t, ga, first)
 	heartbeat(t, ga, second)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 2, 8 }))
+	s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 2, 8 }))
 	s.resync(ga)
 	s.settle(ga)
-	s.write(a, store.ChunkKey("j-1", 0), torn)
+	s.writeRecord(a, store.ChunkKey("j-1", 0), damagedRecord)
 	stop()
 	gb, stop := s.elect(b)
 	heartbeat(t, gb, first) // the other does not find this leader
@@ -287,15 +287,15 @@
 
 // Nothing of what can be made anew keeps a leader from leading.
 func TestDamagedCatalogue(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	_, stop := s.elect(a)
-	s.write(a, store.KeyCatalog, torn)
-	s.write(a, store.KeyDemand, torn)
-	s.write(a, "j/not a job", torn)
+	s.writeRecord(a, store.KeyCatalog, damagedRecord)
+	s.writeRecord(a, store.KeyDemand, damagedRecord)
+	s.writeRecord(a, "j/not a job", damagedRecord)
 	stop()
 	l, _ := s.elect(b)
-	if r := mustReport(t, l); len(r.Damaged) != 3 || r.Stage != recovery.StageComplete {
+	if r := mustRecoveryReport(t, l); len(r.Damaged) != 3 || r.Stage != recovery.StageComplete {
 		t.Errorf("operators are told %+v", r)
 	}
 	if err := l.readCatalog(t.Context()); err != nil || l.catalogRevision == 0 {
--- a/failover_test.go
+++ b/failover_test.go
@@ -19,12 +19,12 @@
 // A new leader takes placements over and starts nothing twice, even for a
 // worker that it can't reach until the lease has run out.
 func TestLeaderChange(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	ga, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", nil))
+	s.submit(a, jobSpec("j-1", nil))
 	s.resync(ga)
 	s.settle(ga)
 	stop()
@@ -59,12 +59,12 @@
 
 // Two leaders and a worker behind a cut: a late transaction of the old one fails.
 func TestOldLeadersLateTransaction(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	ga, stop := s.elect(a)
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", nil))
+	s.submit(a, jobSpec("j-1", nil))
 	s.resync(ga)
 	ga.mu.Lock()
 	ga.runPlan(ga.clock.Now())
@@ -88,13 +88,13 @@
 // A controller back within a moment does not wait for its own earlier lease to
 // lapse, and nothing that its predecessor left under way counts for it.
 func TestControllerBackWithinAMoment(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, _ := s.elect(n)
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, l, w)
 	before := l.term
-	s.submit(n, spec("j-1", nil))
+	s.submit(n, jobSpec("j-1", nil))
 	s.resync(l)
 	s.state.DelayNext() // the old process's record of a placement arrives late
 	ctx, cancel := context.WithCancel(t.Context())
@@ -105,8 +105,8 @@
 		cancel()
 	}()
 	l.pass(ctx)
-	s.kill(n)
-	s.nodes-- // the same node again
+	s.disconnect(n)
+	s.nodeCount-- // the same node again
 	again := s.node(nil)
 	ga, _ := s.elect(again) // the clock stands still: no lease lapses
 	if ga.term.Token <= before.Token {
@@ -126,19 +126,19 @@
 // Runs or stays known: after refusals, an outage and a change of leaders have
 // ended, each accepted job is answered for by every node, and runs.
 func TestEveryJobIsAnsweredForAfterTroubles(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	ga, stop := s.elect(a)
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, ga, w)
 	uids := []string{"j-1", "j-2", "j-3"}
-	s.submit(a, spec("j-1", nil))
+	s.submit(a, jobSpec("j-1", nil))
 	s.resync(ga)
 	s.settle(ga)
-	s.submit(b, spec("j-2", nil))
+	s.submit(b, jobSpec("j-2", nil))
 	s.state.Refuse("", true)
 	for _, n := range []*Service{a, b} {
-		code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-3", nil))
+		code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec("j-3", nil))
 		if code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 			t.Fatalf("submission in an outage: %d, Retry-After %q", code, head.Get("Retry-After"))
 		}
@@ -146,7 +146,7 @@
 	s.state.Refuse("", false)
 	stop()
 	// The same submission later succeeds, at any node.
-	s.submit(b, spec("j-3", nil))
+	s.submit(b, jobSpec("j-3", nil))
 	gb, _ := s.elect(b)
 	heartbeat(t, gb, w)
 	s.resync(gb)
@@ -171,9 +171,9 @@
 // worker under a lead that it does not know to have; the token under which one does
 // is the one on record and above all that were there before, also the next leader's.
 func TestLeadTakenWithoutAnAnswer(t *testing.T) {
-	for _, tr := range mishaps[1:] {
+	for _, tr := range transactionFaults[1:] {
 		t.Run(tr.name, func(t *testing.T) {
-			s := newSite(t)
+			s := newTestCluster(t)
 			a, b := s.node(nil), s.node(nil)
 			token := func() uint64 {
 				var on store.TokenRecord
@@ -195,13 +195,13 @@
 				t.Errorf("another node answers %d", code)
 			}
 			// The candidate waits before it tries again.
-			if err := s.clk.BlockUntilContext(t.Context(), 1); err != nil {
+			if err := s.clock.BlockUntilContext(t.Context(), 1); err != nil {
 				t.Fatal(err)
 			}
 			if _, ok := a.elector.MayAnswerHeartbeats(); ok {
 				t.Error("answers workers under a lead that it does not know to have")
 			}
-			s.clk.Advance(500 * time.Millisecond)
+			s.clock.Advance(500 * time.Millisecond)
 			r := <-ready
 			s.state.Deliver() // the first attempt, under a lease that was given up
 			var key store.LeadRecord
@@ -231,9 +231,9 @@
 // go through all the same: without them no run in doubt is ever ruled out, so that
 // what a cancelled task takes counts for ever while its machine reports.
 func TestTokenRaisedAfterALateRaise(t *testing.T) {
-	s, n, l, w := alone(t)
+	s, n, l, w := clusterWithWorker(t)
 	w.KeepNext()
-	s.submit(n, spec("j-1", nil))
+	s.submit(n, jobSpec("j-1", nil))
 	s.resync(l)
 	l.mu.Lock()
 	l.dispatcher.TokenRaised(l.clock.Now()) // no raise yet
@@ -281,10 +281,10 @@
 	for _, late := range []bool{true, false} {
 		for _, pieces := range []int{1, 2} {
 			t.Run(fmt.Sprintf("late %t, %d tasks", late, pieces), func(t *testing.T) {
-				s := newSite(t)
+				s := newTestCluster(t)
 				a, b := s.node(nil), s.node(nil)
 				l, stop := s.elect(a)
-				s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = pieces }))
+				s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = pieces }))
 				s.resync(l)
 				w, other := s.worker("n-000200", "x", true), s.worker("n-000201", "y", true)
 				heartbeat(t, l, w)
@@ -345,7 +345,7 @@
 				if err := l.readMachineList(t.Context()); err != nil {
 					t.Fatal(err)
 				}
-				if got := s.cloud.Returns(); len(got) != 0 || !s.usable(l, "n-000200") {
+				if got := s.cloud.Returns(); len(got) != 0 || !s.machineUsable(l, "n-000200") {
 					t.Errorf("a machine that no list shows yet is given up: returned %v", got)
 				}
 			})
@@ -357,12 +357,12 @@
 // answer may have been heard, so the tasks are started nowhere else for as long as
 // the sessions may go on, and as soon as the worker's new session proves the end.
 func TestMachineThatDoesNotHearTheNewLeader(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	l, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, l, w)
-	s.submit(a, spec("j-1", nil))
+	s.submit(a, jobSpec("j-1", nil))
 	s.resync(l)
 	s.settle(l)
 	stop()
@@ -393,13 +393,13 @@
 // service, and controllers are back within a moment. Jobs of two and three tasks end
 // far apart meanwhile, each task once, and are done when all of them are.
 func TestTenLeadersWhileTasksEndFarApart(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	nodes := []*Service{s.node(nil), s.node(nil)}
 	l, stop := s.elect(nodes[0])
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, l, w)
-	s.submit(nodes[0], spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
-	s.submit(nodes[0], spec("j-2", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 3, 1 }))
+	s.submit(nodes[0], jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
+	s.submit(nodes[0], jobSpec("j-2", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 3, 1 }))
 	s.resync(l)
 	s.settle(l)
 	ends := map[int]string{1: "j-1/0", 3: "j-2/0", 5: "j-2/1", 7: "j-1/1", 9: "j-2/2"}
@@ -417,14 +417,14 @@
 		}
 		if k%4 == 0 {
 			s.state.Refuse("", true)
-			s.clk.Advance(9 * time.Second)
+			s.clock.Advance(9 * time.Second)
 			if rep := w.Report(); len(rep.Tasks) == 0 {
 				t.Fatal("no tasks")
 			}
 		}
 		stop()
 		s.state.Refuse("", false)
-		s.clk.Advance(6 * time.Second) // what could not be dropped lapses
+		s.clock.Advance(6 * time.Second) // what could not be dropped lapses
 		l, stop = s.elect(nodes[k%2])
 		if l.term.Token <= last {
 			t.Fatalf("token %d after %d", l.term.Token, last)
@@ -456,17 +456,17 @@
 // nothing on the word of records, until the machines report or cannot have gone on,
 // and then everything once.
 func TestAllControllersAwayForLongerThanTheLease(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, stop := s.elect(n)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, l, w)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
+	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(l)
 	s.settle(l)
 	stop()
-	s.clk.Advance(40 * time.Second)
-	s.nodes--
+	s.clock.Advance(40 * time.Second)
+	s.nodeCount--
 	l, _ = s.elect(s.node(nil))
 	heartbeat(t, l, other)
 	s.settle(l)
--- a/fleet_of_four_thousand_test.go
+++ b/fleet_of_four_thousand_test.go
@@ -10,26 +10,26 @@
 // and every job is served.
 func TestFourThousandMachines(t *testing.T) {
 	t.Parallel()
-	s := schedule{seed: 1, lasts: at(100), leads: 1, most: sceneMost, users: largeWork(),
-		timing: timing{report: 6 * time.Second, lease: 24 * time.Second, cancel: 60 * time.Second}}
-	s.users[0].cancelAt = at(60) // in the outage, or right after it
-	s.troubles = []trouble{
-		{kind: killNode, at: at(32), lasts: at(1), node: 3},
-		{kind: refuseAll, at: at(50), lasts: at(12)},
-		{kind: cutZone, at: at(70), lasts: at(30), which: 0},
+	s := schedule{seed: 1, duration: seconds(100), firstLeader: 1, maxMachines: maxSimulatedFleet, submissions: largeFleetSubmissions(),
+		timing: workerTiming{report: 6 * time.Second, lease: 24 * time.Second, cancel: 60 * time.Second}}
+	s.submissions[0].cancelAfter = seconds(60) // in the outage, or right after it
+	s.faults = []fault{
+		{kind: controllerKilled, at: seconds(32), duration: seconds(1), controller: 3},
+		{kind: stateRefusesAll, at: seconds(50), duration: seconds(12)},
+		{kind: zoneIsolated, at: seconds(70), duration: seconds(30), machine: 0},
 	}
-	s.setup = func(w *world) {
-		w.useSmallMachines()
-		w.during(30, func() {
-			if n := w.up(); n < sceneFleet {
-				t.Errorf("%d machines are up before the troubles, want %d", n, sceneFleet)
+	s.setup = func(w *simulation) {
+		w.rentSmallMachinesOnly()
+		w.runAt(30, func() {
+			if n := w.bootedMachines(); n < simulatedFleet {
+				t.Errorf("%d machines are up before the troubles, want %d", n, simulatedFleet)
 			}
 		})
-		w.during(69, func() { w.largeServicesRun("before the zone is lost") })
+		w.runAt(69, func() { w.checkLargeServices("before the zone is lost") })
 	}
-	playOut(t, s, func(w *world) {
-		w.largeServicesRun("at the end")
-		w.served()
+	playSchedule(t, s, func(w *simulation) {
+		w.checkLargeServices("at the end")
+		w.checkAllServed()
 	})
 }
 
@@ -38,35 +38,35 @@
 // asked for little more than the records.
 func TestTotalLossOfFourThousandMachines(t *testing.T) {
 	t.Parallel()
-	h := &histories{}
-	x := totalLoss{lossAt: 40, spell: 6, returns: 3}
-	s := schedule{seed: 1, lasts: at(80), leads: 1, most: sceneMost, users: largeWork(), watch: h.watch,
-		timing: timing{report: 6 * time.Second, lease: 30 * time.Second, cancel: 60 * time.Second}}
+	h := &eventLog{}
+	x := totalLoss{lossAtS: 40, outageS: 6, returning: 3}
+	s := schedule{seed: 1, duration: seconds(80), firstLeader: 1, maxMachines: maxSimulatedFleet, submissions: largeFleetSubmissions(), onEvent: h.record,
+		timing: workerTiming{report: 6 * time.Second, lease: 30 * time.Second, cancel: 60 * time.Second}}
 	for node := range 3 {
-		s.troubles = append(s.troubles, trouble{kind: killNode, at: at(x.lossAt), lasts: at(x.spell + 0.2*float64(node)), node: node})
+		s.faults = append(s.faults, fault{kind: controllerKilled, at: seconds(x.lossAtS), duration: seconds(x.outageS + 0.2*float64(node)), controller: node})
 	}
-	f := lossFigures{Scene: "four thousand machines, 3 back after 6.0 s"}
-	s.setup = func(w *world) {
-		w.useSmallMachines()
+	f := lossMeasurements{Scene: "four thousand machines, 3 back after 6.0 s"}
+	s.setup = func(w *simulation) {
+		w.rentSmallMachinesOnly()
 		told := w.cloud.Told
-		w.cloud.Told = func(what string) { told(what); h.told(what) }
-		w.during(x.lossAt, func() {
-			if n := w.up(); n < sceneFleet {
-				t.Errorf("%d machines are up before the loss, want %d", n, sceneFleet)
+		w.cloud.Told = func(what string) { told(what); h.recordCloud(what) }
+		w.runAt(x.lossAtS, func() {
+			if n := w.bootedMachines(); n < simulatedFleet {
+				t.Errorf("%d machines are up before the loss, want %d", n, simulatedFleet)
 			}
 		})
 		w.wg.Go(func() { w.measureLoss(x, h, &f) })
 	}
-	var w *world
-	playOut(t, s, func(played *world) {
+	var w *simulation
+	playSchedule(t, s, func(played *simulation) {
 		w = played
-		w.largeServicesRun("at the end")
-		w.served()
+		w.checkLargeServices("at the end")
+		w.checkAllServed()
 	})
-	lost := x.lost(w)
-	back := lost.Add(at(x.spell))
-	f.Commands = h.counts(back, back.Add(recoverySpan))
-	for _, fault := range h.faults(lost, back, back.Add(recoverySpan), func(uid string) bool { return w.facts[uid].asked }) {
+	lost := x.lostAt(w)
+	back := lost.Add(seconds(x.outageS))
+	f.Commands = h.count(back, back.Add(recoveryCheckTime))
+	for _, fault := range h.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return w.views[uid].cancelRequested }) {
 		t.Error(fault)
 	}
 	if f.Commands.Rentals > 0 || f.Commands.Halts > 0 {
@@ -76,7 +76,7 @@
 		t.Errorf("all goes on %.2f s after the first return, want within %v s", f.AllGoingS, allGoingWithin)
 	}
 	t.Log(f)
-	if err := keepFigures(f); err != nil {
+	if err := saveMeasurements(f); err != nil {
 		t.Error(err)
 	}
 }
--- a/fleet_size_norace_test.go
+++ b/fleet_size_norace_test.go
@@ -2,5 +2,5 @@
 
 package cedardoor
 
-// sceneFleet is how many machines the large scene has.
-const sceneFleet = 4000
+// simulatedFleet is how many machines the large scene has.
+const simulatedFleet = 4000
--- a/harness_checks_test.go
+++ b/harness_checks_test.go
@@ -13,34 +13,34 @@
 	"cedardoor/wire"
 )
 
-func (w *world) note(format string, args ...any) {
+func (w *simulation) logf(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.history = append(w.history, fmt.Sprintf("%8.3f ", time.Since(w.began).Seconds())+fmt.Sprintf(format, args...))
+	w.history = append(w.history, fmt.Sprintf("%8.3f ", time.Since(w.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (w *world) breach(rule, format string, args ...any) {
+func (w *simulation) recordViolation(rule, format string, args ...any) {
 	text := rule + ": " + fmt.Sprintf(format, args...)
-	w.note("BROKEN %s", text)
+	w.logf("BROKEN %s", text)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.broken = append(w.broken, fmt.Sprintf("at %.3f s ", time.Since(w.began).Seconds())+text)
+	w.violations = append(w.violations, fmt.Sprintf("at %.3f s ", time.Since(w.startedAt).Seconds())+text)
 }
 
-// watch looks at the machines, and lets holds of the state service lapse, all the time.
-func (w *world) watch() {
+// monitor looks at the machines, and lets holds of the state service lapse, all the time.
+func (w *simulation) monitor() {
 	for w.ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
 		w.state.Keys("lead")
-		for uid, since := range w.overdue() {
-			for _, m := range w.holders(uid) {
-				for _, p := range liveOf(m, uid) {
+		for uid, since := range w.overdueCancellations() {
+			for _, m := range w.hostsOf(uid) {
+				for _, p := range liveTasks(m, uid) {
 					w.mu.Lock()
-					told := w.sorry[p]
-					w.sorry[p] = true
+					told := w.reportedLate[p]
+					w.reportedLate[p] = true
 					w.mu.Unlock()
 					if !told {
-						w.breach("ran_cancelled", "%s is on %s %v after its user was told that it is cancelled", p, m.Host.UID, time.Since(since))
+						w.recordViolation("ran_cancelled", "%s is on %s %v after its user was told that it is cancelled", p, m.Host.UID, time.Since(since))
 					}
 				}
 			}
@@ -48,24 +48,24 @@
 	}
 }
 
-// overdue lists the jobs whose users were told longer than the allowed time ago that
+// overdueCancellations lists the jobs whose users were told longer than the allowed time ago that
 // they are cancelled, with when that was.
-func (w *world) overdue() map[string]time.Time {
+func (w *simulation) overdueCancellations() map[string]time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]time.Time{}
-	for uid, f := range w.facts {
-		if f.cancelled && time.Since(f.cancelledAt) > w.s.timing.cancel {
+	for uid, f := range w.views {
+		if f.cancelled && time.Since(f.cancelledAt) > w.schedule.timing.cancel {
 			out[uid] = f.cancelledAt
 		}
 	}
 	return out
 }
 
-// books tells what the leader thinks of a job and the machines, to explain a
+// describeLeaderState tells what the leader thinks of a job and the machines, to explain a
 // breach that was found without it.
-func (w *world) books(uid string) string {
-	p := w.running(fmt.Sprintf("node-%d", w.leader()+1))
+func (w *simulation) describeLeaderState(uid string) string {
+	p := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1))
 	if p == nil {
 		return "nobody leads"
 	}
@@ -96,28 +96,28 @@
 	return text
 }
 
-// judge looks at what is left when all has been quiet for a while.
-func (w *world) judge() {
-	for _, u := range w.s.users {
+// checkFinalState looks at what is left when all has been quiet for a while.
+func (w *simulation) checkFinalState() {
+	for _, u := range w.schedule.submissions {
 		uid := u.spec.UID
 		w.mu.Lock()
-		f := *w.facts[uid]
+		f := *w.views[uid]
 		w.mu.Unlock()
 		if !f.accepted {
 			continue
 		}
 		for n := range 3 {
-			if status, v := w.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); status != http.StatusOK {
-				w.breach("forgotten", "%s: %d %+v from node %d after all troubles", uid, status, v, n+1)
+			if status, v := w.request(n, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); status != http.StatusOK {
+				w.recordViolation("forgotten", "%s: %d %+v from node %d after all troubles", uid, status, v, n+1)
 			}
 		}
 	}
 	// What came free a moment ago is on its way to somebody, and a task that is being
 	// moved does not wait: what counts is the same room for the same task, all the time.
-	still := w.waiting(false)
+	still := w.unplacedTasks(false)
 	for range 20 {
 		time.Sleep(250 * time.Millisecond)
-		now := w.waiting(false)
+		now := w.unplacedTasks(false)
 		for p, why := range still {
 			if why = slices.DeleteFunc(why, func(x string) bool { return !slices.Contains(now[p], x) }); len(why) == 0 {
 				delete(still, p)
@@ -129,22 +129,22 @@
 	for p, why := range still {
 		uid, _, _ := strings.Cut(p, "/")
 		// Its user may have stopped asking before it was done.
-		if _, v := w.ask(0, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); v.Status != wire.JobDone {
-			w.breach("waits", "%s waits %v: %s", p, why, w.books(uid))
+		if _, v := w.request(0, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); v.Status != wire.JobDone {
+			w.recordViolation("waits", "%s waits %v: %s", p, why, w.describeLeaderState(uid))
 		}
 	}
 }
 
-// longWait is how long no task of a job may begin that could have a machine: the
+// maxGangWait is how long no task of a job may begin that could have a machine: the
 // rules give it 90 s while a machine has room, and one for it takes some to boot.
-const longWait = 80 * time.Second
+const maxGangWait = 80 * time.Second
 
-// waiting names the tasks that are on no machine though one has room for them
+// unplacedTasks names the tasks that are on no machine though one has room for them
 // and their team's limit allows it, with all such room; with rent also those for which the cloud would
 // rent one, and without it those of a job that is to be in one zone or apart of which
 // nothing has begun for long, too. A task that was done on a machine that was lost
 // with the result must run again, unless its job is called done.
-func (w *world) waiting(rent bool) map[string][]string {
+func (w *simulation) unplacedTasks(rent bool) map[string][]string {
 	out := map[string][]string{}
 	on := map[string]bool{}
 	used := map[string]float64{}
@@ -162,30 +162,30 @@
 			zones[uid][m.Host.Zone]++
 		}
 	}
-	for _, u := range w.s.users {
+	for _, u := range w.schedule.submissions {
 		sp := &u.spec
 		w.mu.Lock()
-		f := *w.facts[sp.UID]
-		over := w.left[sp.UID] == 0
+		f := *w.views[sp.UID]
+		over := w.remainingTasks[sp.UID] == 0
 		w.mu.Unlock()
-		if limit := w.limit(sp.Team); !f.accepted || f.done || f.cancelled || f.asked || u.fails || limit > 0 && used[sp.Team]+sp.Cores > limit {
+		if limit := w.teamLimit(sp.Team); !f.accepted || f.done || f.cancelled || f.cancelRequested || u.alwaysFails || limit > 0 && used[sp.Team]+sp.Cores > limit {
 			continue
 		}
 		for i := range sp.Tasks {
 			p := fmt.Sprintf("%s/%d", sp.UID, i)
 			w.mu.Lock()
-			done := w.done[p] && !over
+			done := w.doneTasks[p] && !over
 			w.mu.Unlock()
 			if done || on[p] {
 				continue
 			}
-			if (rent || (sp.SameZone || sp.Spread) && time.Since(f.moved) > longWait) && len(all) < w.cloud.Most {
+			if (rent || (sp.SameZone || sp.Spread) && time.Since(f.lastProgress) > maxGangWait) && len(all) < w.cloud.Most {
 				out[p] = append(out[p], "though the cloud rents machines")
 			}
 			for _, m := range all {
 				h := m.Host
 				w.mu.Lock()
-				faulty := w.faulty[m]
+				faulty := w.failingMachines[m]
 				w.mu.Unlock()
 				z := zones[sp.UID]
 				if sp.SameZone && len(z) > 0 && z[h.Zone] == 0 || sp.Spread && z[h.Zone] >= (sp.Tasks+1)/2 {
@@ -201,15 +201,15 @@
 	return out
 }
 
-// served fails the test unless every batch job is done and all replicas run, but
+// checkAllServed fails the test unless every batch job is done and all replicas run, but
 // for what was cancelled.
-func (w *world) served() {
-	for _, u := range w.s.users {
+func (w *simulation) checkAllServed() {
+	for _, u := range w.schedule.submissions {
 		w.mu.Lock()
-		f := *w.facts[u.spec.UID]
+		f := *w.views[u.spec.UID]
 		w.mu.Unlock()
 		running := 0
-		for _, n := range w.on(u.spec.UID) {
+		for _, n := range w.tasksByZone(u.spec.UID) {
 			running += n
 		}
 		switch {
@@ -223,14 +223,14 @@
 	}
 }
 
-// waits tells whether tasks of a job that its user knows to be accepted are on no machine.
-func (w *world) waits(uid string) bool {
+// hasUnplacedTasks tells whether tasks of a job that its user knows to be accepted are on no machine.
+func (w *simulation) hasUnplacedTasks(uid string) bool {
 	running := 0
-	for _, n := range w.on(uid) {
+	for _, n := range w.tasksByZone(uid) {
 		running += n
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := w.facts[uid]
-	return f.accepted && !f.asked && !f.done && w.left[uid] > running
+	f := w.views[uid]
+	return f.accepted && !f.cancelRequested && !f.done && w.remainingTasks[uid] > running
 }
--- a/harness_clusters_test.go
+++ b/harness_clusters_test.go
@@ -10,10 +10,10 @@
 	"cedardoor/wire"
 )
 
-// alone is a site with one leading node and a worker that has reported.
-func alone(t *testing.T) (*site, *Service, *leader, *standin.Worker) {
+// clusterWithWorker is a site with one leading node and a worker that has reported.
+func clusterWithWorker(t *testing.T) (*testCluster, *Service, *leader, *standin.Worker) {
 	t.Helper()
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, _ := s.elect(n)
 	w := s.worker("n-1", "x", true)
@@ -21,10 +21,10 @@
 	return s, n, l, w
 }
 
-// crew is a leader with so many workers, on which the given jobs fail.
-func crew(t *testing.T, n int, bad ...string) (*site, *Service, *leader, []*standin.Worker) {
+// clusterWithWorkers is a leader with so many workers, on which the given jobs fail.
+func clusterWithWorkers(t *testing.T, n int, bad ...string) (*testCluster, *Service, *leader, []*standin.Worker) {
 	t.Helper()
-	s := newSite(t)
+	s := newTestCluster(t)
 	node := s.node(nil)
 	l, _ := s.elect(node)
 	var ws []*standin.Worker
@@ -39,24 +39,24 @@
 	return s, node, l, ws
 }
 
-// gap is a site of three joined controllers of which the first leads, with a
+// connectedCluster is a site of three joined controllers of which the first leads, with a
 // worker that runs a task each of j-1 and j-2.
-func gap(t *testing.T) (s *site, nodes []*Service, l *leader, w *standin.Worker) {
+func connectedCluster(t *testing.T) (s *testCluster, nodes []*Service, l *leader, w *standin.Worker) {
 	t.Helper()
-	s = newSite(t)
+	s = newTestCluster(t)
 	for range 3 {
 		nodes = append(nodes, s.node(nil))
 	}
-	s.join(nodes...)
+	s.connectWithIsolation(nodes...)
 	l, _ = s.elect(nodes[0])
 	nodes[0].current.Store(l)
 	w = s.worker("n-1", "x", true)
 	heartbeat(t, l, w)
 	for _, uid := range []string{"j-1", "j-2"} {
-		s.submit(nodes[1], spec(uid, nil))
+		s.submit(nodes[1], jobSpec(uid, nil))
 	}
 	for _, n := range nodes { // each has had an answer from the state service since it began
-		s.status(n, "j-1", wire.JobQueued)
+		s.checkStatus(n, "j-1", wire.JobQueued)
 	}
 	s.resync(l)
 	s.settle(l)
@@ -67,31 +67,31 @@
 	return s, nodes, l, w
 }
 
-// ledWork is a platform whose first leader has placed what it could of a job.
-func ledWork(t *testing.T, n *Service, s *site, tasks int) (l *leader, w *standin.Worker, stop func()) {
+// leadWithJob is a platform whose first leader has placed what it could of a job.
+func leadWithJob(t *testing.T, n *Service, s *testCluster, tasks int) (l *leader, w *standin.Worker, stop func()) {
 	t.Helper()
 	l, stop = s.elect(n)
 	w = s.worker("n-1", "x", true)
 	heartbeat(t, l, w)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = tasks }))
+	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = tasks }))
 	s.resync(l)
 	s.settle(l)
 	heartbeat(t, l, w)
 	return l, w, stop
 }
 
-// adopted is a new leader that has read the records of so many machines with
+// adoptedFleet is a new leader that has read the records of so many machines with
 // the given tasks on each, all of them of predecessors.
-func adopted(t testing.TB, machines, tasks int) (*site, *leader) {
+func adoptedFleet(t testing.TB, machines, tasks int) (*testCluster, *leader) {
 	t.Helper()
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, _ := s.elect(n)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	for k := range tasks {
-		sp := spec(fmt.Sprintf("j-%d", k), func(sp *wire.Spec) {
+		sp := jobSpec(fmt.Sprintf("j-%d", k), func(sp *wire.Spec) {
 			sp.Tasks, sp.Cores, sp.RAM = machines, 1, 1
 			if k%2 == 0 {
 				sp.Kind, sp.Priority, sp.Preemptible = wire.KindService, "critical", false
@@ -116,8 +116,8 @@
 	return s, l
 }
 
-// report is what the i-th machine of an adopted fleet says.
-func report(i, tasks int, tally, token uint64) *wire.Heartbeat {
+// fleetReport is what the i-th machine of an adopted fleet says.
+func fleetReport(i, tasks int, tally, token uint64) *wire.Heartbeat {
 	b := &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: tally, Token: token}
 	for k := range tasks {
 		b.Tasks = append(b.Tasks, wire.TaskReport{Task: fmt.Sprintf("j-%d/%d", k, i), Attempt: 1, Status: wire.TaskRunning})
@@ -125,12 +125,12 @@
 	return b
 }
 
-// ledFleet is a leader that trusts machines with tasks on each.
-func ledFleet(tb testing.TB, machines, tasks int) (*site, *leader) {
-	s, l := adopted(tb, machines, tasks)
+// trustedFleet is a leader that trusts machines with tasks on each.
+func trustedFleet(tb testing.TB, machines, tasks int) (*testCluster, *leader) {
+	s, l := adoptedFleet(tb, machines, tasks)
 	for tally, token := range []uint64{0, l.term.Token, l.term.Token} {
 		for i := range machines {
-			rep := report(i, tasks, uint64(tally)+1, token)
+			rep := fleetReport(i, tasks, uint64(tally)+1, token)
 			if _, ok := l.Heartbeat(rep); !ok {
 				tb.Fatal("beat not answered")
 			}
--- a/harness_controllers_test.go
+++ b/harness_controllers_test.go
@@ -24,25 +24,25 @@
 	*Service
 	name string
 	stop func()
-	dead bool
+	stopped bool
 }
 
-// running gives the process that a controller runs, if any.
-func (w *world) running(name string) *process {
+// runningProcess gives the process that a controller runs, if any.
+func (w *simulation) runningProcess(name string) *process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, p := range w.nodes {
-		if p.name == name && !p.dead {
+	for _, p := range w.processes {
+		if p.name == name && !p.stopped {
 			return p
 		}
 	}
 	return nil
 }
 
-// leader is the place of the controller that leads, or 0.
-func (w *world) leader() int {
+// leaderIndex is the place of the controller that leads, or 0.
+func (w *simulation) leaderIndex() int {
 	for i := range 3 {
-		if p := w.running(fmt.Sprintf("node-%d", i+1)); p != nil {
+		if p := w.runningProcess(fmt.Sprintf("node-%d", i+1)); p != nil {
 			if _, ok := p.elector.HoldsLease(); ok {
 				return i
 			}
@@ -51,9 +51,9 @@
 	return 0
 }
 
-// token is what the leader was given when it took the lead, or 0.
-func (w *world) token() uint64 {
-	if p := w.running(fmt.Sprintf("node-%d", w.leader()+1)); p != nil {
+// leaderToken is what the leader was given when it took the lead, or 0.
+func (w *simulation) leaderToken() uint64 {
+	if p := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1)); p != nil {
 		if l := p.current.Load(); l != nil {
 			return l.term.Token
 		}
@@ -61,15 +61,15 @@
 	return 0
 }
 
-// dialMu keeps meetings that are played at the same time from taking each other's network.
-var dialMu sync.Mutex
+// dialMutex keeps meetings that are played at the same time from taking each other's network.
+var dialMutex sync.Mutex
 
-// launch starts a controller as a new process, in the place of an earlier one.
-func (w *world) launch(i int) {
+// startController starts a controller as a new process, in the place of an earlier one.
+func (w *simulation) startController(i int) {
 	name := fmt.Sprintf("node-%d", i+1)
 	w.mu.Lock()
-	w.born++
-	from := fmt.Sprintf("%s/%d", name, w.born)
+	w.processCount++
+	from := fmt.Sprintf("%s/%d", name, w.processCount)
 	w.mu.Unlock()
 	cfg := &config.Platform{Node: name, Area: "x", ClientListen: name + ":80", Back: name + ":90"}
 	cfg.Outside.State, cfg.Outside.Cloud = "state:1", "cloud:1"
@@ -81,32 +81,32 @@
 	}
 	cfg.Facts = config.Facts{InitialSize: 3, Zones: []string{"x", "y"},
 		Teams:   []config.Team{{Name: "free"}, {Name: "tight", CPUsMax: tightLimit}},
-		Workers: config.Workers{ReportS: w.s.timing.report.Seconds(), LeaseS: w.s.timing.lease.Seconds(), CancelS: w.s.timing.cancel.Seconds()},
+		Workers: config.Workers{ReportS: w.schedule.timing.report.Seconds(), LeaseS: w.schedule.timing.lease.Seconds(), CancelS: w.schedule.timing.cancel.Seconds()},
 		State:   config.State{RPS: 2000, WriteRPS: 1000, ValueKB: 8, TxnOps: 24},
 		Cloud:   config.Cloud{RPS: 100, ListLagS: 2},
 		Limits:  config.Limits{CoreShare: 1, MemMB: 200, FDLimit: 500}}
-	for _, team := range slices.Sorted(maps.Keys(w.s.limits)) {
-		cfg.Facts.Teams = append(cfg.Facts.Teams, config.Team{Name: team, CPUsMax: w.s.limits[team], CPUs: w.s.floors[team]})
+	for _, team := range slices.Sorted(maps.Keys(w.schedule.limits)) {
+		cfg.Facts.Teams = append(cfg.Facts.Teams, config.Team{Name: team, CPUsMax: w.schedule.limits[team], CPUs: w.schedule.guarantees[team]})
 	}
 	operator, err := config.LoadOperator("")
 	if err != nil {
 		w.t.Error(err)
 		return
 	}
-	dialMu.Lock()
+	dialMutex.Lock()
 	realDial := link.Dial
-	link.Dial = w.net.Dialer(from)
+	link.Dial = w.network.Dialer(from)
 	n := newService(cfg, operator, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(standin.NewSteady()))
 	link.Dial = realDial
-	dialMu.Unlock()
-	if w.s.ledger != nil {
-		n.newLedger = w.s.ledger
+	dialMutex.Unlock()
+	if w.schedule.newLedger != nil {
+		n.newLedger = w.schedule.newLedger
 	}
-	if w.s.lose != nil {
+	if w.schedule.alterRecords != nil {
 		n.readRecords = func(ctx context.Context, source recovery.Source) (*recovery.Records, error) {
 			records, err := recovery.Read(ctx, source)
 			if err == nil {
-				w.s.lose(records)
+				w.schedule.alterRecords(records)
 			}
 			return records, err
 		}
@@ -116,15 +116,15 @@
 	p := &process{Service: n, name: name}
 	p.stop = func() {
 		w.mu.Lock()
-		p.dead = true
+		p.stopped = true
 		w.mu.Unlock()
-		w.net.SetCut(from, "", true) // it says nothing more, also no farewell
+		w.network.SetCut(from, "", true) // it says nothing more, also no farewell
 		cancel()
 	}
-	back := w.net.Listen(cfg.Back)
+	back := w.network.Listen(cfg.Back)
 	w.wg.Go(func() { peer.Serve(ctx, back, n.answerPeer, n.log) })
 	w.wg.Go(func() { n.elector.Run(ctx, n.serveTerm) })
 	w.mu.Lock()
-	w.nodes = append(w.nodes, p)
+	w.processes = append(w.processes, p)
 	w.mu.Unlock()
 }
--- a/harness_faults_test.go
+++ b/harness_faults_test.go
@@ -9,52 +9,52 @@
 	"cedardoor/internal/standin"
 )
 
-// troubled gives a trouble of a kind that goes on now.
-func (w *world) troubled(kind string) (trouble, bool) {
+// activeFault gives a trouble of a kind that goes on now.
+func (w *simulation) activeFault(kind string) (fault, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, x := range w.active {
+	for _, x := range w.activeFaults {
 		if x.kind == kind {
 			return x, true
 		}
 	}
-	return trouble{}, false
+	return fault{}, false
 }
 
-// had tells whether the schedule holds a kind of trouble.
-func (w *world) had(kinds ...string) bool {
-	return slices.ContainsFunc(w.s.troubles, func(x trouble) bool { return slices.Contains(kinds, x.kind) })
+// scheduleHas tells whether the schedule holds a kind of trouble.
+func (w *simulation) scheduleHas(kinds ...string) bool {
+	return slices.ContainsFunc(w.schedule.faults, func(x fault) bool { return slices.Contains(kinds, x.kind) })
 }
 
-// heldFor is for how long messages are held, all in all.
-func (w *world) heldFor() (sum time.Duration) {
-	for _, x := range w.s.troubles {
-		if slices.Contains([]string{holdZone, holdState, holdPeers, holdFleet, holdWorker}, x.kind) {
-			sum += x.lasts
+// totalHoldTime is for how long messages are held, all in all.
+func (w *simulation) totalHoldTime() (sum time.Duration) {
+	for _, x := range w.schedule.faults {
+		if slices.Contains([]string{zoneMessagesHeld, stateMessagesHeld, peerMessagesHeld, fleetMessagesHeld, workerMessagesHeld}, x.kind) {
+			sum += x.duration
 		}
 	}
 	return sum
 }
 
-// apart lists the pairs of hosts whose messages a trouble holds.
-func (w *world) apart(x trouble, name string, m *standin.Machine) (pairs [][2]string) {
+// heldPairs lists the pairs of hosts whose messages a trouble holds.
+func (w *simulation) heldPairs(x fault, name string, m *standin.Machine) (pairs [][2]string) {
 	switch x.kind {
-	case holdState:
+	case stateMessagesHeld:
 		pairs = append(pairs, [2]string{name, "state"})
-	case holdCloud:
+	case cloudMessagesHeld:
 		pairs = append(pairs, [2]string{name, "cloud"})
-	case holdPeers:
+	case peerMessagesHeld:
 		for o := range 3 {
 			if other := fmt.Sprintf("node-%d", o+1); other != name {
 				pairs = append(pairs, [2]string{name, other})
 			}
 		}
-	case holdFleet:
+	case fleetMessagesHeld:
 		for _, m := range w.cloud.Machines() {
 			pairs = append(pairs, [2]string{name, m.Host.UID})
 		}
-	case holdWorker:
-		if m != nil && x.which < 4 {
+	case workerMessagesHeld:
+		if m != nil && x.machine < 4 {
 			pairs = append(pairs, [2]string{name, m.Host.UID})
 		} else if m != nil { // it is held apart from every controller
 			for o := range 3 {
@@ -65,89 +65,89 @@
 	return pairs
 }
 
-// suffer begins a trouble and ends it.
-func (w *world) suffer(i int, x trouble) {
-	if x.node == 3 {
-		x.node = w.leader()
+// injectFault begins a trouble and ends it.
+func (w *simulation) injectFault(i int, x fault) {
+	if x.controller == 3 {
+		x.controller = w.leaderIndex()
 	}
-	w.note("BEGINS %v", x)
+	w.logf("BEGINS %v", x)
 	w.mu.Lock()
-	w.active[i] = x
+	w.activeFaults[i] = x
 	w.mu.Unlock()
-	name := fmt.Sprintf("node-%d", x.node+1)
+	name := fmt.Sprintf("node-%d", x.controller+1)
 	var m *standin.Machine
 	if all := w.cloud.Machines(); len(all) > 0 {
-		m = all[x.which%len(all)]
+		m = all[x.machine%len(all)]
 	}
 	end := func() {}
-	switch p := w.running(name); {
-	case x.kind == refuseOne:
+	switch p := w.runningProcess(name); {
+	case x.kind == stateRefusesNode:
 		w.state.Refuse(name, true)
 		end = func() { w.state.Refuse(name, false) }
-	case x.kind == refuseAll:
+	case x.kind == stateRefusesAll:
 		w.state.Refuse("", true)
 		end = func() { w.state.Refuse("", false) }
-	case x.kind == hangMachine && m != nil && m.Up():
+	case x.kind == machineHangs && m != nil && m.Up():
 		w.mu.Lock()
-		w.hangs[m] += x.lasts
+		w.hangTimes[m] += x.duration
 		w.mu.Unlock()
 		m.Hang(true)
 		end = func() { m.Hang(false) }
-	case x.kind == deafMachine && m != nil:
+	case x.kind == machineReceivesNothing && m != nil:
 		m.Deafen(true)
 		end = func() { m.Deafen(false) }
-	case x.kind == muteMachine && m != nil:
+	case x.kind == machineSendsNothing && m != nil:
 		w.mu.Lock()
-		w.muted[m] = true
+		w.unreachableFrom[m] = true
 		w.mu.Unlock()
-		end = func() { w.mu.Lock(); delete(w.muted, m); w.mu.Unlock() }
-	case x.kind == cutZone:
-		zone := nodeZones[x.which%2]
-		w.net.Isolate(zone, true)
-		end = func() { w.net.Isolate(zone, false) }
-	case x.kind == holdZone:
-		zone := nodeZones[x.which%len(nodeZones)]
-		w.net.HoldZone(zone, x.way, true)
-		end = func() { w.net.HoldZone(zone, x.way, false) }
-	case slices.Contains([]string{holdState, holdPeers, holdFleet, holdWorker, holdCloud}, x.kind):
-		apart := w.apart(x, name, m)
+		end = func() { w.mu.Lock(); delete(w.unreachableFrom, m); w.mu.Unlock() }
+	case x.kind == zoneIsolated:
+		zone := controllerZones[x.machine%2]
+		w.network.Isolate(zone, true)
+		end = func() { w.network.Isolate(zone, false) }
+	case x.kind == zoneMessagesHeld:
+		zone := controllerZones[x.machine%len(controllerZones)]
+		w.network.HoldZone(zone, x.direction, true)
+		end = func() { w.network.HoldZone(zone, x.direction, false) }
+	case slices.Contains([]string{stateMessagesHeld, peerMessagesHeld, fleetMessagesHeld, workerMessagesHeld, cloudMessagesHeld}, x.kind):
+		apart := w.heldPairs(x, name, m)
 		for _, c := range apart {
-			w.net.Hold(c[0], c[1], x.way, true)
+			w.network.Hold(c[0], c[1], x.direction, true)
 		}
 		end = func() {
 			for _, c := range apart {
-				w.net.Hold(c[0], c[1], x.way, false)
+				w.network.Hold(c[0], c[1], x.direction, false)
 			}
 		}
-	case x.kind == restartWorker && m != nil:
+	case x.kind == workerRestarts && m != nil:
 		m.Restart()
 		w.mu.Lock()
-		delete(w.lines, m)
+		delete(w.connections, m)
 		w.mu.Unlock()
-	case x.kind == faultyMachine && m != nil:
+	case x.kind == machineFailsTasks && m != nil:
 		w.mu.Lock()
-		w.faulty[m] = true
+		w.failingMachines[m] = true
 		w.mu.Unlock()
-	case (x.kind == noticeSpot || x.kind == takeSpot) && m != nil && m.Host.Preemptible:
-		if x.kind == noticeSpot {
-			m.Warn(x.lasts)
+	case (x.kind == spotReclaimedWithNotice || x.kind == spotReclaimed) && m != nil && m.Host.Preemptible:
+		if x.kind == spotReclaimedWithNotice {
+			m.Warn(x.duration)
 			end = func() { w.cloud.Take(m) }
 			break
 		}
 		w.cloud.Take(m)
-	case x.kind == killNode && p != nil:
+	case x.kind == controllerKilled && p != nil:
 		p.stop()
-		end = func() { w.launch(x.node) }
-	case x.kind == cutNode:
+		end = func() { w.startController(x.controller) }
+	case x.kind == controllerIsolated:
 		// The schedule's setup has given each controller a zone of its own, by its name.
-		w.net.Isolate(name, true)
-		end = func() { w.net.Isolate(name, false) }
-	case (x.kind == cutPeers || x.kind == cutState) && p != nil:
+		w.network.Isolate(name, true)
+		end = func() { w.network.Isolate(name, false) }
+	case (x.kind == controllerCutFromPeers || x.kind == controllerCutFromState) && p != nil:
 		var pairs [][2]string
 		w.mu.Lock()
-		for n := range w.born {
+		for n := range w.processCount {
 			from := fmt.Sprintf("%s/%d", name, n+1)
-			if x.kind == cutState {
+			if x.kind == controllerCutFromState {
 				pairs = append(pairs, [2]string{from, "state:1"})
 				continue
 			}
@@ -160,44 +160,44 @@
 		}
 		w.mu.Unlock()
 		for _, c := range pairs {
-			w.net.SetCut(c[0], c[1], true)
+			w.network.SetCut(c[0], c[1], true)
 		}
 		end = func() {
 			for _, c := range pairs {
-				w.net.SetCut(c[0], c[1], false)
+				w.network.SetCut(c[0], c[1], false)
 			}
 		}
 	}
 	key := fmt.Sprintf("%s %s", x.kind, name)
 	switch {
-	case slices.Contains(heldKinds, x.kind):
+	case slices.Contains(holdFaultKinds, x.kind):
 		key = fmt.Sprintf("%s %d", x.kind, i) // each ends by itself
-	case x.kind == refuseAll:
+	case x.kind == stateRefusesAll:
 		key = x.kind
-	case x.kind == cutZone:
-		key = x.kind + " " + nodeZones[x.which%2]
-	case m != nil && slices.Contains([]string{hangMachine, deafMachine, muteMachine}, x.kind):
+	case x.kind == zoneIsolated:
+		key = x.kind + " " + controllerZones[x.machine%2]
+	case m != nil && slices.Contains([]string{machineHangs, machineReceivesNothing, machineSendsNothing}, x.kind):
 		key = x.kind + " " + m.Host.UID
 	}
 	w.mu.Lock()
-	w.lasting[key]++
+	w.faultCounts[key]++
 	w.mu.Unlock()
-	time.Sleep(x.lasts)
+	time.Sleep(x.duration)
 	w.mu.Lock()
-	delete(w.active, i)
-	w.lasting[key]--
-	last := w.lasting[key] == 0
+	delete(w.activeFaults, i)
+	w.faultCounts[key]--
+	last := w.faultCounts[key] == 0
 	w.mu.Unlock()
-	if last || x.kind == killNode || x.kind == noticeSpot {
+	if last || x.kind == controllerKilled || x.kind == spotReclaimedWithNotice {
 		end() // otherwise another of the kind goes on
 	}
-	w.note("ENDS %s (%s)", x.kind, name)
+	w.logf("ENDS %s (%s)", x.kind, name)
 }
 
-// during runs look at a moment of a scene.
-func (w *world) during(when float64, look func()) {
+// runAt runs look at a moment of a scene.
+func (w *simulation) runAt(when float64, look func()) {
 	w.wg.Go(func() {
-		time.Sleep(time.Until(w.began.Add(at(when))))
+		time.Sleep(time.Until(w.startedAt.Add(seconds(when))))
 		if w.ctx.Err() == nil {
 			look()
 		}
@@ -206,7 +206,7 @@
 
 // crashLeaders ends whoever leads, or is about to, right before the n-th request to the state service that the
 // controllers make from a moment on, and again as often, half a second after each end at the earliest.
-func (w *world) crashLeaders(from time.Time, n, times int) {
+func (w *simulation) crashLeaders(from time.Time, n, times int) {
 	var mu sync.Mutex
 	asked, next := 0, from
 	w.state.Before(func(string) {
@@ -219,16 +219,16 @@
 			return
 		}
 		asked, times, next = 0, times-1, time.Now().Add(500*time.Millisecond)
-		p := w.running(fmt.Sprintf("node-%d", w.leader()+1))
+		p := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1))
 		if p == nil {
 			return
 		}
-		w.note("%s ends right before a request", p.name)
+		w.logf("%s ends right before a request", p.name)
 		p.stop()
 		w.wg.Go(func() {
 			time.Sleep(300 * time.Millisecond)
 			if w.ctx.Err() == nil {
-				w.launch(int(p.name[len(p.name)-1] - '1'))
+				w.startController(int(p.name[len(p.name)-1] - '1'))
 			}
 		})
 	})
--- a/harness_guarantees_test.go
+++ b/harness_guarantees_test.go
@@ -12,117 +12,117 @@
 	"cedardoor/wire"
 )
 
-// guaranteeBound is how long a team may be under its guarantee, have work that fits and
+// maxUnserved is how long a team may be under its guarantee, have work that fits and
 // see none of it begin: a leader's lease, an election, the workers' leases until what its
 // predecessor may have started is proved gone, and two reports for a stop and a start.
-const guaranteeBound = 5*time.Second + 3*time.Second + modelLease + 2*modelReport
+const maxUnserved = 5*time.Second + 3*time.Second + simulatedLease + 2*simulatedReportInterval
 
-// leastServed is the part of its guarantee that a team must have on average while it
+// minServedShare is the part of its guarantee that a team must have on average while it
 // has work that waits: each of its tasks takes some seconds, and a second or two to
 // follow another, and for a third of the time nobody leads.
-const leastServed = 0.35
+const minServedShare = 0.35
 
-// guaranteeWatch looks, from the machines and from what users were told alone, at how
+// guaranteeMonitor looks, from the machines and from what users were told alone, at how
 // teams with work that waits are served.
-type guaranteeWatch struct {
-	w       *world
-	since   map[string]time.Time
-	longest map[string]time.Duration // under the guarantee without a start
-	used    map[string]float64       // of the guarantee, summed over the looks
-	owed    map[string]float64       // the guarantee, summed alike
+type guaranteeMonitor struct {
+	simulation       *simulation
+	unservedSince   map[string]time.Time
+	longestUnserved map[string]time.Duration // under the guarantee without a start
+	usedCores    map[string]float64       // of the guarantee, summed over the looks
+	owedCores    map[string]float64       // the guarantee, summed alike
 }
 
-func newGuaranteeWatch(w *world) *guaranteeWatch {
-	return &guaranteeWatch{w: w, since: map[string]time.Time{}, longest: map[string]time.Duration{}, used: map[string]float64{}, owed: map[string]float64{}}
+func newGuaranteeMonitor(w *simulation) *guaranteeMonitor {
+	return &guaranteeMonitor{simulation: w, unservedSince: map[string]time.Time{}, longestUnserved: map[string]time.Duration{}, usedCores: map[string]float64{}, owedCores: map[string]float64{}}
 }
 
-// look notes what teams with a guarantee have now.
-func (g *guaranteeWatch) look() {
-	for team, guarantee := range g.w.s.floors {
-		used := g.w.used(team)
-		if g.waits(team, func(*wire.Spec) bool { return true }) {
-			g.used[team] += min(used, guarantee)
-			g.owed[team] += guarantee
+// sample notes what teams with a guarantee have now.
+func (g *guaranteeMonitor) sample() {
+	for team, guarantee := range g.simulation.schedule.guarantees {
+		used := g.simulation.teamCores(team)
+		if g.hasUnplacedJob(team, func(*wire.Spec) bool { return true }) {
+			g.usedCores[team] += min(used, guarantee)
+			g.owedCores[team] += guarantee
 		}
-		if !g.waits(team, func(sp *wire.Spec) bool { return used+sp.Cores <= guarantee }) {
-			delete(g.since, team)
+		if !g.hasUnplacedJob(team, func(sp *wire.Spec) bool { return used+sp.Cores <= guarantee }) {
+			delete(g.unservedSince, team)
 			continue
 		}
-		if _, known := g.since[team]; !known {
-			g.since[team] = time.Now()
+		if _, known := g.unservedSince[team]; !known {
+			g.unservedSince[team] = time.Now()
 		}
-		g.w.mu.Lock()
-		last := g.w.starts[team]
-		g.w.mu.Unlock()
-		if last.After(g.since[team]) {
-			g.since[team] = last
+		g.simulation.mu.Lock()
+		last := g.simulation.lastTeamStarts[team]
+		g.simulation.mu.Unlock()
+		if last.After(g.unservedSince[team]) {
+			g.unservedSince[team] = last
 		}
-		g.longest[team] = max(g.longest[team], time.Since(g.since[team]))
+		g.longestUnserved[team] = max(g.longestUnserved[team], time.Since(g.unservedSince[team]))
 	}
 }
 
-// served is the part of its guarantee that a team had while its work waited.
-func (g *guaranteeWatch) served(team string) float64 {
-	if g.owed[team] == 0 {
+// servedShare is the part of its guarantee that a team had while its work waited.
+func (g *guaranteeMonitor) servedShare(team string) float64 {
+	if g.owedCores[team] == 0 {
 		return 1
 	}
-	return g.used[team] / g.owed[team]
+	return g.usedCores[team] / g.owedCores[team]
 }
 
-// keptOut lists the teams that saw no start for too long while they were under their guarantee.
-func (g *guaranteeWatch) keptOut() (faults []string) {
-	for team := range g.w.s.floors {
-		if spell := g.longest[team]; spell > guaranteeBound {
-			faults = append(faults, fmt.Sprintf("%s was under its guarantee without a start for %v, more than %v", team, spell, guaranteeBound))
+// unservedTeams lists the teams that saw no start for too long while they were under their guarantee.
+func (g *guaranteeMonitor) unservedTeams() (faults []string) {
+	for team := range g.simulation.schedule.guarantees {
+		if spell := g.longestUnserved[team]; spell > maxUnserved {
+			faults = append(faults, fmt.Sprintf("%s was under its guarantee without a start for %v, more than %v", team, spell, maxUnserved))
 		}
 	}
 	return faults
 }
 
-// underServed lists the teams that had too little of their guarantees on average; it
+// underservedTeams lists the teams that had too little of their guarantees on average; it
 // tells something where more work waits all the time than a guarantee has room for.
-func (g *guaranteeWatch) underServed() (faults []string) {
-	for team := range g.w.s.floors {
-		if part := g.served(team); part < leastServed {
-			faults = append(faults, fmt.Sprintf("%s had %.2f of its guarantee on average, less than %v", team, part, leastServed))
+func (g *guaranteeMonitor) underservedTeams() (faults []string) {
+	for team := range g.simulation.schedule.guarantees {
+		if part := g.servedShare(team); part < minServedShare {
+			faults = append(faults, fmt.Sprintf("%s had %.2f of its guarantee on average, less than %v", team, part, minServedShare))
 		}
 	}
 	return faults
 }
 
-// waits tells whether a team has a job with tasks that wait, of the given kind.
-func (g *guaranteeWatch) waits(team string, kind func(sp *wire.Spec) bool) bool {
-	return slices.ContainsFunc(g.w.s.users, func(u submission) bool {
-		return u.spec.Team == team && kind(&u.spec) && g.w.waits(u.spec.UID)
+// hasUnplacedJob tells whether a team has a job with tasks that wait, of the given kind.
+func (g *guaranteeMonitor) hasUnplacedJob(team string, kind func(sp *wire.Spec) bool) bool {
+	return slices.ContainsFunc(g.simulation.schedule.submissions, func(u submission) bool {
+		return u.spec.Team == team && kind(&u.spec) && g.simulation.hasUnplacedTasks(u.spec.UID)
 	})
 }
 
-// playTeams plays a schedule of several teams, and gives the rules that were broken and
+// playTeamSchedule plays a schedule of several teams, and gives the rules that were broken and
 // how the guarantees were kept.
-func playTeams(t *testing.T, s schedule) (broken []string, watch *guaranteeWatch) {
-	s.setup = func(w *world) {
+func playTeamSchedule(t *testing.T, s schedule) (broken []string, watch *guaranteeMonitor) {
+	s.setup = func(w *simulation) {
 		for i := range 3 {
 			name := fmt.Sprintf("node-%d", i+1)
-			w.net.Place(name, name)
+			w.network.Place(name, name)
 		}
-		watch = newGuaranteeWatch(w)
+		watch = newGuaranteeMonitor(w)
 		w.wg.Go(func() {
-			for w.ctx.Err() == nil && time.Since(w.began) < s.lasts+quietTail/2 {
+			for w.ctx.Err() == nil && time.Since(w.startedAt) < s.duration+faultFreeTail/2 {
 				time.Sleep(250 * time.Millisecond)
-				watch.look()
+				watch.sample()
 			}
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld(ctx, t, s)
-		w.play()
-		if s.ledger == nil {
-			w.served()
+		w := newSimulation(ctx, t, s)
+		w.run()
+		if s.newLedger == nil {
+			w.checkAllServed()
 		}
-		w.end(cancel)
-		broken = w.broken
-		if t.Failed() || len(broken) > 0 && s.ledger == nil {
+		w.shutDown(cancel)
+		broken = w.violations
+		if t.Failed() || len(broken) > 0 && s.newLedger == nil {
 			t.Logf("history of seed %d:\n%s", s.seed, strings.Join(w.history, "\n"))
 		}
 	})
--- a/harness_loopback_test.go
+++ b/harness_loopback_test.go
@@ -36,16 +36,16 @@
 
 // loopback is a platform of real controllers on loopback sockets, with stand-ins around them.
 type loopback struct {
-	*world
+	*simulation
 	names   []string
-	clients map[string]string // addresses for users and workers, by controller
-	asked   map[string]string // addresses for operators
-	files   map[string]string
-	options map[string]string // operators' settings
+	clientAddresses map[string]string // addresses for users and workers, by controller
+	operatorAddresses   map[string]string // addresses for operators
+	platformFiles   map[string]string
+	settingsFiles map[string]string // operators' settings
 	http    *http.Client
 
-	procMu sync.Mutex // guards procs
-	procs  map[string]*exec.Cmd
+	processMutex sync.Mutex // guards procs
+	commands  map[string]*exec.Cmd
 }
 
 // serveLoopback serves a handler on a free port.
@@ -65,8 +65,8 @@
 	return ln.Addr().String()
 }
 
-// limitedState refuses transactions beyond the state service's changes a second.
-func limitedState(h http.Handler, writes *rate.Limiter) http.Handler {
+// rateLimitedState refuses transactions beyond the state service's changes a second.
+func rateLimitedState(h http.Handler, writes *rate.Limiter) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
@@ -84,37 +84,37 @@
 
 // newLoopback sets the platform up and starts its controllers.
 func newLoopback(ctx context.Context, t *testing.T, s schedule) *loopback {
-	l := &loopback{world: newWorld(ctx, t, s), clients: map[string]string{}, asked: map[string]string{}, files: map[string]string{}, options: map[string]string{},
-		procs: map[string]*exec.Cmd{},
+	l := &loopback{simulation: newSimulation(ctx, t, s), clientAddresses: map[string]string{}, operatorAddresses: map[string]string{}, platformFiles: map[string]string{}, settingsFiles: map[string]string{},
+		commands: map[string]*exec.Cmd{},
 		http:  &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
-	l.cloud.Boot = l.bootLoopback
+	l.cloud.Boot = l.bootLoopbackMachine
 	cloudAddress := serveLoopback(t, l.cloud)
 	writes := rate.NewLimiter(loopbackWrites, loopbackWrites)
 	nodes := make([]config.Node, *loopbackNodes)
 	for i := range nodes {
 		nodes[i] = config.Node{Node: fmt.Sprintf("node-%d", i+1), Area: "x", Addr: freeAddress(t)}
 		l.names = append(l.names, nodes[i].Node)
-		l.clients[nodes[i].Node], l.asked[nodes[i].Node] = freeAddress(t), freeAddress(t)
+		l.clientAddresses[nodes[i].Node], l.operatorAddresses[nodes[i].Node] = freeAddress(t), freeAddress(t)
 	}
 	for i, node := range nodes {
-		cfg := config.Platform{Node: node.Node, Area: "x", ClientListen: l.clients[node.Node], Back: node.Addr, Others: slices.Concat(nodes[:i], nodes[i+1:])}
-		cfg.Outside.State = serveLoopback(t, limitedState(l.state.Handler(node.Node), writes))
+		cfg := config.Platform{Node: node.Node, Area: "x", ClientListen: l.clientAddresses[node.Node], Back: node.Addr, Others: slices.Concat(nodes[:i], nodes[i+1:])}
+		cfg.Outside.State = serveLoopback(t, rateLimitedState(l.state.Handler(node.Node), writes))
 		cfg.Outside.Cloud = cloudAddress
 		cfg.Facts = config.Facts{InitialSize: 3, Zones: []string{"x", "y"},
-			Workers: config.Workers{ReportS: l.s.timing.report.Seconds(), LeaseS: l.s.timing.lease.Seconds(), CancelS: l.s.timing.cancel.Seconds()},
+			Workers: config.Workers{ReportS: l.schedule.timing.report.Seconds(), LeaseS: l.schedule.timing.lease.Seconds(), CancelS: l.schedule.timing.cancel.Seconds()},
 			State:   config.State{RPS: 250, WriteRPS: loopbackWrites, ValueKB: 8, TxnOps: 24}, Cloud: config.Cloud{RPS: 20, ListLagS: 2},
 			Limits: config.Limits{CoreShare: 1, MemMB: 300, FDLimit: 2000}}
-		for team, limit := range l.s.limits {
-			cfg.Facts.Teams = append(cfg.Facts.Teams, config.Team{Name: team, CPUsMax: limit, CPUs: l.s.floors[team]})
+		for team, limit := range l.schedule.limits {
+			cfg.Facts.Teams = append(cfg.Facts.Teams, config.Team{Name: team, CPUsMax: limit, CPUs: l.schedule.guarantees[team]})
 		}
 		raw, err := json.Marshal(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.files[node.Node] = filepath.Join(t.TempDir(), node.Node+".json")
-		l.options[node.Node] = filepath.Join(t.TempDir(), node.Node+"-settings.json")
-		options := fmt.Appendf(nil, `{"metrics": {"listen": %q}}`, l.asked[node.Node])
-		if err := errors.Join(os.WriteFile(l.files[node.Node], raw, 0o600), os.WriteFile(l.options[node.Node], options, 0o600)); err != nil {
+		l.platformFiles[node.Node] = filepath.Join(t.TempDir(), node.Node+".json")
+		l.settingsFiles[node.Node] = filepath.Join(t.TempDir(), node.Node+"-settings.json")
+		options := fmt.Appendf(nil, `{"metrics": {"listen": %q}}`, l.operatorAddresses[node.Node])
+		if err := errors.Join(os.WriteFile(l.platformFiles[node.Node], raw, 0o600), os.WriteFile(l.settingsFiles[node.Node], options, 0o600)); err != nil {
 			t.Fatal(err)
 		}
 		l.start(node.Node)
@@ -124,31 +124,31 @@
 
 // start runs a controller's process.
 func (l *loopback) start(name string) {
-	l.procMu.Lock()
-	defer l.procMu.Unlock()
-	cmd := exec.Command(*loopbackBinary, "--config", l.files[name], "--settings", l.options[name])
+	l.processMutex.Lock()
+	defer l.processMutex.Unlock()
+	cmd := exec.Command(*loopbackBinary, "--config", l.platformFiles[name], "--settings", l.settingsFiles[name])
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
 	cmd.Stderr = os.Stderr
 	if err := cmd.Start(); err != nil {
 		l.t.Error(err)
 		return
 	}
-	l.procs[name] = cmd
+	l.commands[name] = cmd
 }
 
 // signal sends a signal to a controller's process; after a kill it is waited for.
 func (l *loopback) signal(name string, sig syscall.Signal) {
-	l.procMu.Lock()
-	defer l.procMu.Unlock()
-	cmd := l.procs[name]
+	l.processMutex.Lock()
+	defer l.processMutex.Unlock()
+	cmd := l.commands[name]
 	_ = cmd.Process.Signal(sig)
 	if sig == syscall.SIGKILL {
 		_ = cmd.Wait()
 	}
 }
 
-// leads names the controller that the state service holds for the leader.
-func (l *loopback) leads() string {
+// leaderName names the controller that the state service holds for the leader.
+func (l *loopback) leaderName() string {
 	var rec store.LeadRecord
 	if l.state.Value(store.KeyLead, &rec) {
 		return rec.Node
@@ -156,9 +156,9 @@
 	return l.names[0]
 }
 
-// bootLoopback plays a rented machine whose worker talks over loopback.
-func (l *loopback) bootLoopback(h wire.Machine, b wire.MachineType) *standin.Machine {
-	m := &standin.Machine{Host: h, Build: b, Report: l.s.timing.report, Lease: l.s.timing.lease, Nodes: l.names, Ledger: l.world, Watch: l.s.watch,
+// bootLoopbackMachine plays a rented machine whose worker talks over loopback.
+func (l *loopback) bootLoopbackMachine(h wire.Machine, b wire.MachineType) *standin.Machine {
+	m := &standin.Machine{Host: h, Build: b, Report: l.schedule.timing.report, Lease: l.schedule.timing.lease, Nodes: l.names, Ledger: l.simulation, Watch: l.schedule.onEvent,
 		Held: func() time.Duration { return 0 },
 		Beat: func(ctx context.Context, _ *standin.Machine, node string, rep wire.Heartbeat) (int, []byte, error) {
 			return l.post(ctx, node, wire.PathHeartbeat, rep)
@@ -184,7 +184,7 @@
 }
 
 func (l *loopback) send(ctx context.Context, node, path string, raw []byte) (int, []byte, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.clients[node]+path, bytes.NewReader(raw))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.clientAddresses[node]+path, bytes.NewReader(raw))
 	if err != nil {
 		return 0, nil, err
 	}
--- a/harness_records_test.go
+++ b/harness_records_test.go
@@ -10,36 +10,36 @@
 	"cedardoor/wire"
 )
 
-// torn is the value of a record that can't be decoded.
-const torn = "torn"
+// damagedRecord is the value of a record that can't be decoded.
+const damagedRecord = "torn"
 
-// write puts a record into the state service, past all controllers.
-func (s *site) write(n *Service, key string, value any) {
-	s.t.Helper()
-	if _, err := n.store.Commit(s.t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: key, Value: value}}}); err != nil {
-		s.t.Fatal(err)
+// writeRecord puts a record into the state service, past all controllers.
+func (s *testCluster) writeRecord(n *Service, key string, value any) {
+	s.tb.Helper()
+	if _, err := n.store.Commit(s.tb.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: key, Value: value}}}); err != nil {
+		s.tb.Fatal(err)
 	}
 }
 
-// remove deletes a record, past all controllers.
-func (s *site) remove(n *Service, key string) {
-	s.t.Helper()
-	if _, err := n.store.Commit(s.t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Delete: key}}}); err != nil {
-		s.t.Fatal(err)
+// deleteRecord deletes a record, past all controllers.
+func (s *testCluster) deleteRecord(n *Service, key string) {
+	s.tb.Helper()
+	if _, err := n.store.Commit(s.tb.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Delete: key}}}); err != nil {
+		s.tb.Fatal(err)
 	}
 }
 
-// lookUps reads the jobs of tasks that workers show and that are not on the books.
-func (s *site) lookUps(l *leader) {
-	s.t.Helper()
+// lookUpOrphans reads the jobs of tasks that workers show and that are not on the books.
+func (s *testCluster) lookUpOrphans(l *leader) {
+	s.tb.Helper()
 	for _, uid := range l.takeWantedLookups() {
-		if err := l.lookUpJob(s.t.Context(), uid); err != nil {
-			s.t.Fatal(err)
+		if err := l.lookUpJob(s.tb.Context(), uid); err != nil {
+			s.tb.Fatal(err)
 		}
 	}
 }
 
-func mustReport(t *testing.T, l *leader) recovery.Report {
+func mustRecoveryReport(t *testing.T, l *leader) recovery.Report {
 	t.Helper()
 	r, known := l.recoveryReport()
 	if !known {
@@ -48,13 +48,13 @@
 	return r
 }
 
-// runsBy lets a worker run a task as some earlier leader may have told it to.
-func runsBy(w *standin.Worker, token uint64, task string, attempt uint64) {
+// startTask lets a worker run a task as some earlier leader may have told it to.
+func startTask(w *standin.Worker, token uint64, task string, attempt uint64) {
 	w.Take(wire.HeartbeatResponse{Token: token, Commands: []wire.Command{{Verb: wire.VerbRun, Task: task, Attempt: attempt}}})
 }
 
-// dropEnded lets a worker forget what has ended, as an earlier leader may have told it.
-func dropEnded(w *standin.Worker, token uint64) {
+// forgetEnded lets a worker forget what has ended, as an earlier leader may have told it.
+func forgetEnded(w *standin.Worker, token uint64) {
 	var orders []wire.Command
 	rep := w.Report()
 	for _, p := range rep.Tasks {
@@ -65,8 +65,8 @@
 	w.Take(wire.HeartbeatResponse{Token: token, Commands: orders})
 }
 
-// oldCopy is a report that names so many tasks of jobs that are on nobody's books.
-func oldCopy(t *testing.T, l *leader, w *standin.Worker, jobs int) {
+// reportUnknownTasks is a report that names so many tasks of jobs that are on nobody's books.
+func reportUnknownTasks(t *testing.T, l *leader, w *standin.Worker, jobs int) {
 	t.Helper()
 	rep := w.Report()
 	for i := range jobs {
--- a/harness_requests_test.go
+++ b/harness_requests_test.go
@@ -15,7 +15,7 @@
 	"github.com/go-chi/chi/v5"
 )
 
-func spec(uid string, mod func(*wire.Spec)) wire.Spec {
+func jobSpec(uid string, mod func(*wire.Spec)) wire.Spec {
 	sp := wire.Spec{UID: uid, Class: "lane", Team: "team", Kind: wire.KindBatch, Priority: "standard", Tasks: 1, Cores: 2, RAM: 4,
 		Image: "img", ImageGB: 1, Preemptible: true, ExpectedS: 10}
 	if mod != nil {
@@ -24,8 +24,8 @@
 	return sp
 }
 
-// bodyOf is a submission's body, changed by mod.
-func bodyOf(t testing.TB, sp wire.Spec, mod func(m map[string]any)) []byte {
+// submissionBody is a submission's body, changed by mod.
+func submissionBody(t testing.TB, sp wire.Spec, mod func(m map[string]any)) []byte {
 	t.Helper()
 	raw, err := wire.Marshal(sp)
 	if err != nil {
@@ -48,8 +48,8 @@
 }
 
 // users serves a node's users' interface and answers one request.
-func (s *site) ask(n *Service, method, path string, body any) (int, wire.JobStatus, http.Header) {
-	s.t.Helper()
+func (s *testCluster) ask(n *Service, method, path string, body any) (int, wire.JobStatus, http.Header) {
+	s.tb.Helper()
 	r := chi.NewRouter()
 	n.users.Routes(r)
 	var raw []byte
@@ -58,56 +58,56 @@
 	case []byte:
 		raw = b
 	case wire.Spec:
-		raw = bodyOf(s.t, b, nil)
+		raw = submissionBody(s.tb, b, nil)
 	default:
 		var err error
 		if raw, err = wire.Marshal(b); err != nil {
-			s.t.Fatal(err)
+			s.tb.Fatal(err)
 		}
 	}
 	rec := httptest.NewRecorder()
-	r.ServeHTTP(rec, httptest.NewRequestWithContext(s.t.Context(), method, path, bytes.NewReader(raw)))
+	r.ServeHTTP(rec, httptest.NewRequestWithContext(s.tb.Context(), method, path, bytes.NewReader(raw)))
 	var v wire.JobStatus
 	_ = wire.Unmarshal(rec.Body.Bytes(), &v)
 	return rec.Code, v, rec.Header()
 }
 
-func (s *site) submit(n *Service, sp wire.Spec) {
-	s.t.Helper()
+func (s *testCluster) submit(n *Service, sp wire.Spec) {
+	s.tb.Helper()
 	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, sp); code != http.StatusCreated {
-		s.t.Fatalf("submit %s: status %d", sp.UID, code)
+		s.tb.Fatalf("submit %s: status %d", sp.UID, code)
 	}
 }
 
-func (s *site) status(n *Service, uid, want string) {
-	s.t.Helper()
+func (s *testCluster) checkStatus(n *Service, uid, want string) {
+	s.tb.Helper()
 	if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); code != http.StatusOK || v.Status != want {
-		s.t.Fatalf("%s at %s: %d %q, want %q", uid, n.cfg.Node, code, v.Status, want)
+		s.tb.Fatalf("%s at %s: %d %q, want %q", uid, n.cfg.Node, code, v.Status, want)
 	}
 }
 
-func (s *site) abort(n *Service, uid string) {
-	s.t.Helper()
+func (s *testCluster) cancelJob(n *Service, uid string) {
+	s.tb.Helper()
 	if code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/"+uid+"/abort", nil); code != http.StatusOK || v.Status != wire.JobCancelled {
-		s.t.Fatalf("abort of %s at %s: %d %q", uid, n.cfg.Node, code, v.Status)
+		s.tb.Fatalf("abort of %s at %s: %d %q", uid, n.cfg.Node, code, v.Status)
 	}
 }
 
-// asks are all the ways in which a user may ask about a job, at every node at
+// askEverywhere are all the ways in which a user may ask about a job, at every node at
 // once: polls, the same submission again, another under its name, and malformed ones.
-func (s *site) asks(nodes []*Service, uid string, abort bool) (answers []string) {
-	s.t.Helper()
+func (s *testCluster) askEverywhere(nodes []*Service, uid string, abort bool) (answers []string) {
+	s.tb.Helper()
 	type question struct {
 		method, path string
 		body         any
 	}
 	questions := []question{
 		{http.MethodGet, wire.PathJobs + "/" + uid, nil},
-		{http.MethodPost, wire.PathJobs, spec(uid, nil)},
-		{http.MethodPost, wire.PathJobs, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Priority = 7, "low" })},
-		{http.MethodPost, wire.PathJobs, spec(uid, func(sp *wire.Spec) { sp.Team = "nobody" })},
-		{http.MethodPost, wire.PathJobs, bodyOf(s.t, spec(uid, nil), func(m map[string]any) { delete(m, "rank") })},
-		{http.MethodPost, wire.PathJobs, bodyOf(s.t, spec(uid, nil), func(m map[string]any) { m["pieces"] = "many" })},
+		{http.MethodPost, wire.PathJobs, jobSpec(uid, nil)},
+		{http.MethodPost, wire.PathJobs, jobSpec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Priority = 7, "low" })},
+		{http.MethodPost, wire.PathJobs, jobSpec(uid, func(sp *wire.Spec) { sp.Team = "nobody" })},
+		{http.MethodPost, wire.PathJobs, submissionBody(s.tb, jobSpec(uid, nil), func(m map[string]any) { delete(m, "rank") })},
+		{http.MethodPost, wire.PathJobs, submissionBody(s.tb, jobSpec(uid, nil), func(m map[string]any) { m["pieces"] = "many" })},
 	}
 	if abort {
 		questions = append(questions, question{http.MethodPost, wire.PathJobs + "/" + uid + "/" + wire.SuffixCancel, nil})
@@ -132,35 +132,35 @@
 	return answers
 }
 
-// told fails the test if one of the answers is not allowed.
-func (s *site) told(when string, answers []string, allowed ...string) {
-	s.t.Helper()
+// checkAnswers fails the test if one of the answers is not allowed.
+func (s *testCluster) checkAnswers(when string, answers []string, allowed ...string) {
+	s.tb.Helper()
 	for _, a := range answers {
 		if !slices.Contains(allowed, a) {
-			s.t.Errorf("%s: answered %q, want one of %v", when, a, allowed)
+			s.tb.Errorf("%s: answered %q, want one of %v", when, a, allowed)
 		}
 	}
 }
 
-// until repeats a user's request, at one node after another, until it gets an answer.
-func (s *site) until(nodes []*Service, method, path string, body any) (code int, v wire.JobStatus) {
-	s.t.Helper()
+// askUntilAnswered repeats a user's request, at one node after another, until it gets an answer.
+func (s *testCluster) askUntilAnswered(nodes []*Service, method, path string, body any) (code int, v wire.JobStatus) {
+	s.tb.Helper()
 	for i := range 6 {
 		if code, v, _ = s.ask(nodes[i%len(nodes)], method, path, body); code != http.StatusServiceUnavailable {
 			return code, v
 		}
 	}
-	s.t.Fatalf("%s %s: never answered", method, path)
+	s.tb.Fatalf("%s %s: never answered", method, path)
 	return code, v
 }
 
-// mishap is what befalls the next transaction.
-type mishap struct {
+// transactionFault is what befalls the next transaction.
+type transactionFault struct {
 	name string
 	set  func(st *standin.State)
 }
 
-var mishaps = []mishap{
+var transactionFaults = []transactionFault{
 	{"none", func(*standin.State) {}},
 	{"answer lost", func(st *standin.State) { st.LoseAnswers(1) }},
 	{"carried out late", func(st *standin.State) { st.DelayNext() }},
--- a/harness_schedule_test.go
+++ b/harness_schedule_test.go
@@ -12,116 +12,116 @@
 
 // Timing of the workers in random meetings: that of a platform, scaled down.
 const (
-	modelReport = 2 * time.Second
-	modelLease  = 10 * time.Second
-	modelCancel = 24 * time.Second
-	quietTail   = 95 * time.Second
-	// commandSpan is how long a command may take that nothing holds up.
-	commandSpan = 1500 * time.Millisecond
+	simulatedReportInterval = 2 * time.Second
+	simulatedLease  = 10 * time.Second
+	simulatedCancelLimit = 24 * time.Second
+	faultFreeTail   = 95 * time.Second
+	// maxCommandDelay is how long a command may take that nothing holds up.
+	maxCommandDelay = 1500 * time.Millisecond
 )
 
-// timing is that of the workers of a schedule.
-type timing struct{ report, lease, cancel time.Duration }
+// workerTiming is that of the workers of a schedule.
+type workerTiming struct{ report, lease, cancel time.Duration }
 
-// modelTiming is what a schedule has that sets none.
-var modelTiming = timing{report: modelReport, lease: modelLease, cancel: modelCancel}
+// defaultTiming is what a schedule has that sets none.
+var defaultTiming = workerTiming{report: simulatedReportInterval, lease: simulatedLease, cancel: simulatedCancelLimit}
 
 // The kinds of trouble that a schedule may hold.
 const (
-	refuseOne   = "state refuses one node"
-	refuseAll   = "state refuses all"
-	loseAnswers = "transactions lose their answers"
-	lateWrites  = "transactions carried out late"
-	slowState   = "state is slow"
-	hangMachine = "machine hangs"
-	deafMachine = "machine is deaf"
-	muteMachine = "machine is mute"
-	lateReports = "copies of reports come late"
-	holdCommand = "direct commands held up"
-	killNode    = "controller killed"
-	cutPeers    = "controller cut from the others"
-	cutState    = "controller cut from the state service"
-	cutNode     = "controller cut from all"
-
-	cutZone       = "zone cut off"
-	keptReports   = "copies of reports come to the next leader"
-	repeatCommand = "direct commands come again"
-	restartWorker = "worker starts anew"
-	faultyMachine = "machine is faulty from now on"
-	noticeSpot    = "spot machine taken with a notice"
-	takeSpot      = "spot machine taken without a notice"
-	refuseRental  = "rentals refused"
-	lateRental    = "rentals answered late"
-
-	holdZone   = "messages of a zone held"
-	holdState  = "messages to the state service held"
-	holdPeers  = "messages between controllers held"
-	holdFleet  = "messages to all workers held"
-	holdWorker = "messages to a worker held"
-	holdCloud  = "messages to the cloud held"
-	lateReturn = "returns carried out late"
-	lateHire   = "rentals carried out late"
-	slowLink   = "links to the state service are slow"
+	stateRefusesNode   = "state refuses one node"
+	stateRefusesAll   = "state refuses all"
+	transactionAnswersLost = "transactions lose their answers"
+	transactionsDelayed  = "transactions carried out late"
+	stateSlow   = "state is slow"
+	machineHangs = "machine hangs"
+	machineReceivesNothing = "machine is deaf"
+	machineSendsNothing = "machine is mute"
+	heartbeatCopiesDelayed = "copies of reports come late"
+	commandsDelayed = "direct commands held up"
+	controllerKilled    = "controller killed"
+	controllerCutFromPeers    = "controller cut from the others"
+	controllerCutFromState    = "controller cut from the state service"
+	controllerIsolated     = "controller cut from all"
+
+	zoneIsolated       = "zone cut off"
+	heartbeatCopiesToNextLeader   = "copies of reports come to the next leader"
+	commandsRepeated = "direct commands come again"
+	workerRestarts = "worker starts anew"
+	machineFailsTasks = "machine is faulty from now on"
+	spotReclaimedWithNotice    = "spot machine taken with a notice"
+	spotReclaimed      = "spot machine taken without a notice"
+	rentalsRefused  = "rentals refused"
+	rentalAnswersDelayed    = "rentals answered late"
+
+	zoneMessagesHeld   = "messages of a zone held"
+	stateMessagesHeld  = "messages to the state service held"
+	peerMessagesHeld  = "messages between controllers held"
+	fleetMessagesHeld  = "messages to all workers held"
+	workerMessagesHeld = "messages to a worker held"
+	cloudMessagesHeld  = "messages to the cloud held"
+	returnsDelayed = "returns carried out late"
+	rentalsDelayed   = "rentals carried out late"
+	stateLinksSlow   = "links to the state service are slow"
 )
 
-// trouble is one thing that goes wrong for a while.
-type trouble struct {
+// fault is one thing that goes wrong for a while.
+type fault struct {
 	kind  string
 	at    time.Duration
-	lasts time.Duration
-	node  int           // a controller; 3 stands for whoever leads then
-	which int           // a machine, by its place among those that are there
-	by    time.Duration // how late or slow
-	way   standin.Way   // in which direction messages are held
+	duration time.Duration
+	controller  int           // a controller; 3 stands for whoever leads then
+	machine int           // a machine, by its place among those that are there
+	delay    time.Duration // how late or slow
+	direction   standin.Way   // in which direction messages are held
 }
 
-func (x trouble) String() string {
-	way := [...]string{standin.BothWays: "", standin.Out: ", out", standin.In: ", in"}[x.way]
-	return fmt.Sprintf("%5.1f s for %4.1f s: %s (node %d, machine %d, %v%s)", x.at.Seconds(), x.lasts.Seconds(), x.kind, x.node, x.which, x.by, way)
+func (x fault) String() string {
+	way := [...]string{standin.BothWays: "", standin.Out: ", out", standin.In: ", in"}[x.direction]
+	return fmt.Sprintf("%5.1f s for %4.1f s: %s (node %d, machine %d, %v%s)", x.at.Seconds(), x.duration.Seconds(), x.kind, x.controller, x.machine, x.delay, way)
 }
 
 // submission is what one user does.
 type submission struct {
 	spec     wire.Spec
-	at       time.Duration
-	runs     time.Duration // each task
-	cancelAt time.Duration // after at; 0: never
-	onDone   bool          // cancels as its last task ends
-	onKind   string        // cancels as this trouble begins
-	repeats  bool          // submits again, also with another body
-	fails    bool          // each task fails on every machine
-	node     int           // whom it asks first, counted from the schedule's first
-	light    bool          // asks no more once its job is over
+	after       time.Duration
+	runTime     time.Duration // each task
+	cancelAfter time.Duration // after at; 0: never
+	cancelOnDone   bool          // cancels as its last task ends
+	cancelOnFault   string        // cancels as this trouble begins
+	resubmits  bool          // submits again, also with another body
+	alwaysFails    bool          // each task fails on every machine
+	firstController     int           // whom it asks first, counted from the schedule's first
+	stopsPolling    bool          // asks no more once its job is over
 }
 
 // schedule is all that chance decides about a meeting.
 type schedule struct {
 	seed     uint64
-	lasts    time.Duration
-	troubles []trouble
-	users    []submission
+	duration    time.Duration
+	faults []fault
+	submissions    []submission
 
 	limits map[string]float64                          // of teams beside those that every platform has; 0: none
-	floors map[string]float64                          // guarantees of those teams; 0: none
-	ledger func(map[string]quota.Limits) *quota.Ledger // of each leader, if not the real one
-	lose   func(records *recovery.Records)             // harms what each leader reads; may be nil
-	watch  func(e standin.Event)                       // is told of what happens on machines; may be nil
-	timing timing                                      // of the workers, if not modelTiming
-	most   int                                         // machines that the cloud has, if not 12
-	boot   time.Duration                               // how long machines boot, if not a second or two
-	slow   time.Duration                               // how much longer messages take
-	lag    bool                                        // the cloud's list is older than it could be
-	leads  int                                         // the controller that leads first, counted from 1; 0: whoever comes first
-	holds  bool                                        // the network can hold messages
-	setup  func(w *world)                              // arranges what a schedule can't tell; may be nil
+	guarantees map[string]float64                          // guarantees of those teams; 0: none
+	newLedger func(map[string]quota.Limits) *quota.Ledger // of each leader, if not the real one
+	alterRecords   func(records *recovery.Records)             // harms what each leader reads; may be nil
+	onEvent  func(e standin.Event)                       // is told of what happens on machines; may be nil
+	timing workerTiming                                      // of the workers, if not modelTiming
+	maxMachines   int                                         // machines that the cloud has, if not 12
+	bootTime   time.Duration                               // how long machines boot, if not a second or two
+	extraLatency   time.Duration                               // how much longer messages take
+	listLags    bool                                        // the cloud's list is older than it could be
+	firstLeader  int                                         // the controller that leads first, counted from 1; 0: whoever comes first
+	buffersMessages  bool                                        // the network can hold messages
+	setup  func(w *simulation)                              // arranges what a schedule can't tell; may be nil
 }
 
-// at is a moment of a scene.
-func at(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+// seconds is a moment of a scene.
+func seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// user submits a job at a moment, whose tasks run for so long.
-func user(n int, from, runs float64, mod func(sp *wire.Spec)) submission {
-	return submission{at: at(from), runs: at(runs), spec: spec(fmt.Sprintf("j-%d", n), func(sp *wire.Spec) {
+// newSubmission submits a job at a moment, whose tasks run for so long.
+func newSubmission(n int, from, runs float64, mod func(sp *wire.Spec)) submission {
+	return submission{after: seconds(from), runTime: seconds(runs), spec: jobSpec(fmt.Sprintf("j-%d", n), func(sp *wire.Spec) {
 		sp.Team, sp.Cores, sp.RAM, sp.ExpectedS = "free", 1, 1, runs
 		mod(sp)
 		if sp.Kind == wire.KindService {
@@ -130,7 +130,7 @@
 	})}
 }
 
-// standing makes a job a service of so many replicas.
-func standing(replicas int) func(sp *wire.Spec) {
+// asService makes a job a service of so many replicas.
+func asService(replicas int) func(sp *wire.Spec) {
 	return func(sp *wire.Spec) { sp.Kind, sp.Tasks, sp.Preemptible = wire.KindService, replicas, false }
 }
--- a/harness_site_test.go
+++ b/harness_site_test.go
@@ -23,44 +23,44 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// site is a small platform with scripted parts and a fake clock.
-type site struct {
-	t     testing.TB
-	clk   *clockwork.FakeClock
+// testCluster is a small platform with scripted parts and a fake clock.
+type testCluster struct {
+	tb     testing.TB
+	clock   *clockwork.FakeClock
 	state *standin.State
 	cloud *standin.Cloud
-	nodes int
-	dead  map[string]*atomic.Bool // by a node's address of the state service
-	first *Service                // that led first, where a test needs it
+	nodeCount int
+	disconnected  map[string]*atomic.Bool // by a node's address of the state service
+	firstLeader *Service                // that led first, where a test needs it
 }
 
-var bigBuild = wire.MachineType{SKU: "b", Cores: 8, RAM: 32, HourlyPrice: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"x", "y"}}
+var largeMachineType = wire.MachineType{SKU: "b", Cores: 8, RAM: 32, HourlyPrice: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"x", "y"}}
 
-func newSite(t testing.TB) *site {
+func newTestCluster(t testing.TB) *testCluster {
 	clk := clockwork.NewFakeClock()
-	return &site{t: t, clk: clk, dead: map[string]*atomic.Bool{}, state: standin.NewState(clk), cloud: standin.NewCloud(bigBuild)}
+	return &testCluster{tb: t, clock: clk, disconnected: map[string]*atomic.Bool{}, state: standin.NewState(clk), cloud: standin.NewCloud(largeMachineType)}
 }
 
-func (s *site) server(h http.Handler) string {
+func (s *testCluster) serve(h http.Handler) string {
 	srv := httptest.NewServer(h)
-	s.t.Cleanup(srv.Close)
+	s.tb.Cleanup(srv.Close)
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
 // node makes one controller of the site.
-func (s *site) node(mod func(f *config.Facts)) *Service {
-	s.nodes++
-	cfg := &config.Platform{Node: fmt.Sprintf("node-%d", s.nodes), ClientListen: "127.0.0.1:0", Back: "127.0.0.1:0"}
+func (s *testCluster) node(mod func(f *config.Facts)) *Service {
+	s.nodeCount++
+	cfg := &config.Platform{Node: fmt.Sprintf("node-%d", s.nodeCount), ClientListen: "127.0.0.1:0", Back: "127.0.0.1:0"}
 	dead := new(atomic.Bool)
 	inner := s.state.Handler(cfg.Node)
-	cfg.Outside.State = s.server(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	cfg.Outside.State = s.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if dead.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		inner.ServeHTTP(w, r)
 	}))
-	s.dead[cfg.Outside.State] = dead
-	cfg.Outside.Cloud = s.server(s.cloud)
+	s.disconnected[cfg.Outside.State] = dead
+	cfg.Outside.Cloud = s.serve(s.cloud)
 	cfg.Facts = config.Facts{InitialSize: 3, Zones: []string{"x", "y"}, Teams: []config.Team{{Name: "team"}},
 		Workers: config.Workers{ReportS: 3, LeaseS: 18, CancelS: 40},
 		State:   config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 8, TxnOps: 24}, // budgets go by the real clock: out of the way
@@ -71,14 +71,14 @@
 	}
 	operator, err := config.LoadOperator("")
 	if err != nil {
-		s.t.Fatal(err)
+		s.tb.Fatal(err)
 	}
-	return newService(cfg, operator, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(s.clk))
+	return newService(cfg, operator, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(s.clock))
 }
 
 // elect makes a node lead for the rest of the test, or until stop is called.
-func (s *site) elect(n *Service) (l *leader, stop func()) {
-	ctx, cancel := context.WithCancel(s.t.Context())
+func (s *testCluster) elect(n *Service) (l *leader, stop func()) {
+	ctx, cancel := context.WithCancel(s.tb.Context())
 	ready := make(chan lead.Term)
 	done := make(chan struct{})
 	go func() {
@@ -92,43 +92,43 @@
 		})
 	}()
 	stop = func() { cancel(); <-done }
-	s.t.Cleanup(stop)
+	s.tb.Cleanup(stop)
 	select {
 	case r := <-ready:
 		l = newLeader(n, r)
-		l.ctx = s.t.Context()
+		l.ctx = s.tb.Context()
 	case <-time.After(10 * time.Second):
-		s.t.Fatal("not elected")
+		s.tb.Fatal("not elected")
 	}
-	if _, err := l.loadRecords(s.t.Context()); err != nil {
-		s.t.Fatal(err)
+	if _, err := l.loadRecords(s.tb.Context()); err != nil {
+		s.tb.Fatal(err)
 	}
 	l.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: s.cloud.Builds})
 	return l, stop
 }
 
-// kill lets nothing of a node reach the state service any more.
-func (s *site) kill(n *Service) { s.dead[n.cfg.Outside.State].Store(true) }
+// disconnect lets nothing of a node reach the state service any more.
+func (s *testCluster) disconnect(n *Service) { s.disconnected[n.cfg.Outside.State].Store(true) }
 
 // worker makes a worker whose /do is served.
-func (s *site) worker(host, zone string, loaned bool) *standin.Worker {
+func (s *testCluster) worker(host, zone string, loaned bool) *standin.Worker {
 	w := standin.NewWorker(host, "", "b", zone, loaned)
-	w.Beats.Endpoint = s.server(w)
+	w.Beats.Endpoint = s.serve(w)
 	return w
 }
 
 // connect lets controllers reach each other.
-func (s *site) connect(nodes ...*Service) {
-	s.t.Helper()
+func (s *testCluster) connect(nodes ...*Service) {
+	s.tb.Helper()
 	for _, n := range nodes {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			s.t.Fatal(err)
+			s.tb.Fatal(err)
 		}
 		done := make(chan struct{})
-		ctx, cancel := context.WithCancel(s.t.Context())
+		ctx, cancel := context.WithCancel(s.tb.Context())
 		go func() { defer close(done); peer.Serve(ctx, ln, n.answerPeer, n.log) }()
-		s.t.Cleanup(func() { cancel(); <-done })
+		s.tb.Cleanup(func() { cancel(); <-done })
 		for _, o := range nodes {
 			if o != n {
 				o.attestationLinks[n.cfg.Node] = peer.NewLink(ln.Addr().String())
@@ -139,36 +139,36 @@
 	}
 }
 
-// termOf makes a node lead for the rest of the test, without loading anything.
-func (s *site) termOf(n *Service) lead.Term {
-	s.t.Helper()
-	ctx, cancel := context.WithCancel(s.t.Context())
+// acquireTerm makes a node lead for the rest of the test, without loading anything.
+func (s *testCluster) acquireTerm(n *Service) lead.Term {
+	s.tb.Helper()
+	ctx, cancel := context.WithCancel(s.tb.Context())
 	ready, done := make(chan lead.Term, 1), make(chan struct{})
 	go func() {
 		defer close(done)
 		n.elector.Run(ctx, func(ctx context.Context, r lead.Term) { ready <- r; <-ctx.Done() })
 	}()
-	s.t.Cleanup(func() { cancel(); <-done })
+	s.tb.Cleanup(func() { cancel(); <-done })
 	return <-ready
 }
 
-// limited keeps a team to so many cores.
-func limited(cores float64) func(f *config.Facts) {
+// withTeamLimit keeps a team to so many cores.
+func withTeamLimit(cores float64) func(f *config.Facts) {
 	return func(f *config.Facts) { f.Teams[0].CPUsMax = cores }
 }
 
-// join links controllers to each other, as their settings would.
-func (s *site) join(nodes ...*Service) {
-	s.t.Helper()
+// connectWithIsolation links controllers to each other, as their settings would.
+func (s *testCluster) connectWithIsolation(nodes ...*Service) {
+	s.tb.Helper()
 	for _, n := range nodes {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			s.t.Fatal(err)
+			s.tb.Fatal(err)
 		}
-		ctx, cancel := context.WithCancel(s.t.Context())
+		ctx, cancel := context.WithCancel(s.tb.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); peer.Serve(ctx, ln, n.answerPeer, n.log) }()
-		s.t.Cleanup(func() { cancel(); <-done })
+		s.tb.Cleanup(func() { cancel(); <-done })
 		for _, o := range nodes {
 			if o != n {
 				o.attestationLinks[n.cfg.Node], o.relayLinks[n.cfg.Node] = peer.NewLink(ln.Addr().String()), peer.NewLink(ln.Addr().String())
--- a/harness_steps_test.go
+++ b/harness_steps_test.go
@@ -13,12 +13,12 @@
 )
 
 // advance moves the clock in steps, letting the leader renew its lease at each.
-func (s *site) advance(d time.Duration) {
-	s.t.Helper()
+func (s *testCluster) advance(d time.Duration) {
+	s.tb.Helper()
 	for ; d > 0; d -= time.Second {
-		s.clk.Advance(min(d, time.Second))
-		if err := s.clk.BlockUntilContext(s.t.Context(), 1); err != nil {
-			s.t.Fatal(err)
+		s.clock.Advance(min(d, time.Second))
+		if err := s.clock.BlockUntilContext(s.tb.Context(), 1); err != nil {
+			s.tb.Fatal(err)
 		}
 	}
 }
@@ -45,10 +45,10 @@
 }
 
 // settle runs passes until all direct commands have landed and been taken in.
-func (s *site) settle(l *leader) {
-	s.t.Helper()
+func (s *testCluster) settle(l *leader) {
+	s.tb.Helper()
 	for range 4 {
-		l.pass(s.t.Context())
+		l.pass(s.tb.Context())
 		for i := 0; ; i++ {
 			l.mu.Lock()
 			n := l.dispatcher.InFlightCount() + l.detector.OpenProbes()
@@ -57,33 +57,33 @@
 				break
 			}
 			if i > 100_000 {
-				s.t.Fatal("direct commands never landed")
+				s.tb.Fatal("direct commands never landed")
 			}
 			<-l.wakeups // every landing wakes the loop
 		}
 	}
 }
 
-func (s *site) resync(l *leader) {
-	s.t.Helper()
-	if _, err := l.resync(s.t.Context(), 0); err != nil {
-		s.t.Fatal(err)
+func (s *testCluster) resync(l *leader) {
+	s.tb.Helper()
+	if _, err := l.resync(s.tb.Context(), 0); err != nil {
+		s.tb.Fatal(err)
 	}
 }
 
-// pass lets seconds go by, with a heartbeat of every worker and a pass in each.
-func (s *site) pass(l *leader, ws []*standin.Worker, seconds int) {
-	s.t.Helper()
+// runSeconds lets seconds go by, with a heartbeat of every worker and a pass in each.
+func (s *testCluster) runSeconds(l *leader, ws []*standin.Worker, seconds int) {
+	s.tb.Helper()
 	for range seconds {
 		s.advance(time.Second)
 		for _, w := range ws {
-			heartbeat(s.t, l, w)
+			heartbeat(s.tb, l, w)
 		}
 		s.settle(l)
 	}
 }
 
-func banned(l *leader, ws []*standin.Worker) (out []string) {
+func quarantined(l *leader, ws []*standin.Worker) (out []string) {
 	for _, w := range ws {
 		if machine := l.fleet.Machine(w.Beats.Machine); machine.QuarantineReason != "" {
 			out = append(out, machine.Name+" "+string(machine.QuarantineReason))
@@ -92,7 +92,7 @@
 	return out
 }
 
-func startsOf(ws []*standin.Worker, uid string) (n int) {
+func startCount(ws []*standin.Worker, uid string) (n int) {
 	for _, w := range ws {
 		for _, k := range w.Starts() {
 			if strings.HasPrefix(k, uid+"/") {
@@ -103,15 +103,15 @@
 	return n
 }
 
-func (s *site) usable(l *leader, host string) bool {
+func (s *testCluster) machineUsable(l *leader, host string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	machine := l.fleet.Machine(host)
 	return machine != nil && planinput.Usable(machine, l.clock.Now())
 }
 
-// deliver hands a report to the leader without the worker learning the answer.
-func deliver(t *testing.T, l *leader, rep wire.Heartbeat) wire.HeartbeatResponse {
+// deliverReport hands a report to the leader without the worker learning the answer.
+func deliverReport(t *testing.T, l *leader, rep wire.Heartbeat) wire.HeartbeatResponse {
 	t.Helper()
 	ans, ok := l.Heartbeat(&rep)
 	if !ok {
@@ -120,10 +120,10 @@
 	return ans
 }
 
-// meanwhile runs a step of the leader in which a transaction gets no answer, lets
+// loseAnswerDuring runs a step of the leader in which a transaction gets no answer, lets
 // others look while the leader does not know yet, and then lets it go on.
-func (s *site) meanwhile(do func(), look func()) {
-	s.t.Helper()
+func (s *testCluster) loseAnswerDuring(do func(), look func()) {
+	s.tb.Helper()
 	was := s.state.Lost()
 	s.state.LoseAnswers(1)
 	done := make(chan struct{})
@@ -132,12 +132,12 @@
 		runtime.Gosched()
 	}
 	look()
-	ctx, cancel := context.WithCancel(s.t.Context())
+	ctx, cancel := context.WithCancel(s.tb.Context())
 	defer cancel()
 	go func() {
 		// The repeat waits on the clock, as does the elector.
-		for s.clk.BlockUntilContext(ctx, 2) == nil {
-			s.clk.Advance(100 * time.Millisecond)
+		for s.clock.BlockUntilContext(ctx, 2) == nil {
+			s.clock.Advance(100 * time.Millisecond)
 		}
 	}()
 	<-done
--- a/harness_total_loss_test.go
+++ b/harness_total_loss_test.go
@@ -16,23 +16,23 @@
 	"cedardoor/wire"
 )
 
-// histories is what happened on all machines, in order, and what the cloud was asked for.
+// eventLog is what happened on all machines, in order, and what the cloud was asked for.
 // It knows nothing of what controllers hold.
-type histories struct {
+type eventLog struct {
 	mu      sync.Mutex // guards the fields below
 	events  []standin.Event
 	rentals []time.Time // requests for machines
 	returns map[string]time.Time
 }
 
-func (h *histories) watch(e standin.Event) {
+func (h *eventLog) record(e standin.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.events = append(h.events, e)
 }
 
-// told takes in what the cloud was asked for.
-func (h *histories) told(what string) {
+// recordCloud takes in what the cloud was asked for.
+func (h *eventLog) recordCloud(what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if machine, returned := strings.CutPrefix(what, "returned "); returned {
@@ -48,8 +48,8 @@
 // commandCounts are the commands and requests of a span.
 type commandCounts struct{ Runs, Halts, Forgets, Rentals, Returns int }
 
-// counts counts the commands that workers executed, and the requests to the cloud, in a span.
-func (h *histories) counts(from, to time.Time) (c commandCounts) {
+// count counts the commands that workers executed, and the requests to the cloud, in a span.
+func (h *eventLog) count(from, to time.Time) (c commandCounts) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	within := func(at time.Time) bool { return !at.Before(from) && at.Before(to) }
@@ -79,38 +79,38 @@
 	return c
 }
 
-// drainSpan is how long after its last task was stopped a machine may be returned, and keepSpan
+// maxDrainTime is how long after its last task was stopped a machine may be returned, and keepSpan
 // for how long after the return of the first controller no machine is given up.
 const (
-	drainSpan = 3 * time.Minute
-	keepSpan  = 10 * time.Second
-	// recoverySpan is how long after that commands are counted and held against the promises.
-	recoverySpan = 30 * time.Second
+	maxDrainTime = 3 * time.Minute
+	minKeepTime  = 10 * time.Second
+	// recoveryCheckTime is how long after that commands are counted and held against the promises.
+	recoveryCheckTime = 30 * time.Second
 )
 
-// crowd is the tasks of a job on a machine.
-type crowd struct{ machine, job string }
+// jobOnMachine is the tasks of a job on a machine.
+type jobOnMachine struct{ machine, job string }
 
-// faults holds a span of the histories against what a recovery promises. A task that runs is
+// violations holds a span of the histories against what a recovery promises. A task that runs is
 // stopped only for one of three causes, and each is judged by what is seen: its user asked to cancel its job;
 // another replica of its job is on the same machine, from which one is moved away; or its machine
 // is given up, and returned. A task begins again only after its run before was lost with
 // its machine's lease, or was stopped for such a cause.
-func (h *histories) faults(from, back, to time.Time, cancelled func(uid string) bool) (faults []string) {
+func (h *eventLog) violations(from, back, to time.Time, cancelled func(uid string) bool) (faults []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	ended := map[string]string{} // why a task's last run ended; absent while it runs or before its first
 	ran := map[string]bool{}
 	moved := map[string]bool{} // stopped for a cause
-	on := map[crowd]int{}
+	on := map[jobOnMachine]int{}
 	for _, e := range h.events {
 		uid, _, _ := strings.Cut(e.Task, "/")
 		within := !e.At.Before(from) && e.At.Before(to)
-		here := crowd{e.Machine, uid}
+		here := jobOnMachine{e.Machine, uid}
 		switch {
 		case e.Kind == standin.EventOrdered && e.Verb == wire.VerbStop && e.Live:
 			returned, gone := h.returns[e.Machine]
-			drained := gone && returned.Sub(e.At) < drainSpan && e.At.Sub(back) > keepSpan
+			drained := gone && returned.Sub(e.At) < maxDrainTime && e.At.Sub(back) > minKeepTime
 			moved[e.Task] = cancelled(uid) || on[here] > 1 || drained
 			if within && !moved[e.Task] {
 				faults = append(faults, fmt.Sprintf("%s attempt %d on %s is stopped without a cause", e.Task, e.Attempt, e.Machine))
@@ -137,15 +137,15 @@
 	return faults
 }
 
-// lossWork fills most of the machines of a scene: services, arrays that run throughout, a team at
+// lossSubmissions fills most of the machines of a scene: services, arrays that run throughout, a team at
 // its limit, jobs of one task, and jobs that are cancelled right before the loss.
-func lossWork(machines int, lossAt float64) (users []submission) {
+func lossSubmissions(machines int, lossAt float64) (users []submission) {
 	add := func(from, runs float64, mod func(sp *wire.Spec)) *submission {
-		users = append(users, user(len(users)+1, from, runs, mod))
+		users = append(users, newSubmission(len(users)+1, from, runs, mod))
 		return &users[len(users)-1]
 	}
 	for range 4 {
-		add(2, 0, standing(machines/2))
+		add(2, 0, asService(machines/2))
 	}
 	for range 4 {
 		add(8, lossAt+40, func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = machines/2, true })
@@ -158,46 +158,46 @@
 	}
 	for range 3 {
 		u := add(12, lossAt+60, func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = 4, true })
-		u.cancelAt = at(lossAt - 12.5)
+		u.cancelAfter = seconds(lossAt - 12.5)
 	}
 	return users
 }
 
 // totalLoss is a scene in which all controllers end at once and some return after a spell.
 type totalLoss struct {
-	lossAt  float64
-	spell   float64 // until the first is back
-	returns int     // how many come back; the others stay away
-	timing  timing  // of the workers, if not lossTiming
+	lossAtS  float64
+	outageS   float64 // until the first is back
+	returning int     // how many come back; the others stay away
+	timing  workerTiming  // of the workers, if not lossTiming
 }
 
 // lossTiming is that of a usual platform.
-var lossTiming = timing{report: 3 * time.Second, lease: 18 * time.Second, cancel: 43 * time.Second}
+var lossTiming = workerTiming{report: 3 * time.Second, lease: 18 * time.Second, cancel: 43 * time.Second}
 
-// lost is when the controllers end: a second after its time, which the first leader has for itself.
-func (x totalLoss) lost(w *world) time.Time { return w.began.Add(at(x.lossAt + 1)) }
+// lostAt is when the controllers end: a second after its time, which the first leader has for itself.
+func (x totalLoss) lostAt(w *simulation) time.Time { return w.startedAt.Add(seconds(x.lossAtS + 1)) }
 
-func (x totalLoss) schedule(machines int, h *histories) schedule {
-	s := schedule{seed: 5, lasts: at(x.lossAt + x.spell + 90), leads: 1, most: 3 * machines, users: lossWork(machines, x.lossAt), watch: h.watch, timing: lossTiming}
-	if x.timing != (timing{}) {
+func (x totalLoss) schedule(machines int, h *eventLog) schedule {
+	s := schedule{seed: 5, duration: seconds(x.lossAtS + x.outageS + 90), firstLeader: 1, maxMachines: 3 * machines, submissions: lossSubmissions(machines, x.lossAtS), onEvent: h.record, timing: lossTiming}
+	if x.timing != (workerTiming{}) {
 		s.timing = x.timing
 	}
 	for node := range 3 {
-		away := at(x.spell + 0.3*float64(node))
-		if node >= x.returns {
-			away = s.lasts - at(x.lossAt) // they are asked at the end
+		away := seconds(x.outageS + 0.3*float64(node))
+		if node >= x.returning {
+			away = s.duration - seconds(x.lossAtS) // they are asked at the end
 		}
-		s.troubles = append(s.troubles, trouble{kind: killNode, at: at(x.lossAt), lasts: away, node: node})
+		s.faults = append(s.faults, fault{kind: controllerKilled, at: seconds(x.lossAtS), duration: away, controller: node})
 	}
-	s.setup = func(w *world) {
+	s.setup = func(w *simulation) {
 		note := w.cloud.Told
-		w.cloud.Told = func(what string) { note(what); h.told(what) }
+		w.cloud.Told = func(what string) { note(what); h.recordCloud(what) }
 	}
 	return s
 }
 
-// lossFigures are what a scene of a total loss measures, from the return of the first controller.
-type lossFigures struct {
+// lossMeasurements are what a scene of a total loss measures, from the return of the first controller.
+type lossMeasurements struct {
 	Scene          string
 	Machines       int
 	FirstOrderS    float64 // the first command that a worker executed
@@ -211,7 +211,7 @@
 }
 
 // String prints the figures without the course of the recovery.
-func (f lossFigures) String() string {
+func (f lossMeasurements) String() string {
 	return fmt.Sprintf("%s: %d machines, first command %.2f s, most reconciled %.2f s, all %.2f s, all going %.2f s, %+v, %d requests, %d changes", f.Scene, f.Machines,
 		f.FirstOrderS, f.MostReconciled, f.AllReconciled, f.AllGoingS, f.Commands, f.StateRequests, f.StateChanges)
 }
@@ -222,28 +222,28 @@
 	Awaited, Reconciled, Replicas int
 }
 
-// playLoss plays a scene and gives the faults that the histories show and the figures.
-func playLoss(t *testing.T, x totalLoss, machines int, lose func(r *recovery.Records)) (broken []string, figures lossFigures) {
-	h := &histories{}
+// playTotalLoss plays a scene and gives the faults that the histories show and the figures.
+func playTotalLoss(t *testing.T, x totalLoss, machines int, lose func(r *recovery.Records)) (broken []string, figures lossMeasurements) {
+	h := &eventLog{}
 	s := x.schedule(machines, h)
-	s.lose = lose
-	figures.Scene = fmt.Sprintf("%d back after %.1f s", x.returns, x.spell)
+	s.alterRecords = lose
+	figures.Scene = fmt.Sprintf("%d back after %.1f s", x.returning, x.outageS)
 	setup := s.setup
-	s.setup = func(w *world) {
+	s.setup = func(w *simulation) {
 		setup(w)
 		w.wg.Go(func() { w.measureLoss(x, h, &figures) })
 	}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld(ctx, t, s)
-		w.play()
+		w := newSimulation(ctx, t, s)
+		w.run()
 		if lose == nil {
-			w.served()
+			w.checkAllServed()
 		}
-		w.end(cancel)
-		lost := x.lost(w)
-		broken = append(w.broken, h.faults(lost, lost.Add(at(x.spell)), lost.Add(at(x.spell)+recoverySpan), func(uid string) bool { return w.facts[uid].asked })...)
-		figures.Commands = h.counts(lost.Add(at(x.spell)), lost.Add(at(x.spell)+recoverySpan))
+		w.shutDown(cancel)
+		lost := x.lostAt(w)
+		broken = append(w.violations, h.violations(lost, lost.Add(seconds(x.outageS)), lost.Add(seconds(x.outageS)+recoveryCheckTime), func(uid string) bool { return w.views[uid].cancelRequested })...)
+		figures.Commands = h.count(lost.Add(seconds(x.outageS)), lost.Add(seconds(x.outageS)+recoveryCheckTime))
 		if t.Failed() || len(broken) > 0 && lose == nil {
 			t.Logf("history:\n%s", strings.Join(w.history, "\n"))
 		}
@@ -252,8 +252,8 @@
 }
 
 // measureLoss follows the recovery from the return of the first controller.
-func (w *world) measureLoss(x totalLoss, h *histories, f *lossFigures) {
-	back := x.lost(w).Add(at(x.spell))
+func (w *simulation) measureLoss(x totalLoss, h *eventLog, f *lossMeasurements) {
+	back := x.lostAt(w).Add(seconds(x.outageS))
 	time.Sleep(time.Until(back))
 	requests, changes := w.state.Requests(), w.state.Puts()
 	const step = 250 * time.Millisecond
@@ -261,12 +261,12 @@
 		time.Sleep(step)
 		since := time.Since(back).Seconds()
 		var report recovery.Report
-		if p := w.running(fmt.Sprintf("node-%d", w.leader()+1)); p != nil {
+		if p := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1)); p != nil {
 			if l := p.current.Load(); l != nil {
 				report, _ = l.recoveryReport()
 			}
 		}
-		run, want := w.replicas()
+		run, want := w.replicaCounts()
 		f.Progress = append(f.Progress, progressPoint{AtS: since, Awaited: report.Machines.Awaited, Reconciled: report.Machines.Reconciled, Replicas: run})
 		f.Machines = max(f.Machines, report.Machines.Recorded)
 		settled := report.Machines.Reconciled + report.Machines.Gone
@@ -293,8 +293,8 @@
 	}
 }
 
-// keepFigures adds a scene's figures to the file that -loss.plot names, a line each.
-func keepFigures(f lossFigures) error {
+// saveMeasurements adds a scene's figures to the file that -loss.plot names, a line each.
+func saveMeasurements(f lossMeasurements) error {
 	if *lossPlot == "" {
 		return nil
 	}
--- a/harness_transport_test.go
+++ b/harness_transport_test.go
@@ -16,47 +16,47 @@
 )
 
 // latency is drawn from the seed, the pair and the moment.
-func (w *world) latency(from, to string) time.Duration {
+func (w *simulation) latency(from, to string) time.Duration {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%d %s %s %d", w.s.seed, from, to, time.Since(w.began))
-	return w.s.slow + 500*time.Microsecond + time.Duration(h.Sum64()%4000)*time.Microsecond
+	fmt.Fprintf(h, "%d %s %s %d", w.schedule.seed, from, to, time.Since(w.startedAt))
+	return w.schedule.extraLatency + 500*time.Microsecond + time.Duration(h.Sum64()%4000)*time.Microsecond
 }
 
-var errLost = errors.New("lost")
+var errNoResponse = errors.New("lost")
 
-// serve lets one controller answer a request, from memory.
-func (w *world) serve(ctx context.Context, node, method, path string, body []byte) (int, []byte, error) {
-	p := w.running(node)
+// serveRequest lets one controller answer a request, from memory.
+func (w *simulation) serveRequest(ctx context.Context, node, method, path string, body []byte) (int, []byte, error) {
+	p := w.runningProcess(node)
 	if p == nil {
-		return 0, nil, errLost
+		return 0, nil, errNoResponse
 	}
-	return w.serveBy(ctx, p, method, path, body)
+	return w.serveByProcess(ctx, p, method, path, body)
 }
 
-// serveBy lets one process of a controller answer a request, from memory.
-func (w *world) serveBy(ctx context.Context, p *process, method, path string, body []byte) (int, []byte, error) {
-	if w.running(p.name) != p {
-		return 0, nil, errLost
+// serveByProcess lets one process of a controller answer a request, from memory.
+func (w *simulation) serveByProcess(ctx context.Context, p *process, method, path string, body []byte) (int, []byte, error) {
+	if w.runningProcess(p.name) != p {
+		return 0, nil, errNoResponse
 	}
 	rec := httptest.NewRecorder()
 	p.router.ServeHTTP(rec, httptest.NewRequestWithContext(ctx, method, path, bytes.NewReader(body)))
-	if w.running(p.name) != p {
-		return 0, nil, errLost // killed as it answered
+	if w.runningProcess(p.name) != p {
+		return 0, nil, errNoResponse // killed as it answered
 	}
 	return rec.Code, rec.Body.Bytes(), nil
 }
 
-// exchange lets a controller answer a request over a network that can hold
+// exchangeBuffered lets a controller answer a request over a network that can hold
 // messages. A request over an open connection arrives after the hold, though nobody
 // may wait for its answer any more; a connection can't be made meanwhile.
-func (w *world) exchange(ctx context.Context, open *process, from, node, method, path string, body []byte) (int, []byte, error) {
+func (w *simulation) exchangeBuffered(ctx context.Context, open *process, from, node, method, path string, body []byte) (int, []byte, error) {
 	p := open
 	if p == nil {
-		if !w.net.AwaitBoth(ctx, from, node) {
-			return 0, nil, errLost
+		if !w.network.AwaitBoth(ctx, from, node) {
+			return 0, nil, errNoResponse
 		}
-		if p = w.running(node); p == nil {
-			return 0, nil, errLost
+		if p = w.runningProcess(node); p == nil {
+			return 0, nil, errNoResponse
 		}
 	}
 	type answer struct {
@@ -66,67 +66,67 @@
 	}
 	done := make(chan answer, 1)
 	w.wg.Go(func() {
-		late := w.net.Held(from, node)
-		w.net.Await(w.ctx, from, node)
-		status, raw, err := w.serveBy(w.ctx, p, method, path, body)
+		late := w.network.Held(from, node)
+		w.network.Await(w.ctx, from, node)
+		status, raw, err := w.serveByProcess(w.ctx, p, method, path, body)
 		if late {
-			w.note("%s of %s to %s was held: %d", path, from, node, status)
+			w.logf("%s of %s to %s was held: %d", path, from, node, status)
 		}
 		time.Sleep(w.latency(node, from))
-		w.net.Await(w.ctx, node, from)
+		w.network.Await(w.ctx, node, from)
 		done <- answer{status, raw, err}
 	})
 	select {
 	case a := <-done:
 		return a.status, a.body, a.err
 	case <-ctx.Done():
-		return 0, nil, errLost
+		return 0, nil, errNoResponse
 	}
 }
 
-// report carries a worker's report over its connection, or a new one.
-func (w *world) report(ctx context.Context, m *standin.Machine, node string, raw []byte) (int, []byte, error) {
+// sendBufferedHeartbeat carries a worker's report over its connection, or a new one.
+func (w *simulation) sendBufferedHeartbeat(ctx context.Context, m *standin.Machine, node string, raw []byte) (int, []byte, error) {
 	w.mu.Lock()
-	open := w.lines[m]
+	open := w.connections[m]
 	w.mu.Unlock()
-	if open != nil && (open.name != node || w.running(node) != open) {
+	if open != nil && (open.name != node || w.runningProcess(node) != open) {
 		open = nil
 	}
-	status, body, err := w.exchange(ctx, open, m.Host.UID, node, http.MethodPost, wire.PathHeartbeat, raw)
+	status, body, err := w.exchangeBuffered(ctx, open, m.Host.UID, node, http.MethodPost, wire.PathHeartbeat, raw)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.lines, m)
+	delete(w.connections, m)
 	if err == nil && status == http.StatusOK {
-		for _, p := range w.nodes {
-			if p.name == node && !p.dead {
-				w.lines[m] = p
+		for _, p := range w.processes {
+			if p.name == node && !p.stopped {
+				w.connections[m] = p
 			}
 		}
 	}
 	return status, body, err
 }
 
-// heartbeat carries a worker's report to a controller.
-func (w *world) heartbeat(ctx context.Context, m *standin.Machine, node string, rep wire.Heartbeat) (int, []byte, error) {
+// sendHeartbeat carries a worker's report to a controller.
+func (w *simulation) sendHeartbeat(ctx context.Context, m *standin.Machine, node string, rep wire.Heartbeat) (int, []byte, error) {
 	raw, err := wire.Marshal(rep)
 	if err != nil {
 		return 0, nil, err
 	}
-	if x, ok := w.troubled(lateReports); ok {
+	if x, ok := w.activeFault(heartbeatCopiesDelayed); ok {
 		w.wg.Go(func() {
 			select {
-			case <-time.After(x.by):
+			case <-time.After(x.delay):
 			case <-w.ctx.Done():
 				return
 			}
 			for _, n := range m.Nodes { // whoever leads then takes it in; its answer finds nobody
-				_, _, _ = w.serve(w.ctx, n, http.MethodPost, wire.PathHeartbeat, raw)
+				_, _, _ = w.serveRequest(w.ctx, n, http.MethodPost, wire.PathHeartbeat, raw)
 			}
 		})
 	}
-	if _, ok := w.troubled(keptReports); ok {
+	if _, ok := w.activeFault(heartbeatCopiesToNextLeader); ok {
 		w.wg.Go(func() {
-			for token := w.token(); w.token() <= token; {
+			for token := w.leaderToken(); w.leaderToken() <= token; {
 				select {
 				case <-time.After(50 * time.Millisecond):
 				case <-w.ctx.Done():
@@ -134,34 +134,34 @@
 				}
 			}
 			for _, n := range m.Nodes {
-				_, _, _ = w.serve(w.ctx, n, http.MethodPost, wire.PathHeartbeat, raw)
+				_, _, _ = w.serveRequest(w.ctx, n, http.MethodPost, wire.PathHeartbeat, raw)
 			}
 		})
 	}
 	time.Sleep(w.latency(m.Host.UID, node))
 	w.mu.Lock()
-	mute := w.muted[m]
+	mute := w.unreachableFrom[m]
 	w.mu.Unlock()
-	if mute || w.net.Cut(m.Host.UID, node) {
-		return 0, nil, errLost
+	if mute || w.network.Cut(m.Host.UID, node) {
+		return 0, nil, errNoResponse
 	}
-	if w.s.holds {
-		status, body, err := w.report(ctx, m, node, raw)
-		if m.Deaf() || w.net.Cut(node, m.Host.UID) {
-			return 0, nil, errLost
+	if w.schedule.buffersMessages {
+		status, body, err := w.sendBufferedHeartbeat(ctx, m, node, raw)
+		if m.Deaf() || w.network.Cut(node, m.Host.UID) {
+			return 0, nil, errNoResponse
 		}
 		return status, body, err
 	}
-	status, body, err := w.serve(ctx, node, http.MethodPost, wire.PathHeartbeat, raw)
+	status, body, err := w.serveRequest(ctx, node, http.MethodPost, wire.PathHeartbeat, raw)
 	time.Sleep(w.latency(node, m.Host.UID))
-	if m.Deaf() || w.net.Cut(node, m.Host.UID) {
-		return 0, nil, errLost
+	if m.Deaf() || w.network.Cut(node, m.Host.UID) {
+		return 0, nil, errNoResponse
 	}
 	return status, body, err
 }
 
-// keeper is the state service as one process reaches it.
-func (w *world) keeper(node string) http.Handler {
+// stateService is the state service as one process reaches it.
+func (w *simulation) stateService(node string) http.Handler {
 	inner := w.state.Handler(node)
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		raw, err := io.ReadAll(r.Body)
@@ -176,27 +176,27 @@
 			return rec
 		}
 		time.Sleep(w.latency(node, "state"))
-		if x, ok := w.troubled(slowState); ok {
-			time.Sleep(x.by)
+		if x, ok := w.activeFault(stateSlow); ok {
+			time.Sleep(x.delay)
 		}
-		if x, ok := w.troubled(slowLink); ok {
-			time.Sleep(x.by)
-			defer time.Sleep(x.by)
+		if x, ok := w.activeFault(stateLinksSlow); ok {
+			time.Sleep(x.delay)
+			defer time.Sleep(x.delay)
 		}
 		if r.URL.Path == wire.PathCommit {
-			if x, ok := w.troubled(lateWrites); ok {
+			if x, ok := w.activeFault(transactionsDelayed); ok {
 				w.wg.Go(func() {
 					select {
-					case <-time.After(x.by):
+					case <-time.After(x.delay):
 						rec := handle(w.ctx)
-						w.note("late transaction of %s: %d", node, rec.Code)
+						w.logf("late transaction of %s: %d", node, rec.Code)
 					case <-w.ctx.Done():
 					}
 				})
 				<-r.Context().Done()
 				return
 			}
-			if _, ok := w.troubled(loseAnswers); ok {
+			if _, ok := w.activeFault(transactionAnswersLost); ok {
 				handle(w.ctx)
 				panic(http.ErrAbortHandler)
 			}
--- a/harness_users_test.go
+++ b/harness_users_test.go
@@ -10,21 +10,21 @@
 	"cedardoor/wire"
 )
 
-// ask sends a user's request to a node and holds its answer against all that
+// request sends a user's request to a node and holds its answer against all that
 // was told before it was sent.
-func (w *world) ask(node int, method, path, uid string, body []byte) (int, wire.JobStatus) {
+func (w *simulation) request(node int, method, path, uid string, body []byte) (int, wire.JobStatus) {
 	name := fmt.Sprintf("node-%d", node%3+1)
 	w.mu.Lock()
-	f := w.facts[uid]
+	f := w.views[uid]
 	if f == nil {
-		f = &fact{}
-		w.facts[uid] = f
+		f = &jobView{}
+		w.views[uid] = f
 	}
 	if method == http.MethodPost {
 		if strings.HasSuffix(path, wire.SuffixCancel) {
-			f.asked = true
+			f.cancelRequested = true
 		} else {
-			f.sent = true
+			f.submitted = true
 		}
 	}
 	before := *f
@@ -32,24 +32,24 @@
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
 	time.Sleep(w.latency("user", name))
-	if w.net.Cut("user", name) {
+	if w.network.Cut("user", name) {
 		return 0, wire.JobStatus{}
 	}
 	var status int
 	var raw []byte
 	var err error
-	if w.s.holds {
+	if w.schedule.buffersMessages {
 		// Half of the requests come over connections that are open already.
 		var open *process
 		if w.latency(uid, name).Microseconds()%2 == 0 {
-			open = w.running(name)
+			open = w.runningProcess(name)
 		}
-		status, raw, err = w.exchange(ctx, open, "user", name, method, path, body)
+		status, raw, err = w.exchangeBuffered(ctx, open, "user", name, method, path, body)
 	} else {
-		status, raw, err = w.serve(ctx, name, method, path, body)
+		status, raw, err = w.serveRequest(ctx, name, method, path, body)
 		time.Sleep(w.latency(name, "user"))
 	}
-	if w.net.Cut(name, "user") {
+	if w.network.Cut(name, "user") {
 		return 0, wire.JobStatus{}
 	}
 	if err != nil {
@@ -59,33 +59,33 @@
 	if status == http.StatusOK || status == http.StatusCreated {
 		_ = wire.Unmarshal(raw, &v)
 	}
-	w.note("%s %s at %s: %d %s", method, path, name, status, v.Status)
+	w.logf("%s %s at %s: %d %s", method, path, name, status, v.Status)
 	w.mu.Lock()
-	all := w.left[uid] == 0
-	submitted := f.sent
-	cancels := f.asked
+	all := w.remainingTasks[uid] == 0
+	submitted := f.submitted
+	cancels := f.cancelRequested
 	w.mu.Unlock()
 	switch {
 	case status == http.StatusNotFound && before.accepted:
-		w.breach("forgotten", "%s: 404 from %s", uid, name)
+		w.recordViolation("forgotten", "%s: 404 from %s", uid, name)
 	case (status == 400 || status == 422) && before.accepted:
-		w.breach("forgotten", "%s: %d to a repeat at %s", uid, status, name)
+		w.recordViolation("forgotten", "%s: %d to a repeat at %s", uid, status, name)
 	case status == http.StatusCreated && before.accepted:
-		w.breach("forgotten", "%s accepted again by %s", uid, name)
+		w.recordViolation("forgotten", "%s accepted again by %s", uid, name)
 	case status == http.StatusOK && !submitted:
-		w.breach("invented", "%s: %+v from %s", uid, v, name)
+		w.recordViolation("invented", "%s: %+v from %s", uid, v, name)
 	case status == http.StatusOK && v.Status == wire.JobDone && !all:
-		w.breach("not_done", "%s: done from %s, and tasks are left", uid, name)
+		w.recordViolation("not_done", "%s: done from %s, and tasks are left", uid, name)
 	case status == http.StatusOK && v.Status == wire.JobCancelled && !cancels:
-		w.breach("went_back", "%s: cancelled from %s, and nobody asked for it", uid, name)
+		w.recordViolation("went_back", "%s: cancelled from %s, and nobody asked for it", uid, name)
 	case status == http.StatusOK && (before.done && v.Status != wire.JobDone || before.cancelled && v.Status != wire.JobCancelled):
-		w.breach("went_back", "%s: %s from %s after done %v, cancelled %v", uid, v.Status, name, before.done, before.cancelled)
+		w.recordViolation("went_back", "%s: %s from %s after done %v, cancelled %v", uid, v.Status, name, before.done, before.cancelled)
 	}
 	if status == http.StatusOK || status == http.StatusCreated {
 		w.mu.Lock()
 		news := !f.accepted || !f.done && v.Status == wire.JobDone || !f.cancelled && v.Status == wire.JobCancelled
 		if !f.accepted {
-			f.moved = time.Now()
+			f.lastProgress = time.Now()
 		}
 		f.accepted = true
 		f.done = f.done || v.Status == wire.JobDone
@@ -98,7 +98,7 @@
 				for _, after := range []time.Duration{time.Millisecond, 40 * time.Millisecond} {
 					w.wg.Go(func() {
 						time.Sleep(after)
-						w.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil)
+						w.request(n, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil)
 					})
 				}
 			}
@@ -107,44 +107,44 @@
 	return status, v
 }
 
-// use plays one user.
-func (w *world) use(u submission) {
+// playUser plays one user.
+func (w *simulation) playUser(u submission) {
 	uid := u.spec.UID
-	body := bodyOf(w.t, u.spec, nil)
+	body := submissionBody(w.t, u.spec, nil)
 	path := wire.PathJobs + "/" + uid
-	over := w.began.Add(w.s.lasts + quietTail - 5*time.Second)
+	over := w.startedAt.Add(w.schedule.duration + faultFreeTail - 5*time.Second)
 	for n := 0; ; n++ {
-		status, _ := w.ask(n+u.node+int(w.s.seed), http.MethodPost, wire.PathJobs, uid, body)
+		status, _ := w.request(n+u.firstController+int(w.schedule.seed), http.MethodPost, wire.PathJobs, uid, body)
 		if status == http.StatusCreated || status == http.StatusOK {
 			break
 		}
 		if status == http.StatusBadRequest || status == http.StatusUnprocessableEntity || time.Now().After(over) {
-			w.note("%s given up: %d", uid, status)
+			w.logf("%s given up: %d", uid, status)
 			return
 		}
 		time.Sleep(time.Second)
 	}
-	if u.cancelAt > 0 || u.onDone || u.onKind != "" {
+	if u.cancelAfter > 0 || u.cancelOnDone || u.cancelOnFault != "" {
 		w.wg.Go(func() {
 			switch {
-			case u.onDone:
+			case u.cancelOnDone:
 				select {
-				case <-w.ended[uid]:
+				case <-w.allTasksDone[uid]:
 				case <-w.ctx.Done():
 					return
 				}
-			case u.onKind != "":
+			case u.cancelOnFault != "":
 				for time.Now().Before(over) {
-					if _, ok := w.troubled(u.onKind); ok {
+					if _, ok := w.activeFault(u.cancelOnFault); ok {
 						break
 					}
 					time.Sleep(5 * time.Millisecond)
 				}
 			default:
-				time.Sleep(u.cancelAt)
+				time.Sleep(u.cancelAfter)
 			}
 			for n := 0; time.Now().Before(over); n++ {
-				if status, _ := w.ask(n, http.MethodPost, path+"/"+wire.SuffixCancel, uid, nil); status == http.StatusOK {
+				if status, _ := w.request(n, http.MethodPost, path+"/"+wire.SuffixCancel, uid, nil); status == http.StatusOK {
 					return
 				}
 				time.Sleep(time.Second)
@@ -153,17 +153,17 @@
 	}
 	for n := 0; time.Now().Before(over); n++ {
 		time.Sleep(3 * time.Second)
-		_, v := w.ask(n+u.node, http.MethodGet, path, uid, nil)
-		if u.light {
+		_, v := w.request(n+u.firstController, http.MethodGet, path, uid, nil)
+		if u.stopsPolling {
 			if v.Status == wire.JobDone || v.Status == wire.JobCancelled {
 				return
 			}
 			continue
 		}
-		if u.repeats && n%4 == 1 {
-			w.ask(n+1, http.MethodPost, wire.PathJobs, uid, body)
-			w.ask(n+2, http.MethodPost, wire.PathJobs, uid, bodyOf(w.t, u.spec, func(m map[string]any) { m["cores"] = -1 }))
+		if u.resubmits && n%4 == 1 {
+			w.request(n+1, http.MethodPost, wire.PathJobs, uid, body)
+			w.request(n+2, http.MethodPost, wire.PathJobs, uid, submissionBody(w.t, u.spec, func(m map[string]any) { m["cores"] = -1 }))
 		}
-		w.ask(n+2, http.MethodGet, wire.PathJobs+"/j-999", "j-999", nil)
+		w.request(n+2, http.MethodGet, wire.PathJobs+"/j-999", "j-999", nil)
 	}
 }
--- a/heartbeat_test.go
+++ b/heartbeat_test.go
@@ -13,12 +13,12 @@
 // where it lies in the body, not copied and not decoded.
 func TestUnchangedReportAllocatesLittle(t *testing.T) {
 	allocs := func(machines, tasks int) float64 {
-		_, l := ledFleet(t, machines, tasks)
-		raw := body(t, report(0, tasks, 1, l.term.Token))
+		_, l := trustedFleet(t, machines, tasks)
+		raw := encodeReport(t, fleetReport(0, tasks, 1, l.term.Token))
 		tally := uint64(100)
 		heartbeat := func() {
 			tally++
-			setTally(t, raw, tally)
+			setSequence(t, raw, tally)
 			rep, err := wire.DecodeHeartbeat(raw)
 			if err != nil {
 				t.Fatal(err)
@@ -42,20 +42,20 @@
 // A copy of an old report that reaches a new leader first proves nothing, does
 // not make the machine trusted, and moves nothing.
 func TestLateCopyReachesNewLeaderFirst(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	ga, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, ga, w)
 	old := w.Report() // shows nothing yet
-	s.submit(a, spec("j-1", nil))
+	s.submit(a, jobSpec("j-1", nil))
 	s.resync(ga)
 	s.settle(ga)
 	stop()
 	gb, _ := s.elect(b)
-	deliver(t, gb, old)
-	deliver(t, gb, old)
-	if s.usable(gb, "n-1") {
+	deliverReport(t, gb, old)
+	deliverReport(t, gb, old)
+	if s.machineUsable(gb, "n-1") {
 		t.Fatal("trusted on a copy from before the term")
 	}
 	heartbeat(t, gb, other)
@@ -65,7 +65,7 @@
 	}
 	heartbeat(t, gb, w)
 	s.settle(gb)
-	deliver(t, gb, old)
+	deliverReport(t, gb, old)
 	s.settle(gb)
 	if len(w.Starts())+len(other.Starts()) != 1 {
 		t.Errorf("starts %v and %v", w.Starts(), other.Starts())
@@ -75,13 +75,13 @@
 // A result in a late copy that the record does not know is nobody's: only the
 // attempt on record can end the task.
 func TestLateCopyBringsNoResult(t *testing.T) {
-	s, n, l, w := alone(t)
-	s.submit(n, spec("j-1", nil))
+	s, n, l, w := clusterWithWorker(t)
+	s.submit(n, jobSpec("j-1", nil))
 	s.resync(l)
 	s.settle(l)
 	copied := w.Report()
 	copied.Tasks = []wire.TaskReport{{Task: "j-1/0", Attempt: 7, Status: wire.TaskEnded, Cause: wire.CauseDone}}
-	deliver(t, l, copied)
+	deliverReport(t, l, copied)
 	s.settle(l)
 	if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status == wire.JobDone {
 		t.Error("done by an attempt that was never made")
@@ -92,18 +92,18 @@
 // every controller just as a new leader begins, and again when it has acted: nobody
 // but the leader answers them, and they start, end and prove nothing.
 func TestOldReportsReachEveryController(t *testing.T) {
-	t.Run("running", func(t *testing.T) { oldReports(t, false) })
-	t.Run("cancelled", func(t *testing.T) { oldReports(t, true) })
+	t.Run("running", func(t *testing.T) { checkOldReports(t, false) })
+	t.Run("cancelled", func(t *testing.T) { checkOldReports(t, true) })
 }
 
-func oldReports(t *testing.T, cancel bool) {
-	s := newSite(t)
-	a, b := s.node(limited(2)), s.node(limited(2))
+func checkOldReports(t *testing.T, cancel bool) {
+	s := newTestCluster(t)
+	a, b := s.node(withTeamLimit(2)), s.node(withTeamLimit(2))
 	l, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, l, w)
 	copies := []wire.Heartbeat{w.Report()} // nothing there yet
-	s.submit(a, spec("j-1", nil))
+	s.submit(a, jobSpec("j-1", nil))
 	s.resync(l)
 	s.settle(l)
 	copies = append(copies, w.Report()) // the first attempt, in the first session
@@ -120,7 +120,7 @@
 			t.Fatalf("abort: %d", code)
 		}
 	}
-	s.submit(b, spec("j-2", nil)) // the team's limit keeps it waiting
+	s.submit(b, jobSpec("j-2", nil)) // the team's limit keeps it waiting
 	l, _ = s.elect(b)
 	b.current.Store(l)
 	all := func() {
@@ -144,7 +144,7 @@
 		}
 	}
 	all()
-	if s.usable(l, "n-1") {
+	if s.machineUsable(l, "n-1") {
 		t.Error("trusted on copies from before the term")
 	}
 	all()
@@ -182,11 +182,11 @@
 func TestSurgeAfterAllControllersEnded(t *testing.T) {
 	const tasks = 4
 	visits := func(machines int) float64 {
-		_, l := adopted(t, machines, tasks)
+		_, l := adoptedFleet(t, machines, tasks)
 		l.fleet.Examined = 0
 		for tally, token := range []uint64{0, l.term.Token} {
 			for i := range machines {
-				ans, ok := l.Heartbeat(report(i, tasks, uint64(tally)+1, token))
+				ans, ok := l.Heartbeat(fleetReport(i, tasks, uint64(tally)+1, token))
 				if !ok || len(ans.Commands) != 0 || ans.Token != l.term.Token {
 					t.Fatalf("machine %d of %d: answered %t, %+v", i, machines, ok, ans)
 				}
@@ -198,7 +198,7 @@
 		}
 		return per
 	}
-	small, large := visits(200), visits(largeFleet)
+	small, large := visits(200), visits(minFleetLimit)
 	if small != large || large > 4*tasks {
 		t.Errorf("a heartbeat of the surge visits %.1f and %.1f, want the same and few", small, large)
 	}
--- a/job_lifecycle_test.go
+++ b/job_lifecycle_test.go
@@ -13,8 +13,8 @@
 )
 
 func TestJobRunsToDone(t *testing.T) {
-	s, n, l, w := alone(t)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
+	s, n, l, w := clusterWithWorker(t)
+	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(l)
 	s.settle(l)
 	if got := w.Live(); !cmp.Equal(got, []string{"j-1/0", "j-1/1"}) {
@@ -61,8 +61,8 @@
 }
 
 func TestResultDurableBeforeForget(t *testing.T) {
-	s, n, l, w := alone(t)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
+	s, n, l, w := clusterWithWorker(t)
+	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(l)
 	s.settle(l)
 	w.End("j-1/0", wire.CauseDone)
@@ -77,8 +77,8 @@
 // through stands among them once: placed twice by one plan, it would leave a
 // booking that nothing ever frees.
 func TestTaskWaitsOnce(t *testing.T) {
-	s, n, l, w := alone(t)
-	s.submit(n, spec("j-1", nil))
+	s, n, l, w := clusterWithWorker(t)
+	s.submit(n, jobSpec("j-1", nil))
 	s.resync(l)
 	l.mu.Lock()
 	now := l.clock.Now()
@@ -100,12 +100,12 @@
 // The start of an adopted task was not seen, so its run must not be compared:
 // it once made sound machines look slow.
 func TestAdoptedRunsAreNotMeasured(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	ga, stop := s.elect(a)
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 3 }))
+	s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = 3 }))
 	s.resync(ga)
 	s.settle(ga)
 	w.End("j-1/0", wire.CauseDone)
@@ -127,10 +127,10 @@
 // A listing that was read before a job ended may be taken in after it. The job's
 // record then says that it is over, and nothing of it is started again.
 func TestOldListingStartsNothing(t *testing.T) {
-	s, n, l, w := alone(t)
-	s.submit(n, spec("j-1", nil))
+	s, n, l, w := clusterWithWorker(t)
+	s.submit(n, jobSpec("j-1", nil))
 	s.resync(l)
-	sp := spec("j-1", nil)
+	sp := jobSpec("j-1", nil)
 	over := store.NewFinalRecord(&sp, wire.JobDone, "earlier")
 	rec := store.JobRecord{Spec: wire.Spec{UID: "j-1"}, Final: &over}
 	if _, err := n.store.Commit(t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey("j-1"), Value: rec}}}); err != nil {
@@ -146,14 +146,14 @@
 	if l.jobs.Get("j-1") != nil {
 		t.Error("the job stays on the leader's books")
 	}
-	s.status(n, "j-1", wire.JobDone)
+	s.checkStatus(n, "j-1", wire.JobDone)
 }
 
 func TestWatchTooOldReadsAgain(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, _ := s.elect(n)
-	s.submit(n, spec("j-1", nil))
+	s.submit(n, jobSpec("j-1", nil))
 	s.state.Forget()
 	if _, err := n.store.Watch(t.Context(), store.PrefixJob, 1, 0); err != store.ErrCompacted {
 		t.Fatalf("error %v, want %v", err, store.ErrCompacted)
--- a/job_load_test.go
+++ b/job_load_test.go
@@ -18,7 +18,7 @@
 // midst, and a change of leaders neither loses a task nor runs one twice.
 func TestHugeBatch(t *testing.T) {
 	run := func(tasks int) (changes, visits float64) {
-		s := newSite(t)
+		s := newTestCluster(t)
 		a, b := s.node(nil), s.node(nil)
 		l, stop := s.elect(a)
 		var ws []*standin.Worker
@@ -27,7 +27,7 @@
 			heartbeat(t, l, w)
 			ws = append(ws, w)
 		}
-		s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "low", tasks, 0.25, 0.9 }))
+		s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "low", tasks, 0.25, 0.9 }))
 		s.resync(l)
 		before := s.state.Puts()
 		looked, done := 0, 0
@@ -40,7 +40,7 @@
 				l, _ = s.elect(b)
 			}
 			if round == 6 {
-				s.submit(b, spec("j-2", func(sp *wire.Spec) { sp.Priority, sp.Cores, sp.RAM = "high", 2, 4 }))
+				s.submit(b, jobSpec("j-2", func(sp *wire.Spec) { sp.Priority, sp.Cores, sp.RAM = "high", 2, 4 }))
 				s.resync(l)
 			}
 			l.pass(t.Context())
@@ -92,8 +92,8 @@
 	}
 }
 
-// entries is how much a leader and the state service keep.
-func (s *site) entries(l *leader) map[string]int {
+// retainedCounts is how much a leader and the state service keep.
+func (s *testCluster) retainedCounts(l *leader) map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	bookings := 0
@@ -115,7 +115,7 @@
 // the jobs that are there, and nothing is left of those that are over.
 func TestSwarmWithCancelsLeavesNothing(t *testing.T) {
 	const perSecond, lasts = 4, 150
-	s := newSite(t)
+	s := newTestCluster(t)
 	nodes := []*Service{s.node(nil), s.node(nil)}
 	l, stop := s.elect(nodes[0])
 	var ws []*standin.Worker
@@ -131,7 +131,7 @@
 	second := func(at int, submit bool) {
 		if submit {
 			for k := at * perSecond; k < (at+1)*perSecond; k++ {
-				s.submit(nodes[k%2], spec(uid(k), func(sp *wire.Spec) { sp.Cores, sp.RAM = 0.5, 0.5 }))
+				s.submit(nodes[k%2], jobSpec(uid(k), func(sp *wire.Spec) { sp.Cores, sp.RAM = 0.5, 0.5 }))
 			}
 		}
 		// One of each four is cancelled: at once, or up to three seconds later, some after their end.
@@ -163,7 +163,7 @@
 		if at == 95 {
 			half, most = most, map[string]int{}
 		}
-		for what, n := range s.entries(l) {
+		for what, n := range s.retainedCounts(l) {
 			most[what] = max(most[what], n)
 		}
 	}
@@ -177,7 +177,7 @@
 	}
 	// The last of all are cancelled as they run: no other job's end takes their rows along.
 	for k := perSecond * lasts; k < perSecond*lasts+3; k++ {
-		s.submit(nodes[0], spec(uid(k), nil))
+		s.submit(nodes[0], jobSpec(uid(k), nil))
 	}
 	s.resync(l)
 	s.settle(l)
@@ -189,7 +189,7 @@
 	for at := range 90 {
 		second(lasts+at, false)
 	}
-	for what, n := range s.entries(l) {
+	for what, n := range s.retainedCounts(l) {
 		if n > 0 && !(what == "shared records" && n <= 1) {
 			t.Errorf("%d %s left after all jobs are over", n, what)
 		}
