--- a/loopback_loss_test.go
+++ b/loopback_loss_test.go
@@ -21,44 +21,44 @@
 // A measurement on real processes and sockets, outside CI: see docs/recovery.md.
 var (
 	lossWorkers = flag.Int("loopback.loss", 0, "how many workers real controllers have that are all killed; 0: not at all")
-	lossPlays   = flag.Int("loopback.scenes", len(lossScenes), "how many of the losses are played")
+	lossPlays   = flag.Int("loopback.scenes", len(loopbackLosses), "how many of the losses are played")
 )
 
-// lossScenes are the losses that the measurement plays, one after another on one platform.
-var lossScenes = []totalLoss{
-	{spell: 0.5, returns: 3}, {spell: 25, returns: 1}, {spell: 6, returns: 1}, {spell: 55, returns: 3},
-	{spell: 55, returns: 1}, {spell: 0.5, returns: 1}, {spell: 6, returns: 3}, {spell: 25, returns: 2},
+// loopbackLosses are the losses that the measurement plays, one after another on one platform.
+var loopbackLosses = []totalLoss{
+	{outageS: 0.5, returning: 3}, {outageS: 25, returning: 1}, {outageS: 6, returning: 1}, {outageS: 55, returning: 3},
+	{outageS: 55, returning: 1}, {outageS: 0.5, returning: 1}, {outageS: 6, returning: 3}, {outageS: 25, returning: 2},
 }
 
 // loopbackLoss is a platform of real controllers that all end.
 type loopbackLoss struct {
 	*loopback
-	h     *histories
+	events     *eventLog
 	jobs  [][]submission // of each scene
-	fixed []submission   // run throughout
+	permanentJobs []submission   // run throughout
 }
 
-// wholeMachine makes a job's tasks take a machine each.
-func wholeMachine(mod func(sp *wire.Spec)) func(sp *wire.Spec) {
+// oneTaskPerMachine makes a job's tasks take a machine each.
+func oneTaskPerMachine(mod func(sp *wire.Spec)) func(sp *wire.Spec) {
 	return func(sp *wire.Spec) { mod(sp); sp.Cores, sp.RAM = 4, 8 }
 }
 
 func newLoopbackLoss(ctx context.Context, t *testing.T, workers int) *loopbackLoss {
-	l := &loopbackLoss{h: &histories{}}
-	s := schedule{most: 2 * workers, timing: lossTiming, watch: l.h.watch, limits: map[string]float64{"free": 0, "tight": tightLimit}, floors: map[string]float64{}}
+	l := &loopbackLoss{events: &eventLog{}}
+	s := schedule{maxMachines: 2 * workers, timing: lossTiming, onEvent: l.events.record, limits: map[string]float64{"free": 0, "tight": tightLimit}, guarantees: map[string]float64{}}
 	add := func(to *[]submission, runs float64, mod func(sp *wire.Spec)) {
-		u := user(len(s.users)+1, 0, runs, mod)
-		s.users = append(s.users, u)
+		u := newSubmission(len(s.submissions)+1, 0, runs, mod)
+		s.submissions = append(s.submissions, u)
 		*to = append(*to, u)
 	}
 	for range 5 {
-		add(&l.fixed, 0, wholeMachine(standing(workers/8)))
+		add(&l.permanentJobs, 0, oneTaskPerMachine(asService(workers/8)))
 	}
-	add(&l.fixed, 0, func(sp *wire.Spec) { standing(4)(sp); sp.Team = "tight" })
-	for range lossScenes {
+	add(&l.permanentJobs, 0, func(sp *wire.Spec) { asService(4)(sp); sp.Team = "tight" })
+	for range loopbackLosses {
 		var jobs []submission
 		for range 2 {
-			add(&jobs, 100, wholeMachine(func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = workers/8, true }))
+			add(&jobs, 100, oneTaskPerMachine(func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = workers/8, true }))
 		}
 		for range 12 {
 			add(&jobs, 90, func(sp *wire.Spec) { sp.Preemptible = true })
@@ -68,21 +68,21 @@
 		}
 		l.jobs = append(l.jobs, jobs)
 	}
-	s.setup = func(w *world) { w.cloud.Told = l.h.told }
+	s.setup = func(w *simulation) { w.cloud.Told = l.events.recordCloud }
 	l.loopback = newLoopback(ctx, t, s)
-	l.useSmallMachines()
+	l.rentSmallMachinesOnly()
 	return l
 }
 
 // submitAll submits jobs until all are accepted.
 func (l *loopbackLoss) submitAll(ctx context.Context, jobs []submission) {
 	for _, u := range jobs {
-		raw := bodyOf(l.t, u.spec, nil)
+		raw := submissionBody(l.t, u.spec, nil)
 		for n := 0; ctx.Err() == nil; n++ {
 			status, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathJobs, raw)
 			if err == nil && (status == http.StatusCreated || status == http.StatusOK) {
 				l.mu.Lock()
-				l.facts[u.spec.UID].accepted, l.facts[u.spec.UID].moved = true, time.Now()
+				l.views[u.spec.UID].accepted, l.views[u.spec.UID].lastProgress = true, time.Now()
 				l.mu.Unlock()
 				break
 			}
@@ -94,13 +94,13 @@
 // cancelJob cancels a job until that is confirmed.
 func (l *loopbackLoss) cancelJob(ctx context.Context, uid string) {
 	l.mu.Lock()
-	l.facts[uid].asked = true
+	l.views[uid].cancelRequested = true
 	l.mu.Unlock()
 	for n := 0; ctx.Err() == nil; n++ {
 		status, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
 		if err == nil && status == http.StatusOK {
 			l.mu.Lock()
-			l.facts[uid].cancelled, l.facts[uid].cancelledAt = true, time.Now()
+			l.views[uid].cancelled, l.views[uid].cancelledAt = true, time.Now()
 			l.mu.Unlock()
 			return
 		}
@@ -109,10 +109,10 @@
 }
 
 // running counts the tasks of jobs that are on machines, and all that they have.
-func (l *loopbackLoss) runningOf(jobs []submission) (run, want int) {
+func (l *loopbackLoss) taskCounts(jobs []submission) (run, want int) {
 	for _, u := range jobs {
 		want += u.spec.Tasks
-		for _, n := range l.on(u.spec.UID) {
+		for _, n := range l.tasksByZone(u.spec.UID) {
 			run += n
 		}
 	}
@@ -134,10 +134,10 @@
 	return 0
 }
 
-// report asks each controller that is up for the leader's recovery, as operators do.
-func (l *loopbackLoss) report(ctx context.Context, up int) (r recovery.Report, known bool) {
+// recoveryReport asks each controller that is up for the leader's recovery, as operators do.
+func (l *loopbackLoss) recoveryReport(ctx context.Context, up int) (r recovery.Report, known bool) {
 	for _, name := range l.names[:up] {
-		if r, err := operator.Recovery(ctx, l.asked[name]); err == nil && r.Fresh {
+		if r, err := operator.Recovery(ctx, l.operatorAddresses[name]); err == nil && r.Fresh {
 			return r, true
 		}
 	}
@@ -145,12 +145,12 @@
 }
 
 // play plays one loss and gives its figures and faults.
-func (l *loopbackLoss) play(ctx context.Context, x totalLoss, jobs []submission) (f lossFigures, faults []string, memory float64) {
-	f.Scene = fmt.Sprintf("%d back after %.1f s", x.returns, x.spell)
+func (l *loopbackLoss) play(ctx context.Context, x totalLoss, jobs []submission) (f lossMeasurements, faults []string, memory float64) {
+	f.Scene = fmt.Sprintf("%d back after %.1f s", x.returning, x.outageS)
 	steady := jobs[:len(jobs)-3]
 	l.submitAll(ctx, jobs)
 	for deadline := time.Now().Add(90 * time.Second); ; time.Sleep(200 * time.Millisecond) {
-		run, want := l.runningOf(append(append([]submission{}, l.fixed...), jobs...))
+		run, want := l.taskCounts(append(append([]submission{}, l.permanentJobs...), jobs...))
 		if run == want {
 			break
 		}
@@ -165,17 +165,17 @@
 		l.signal(name, syscall.SIGKILL)
 	}
 	lost := time.Now()
-	time.Sleep(at(x.spell))
+	time.Sleep(seconds(x.outageS))
 	back := time.Now()
 	requests, changes := l.state.Requests(), l.state.Puts()
-	for _, name := range l.names[:x.returns] {
+	for _, name := range l.names[:x.returning] {
 		l.start(name)
 	}
-	for time.Since(back) < recoverySpan {
+	for time.Since(back) < recoveryCheckTime {
 		time.Sleep(100 * time.Millisecond)
 		since := time.Since(back).Seconds()
-		r, known := l.report(ctx, x.returns)
-		run, want := l.runningOf(append(append([]submission{}, l.fixed...), steady...))
+		r, known := l.recoveryReport(ctx, x.returning)
+		run, want := l.taskCounts(append(append([]submission{}, l.permanentJobs...), steady...))
 		f.Progress = append(f.Progress, progressPoint{AtS: since, Awaited: r.Machines.Awaited, Reconciled: r.Machines.Reconciled, Replicas: run})
 		f.Machines = max(f.Machines, r.Machines.Recorded)
 		settled := r.Machines.Reconciled + r.Machines.Gone
@@ -186,28 +186,28 @@
 			f.AllReconciled = since
 		}
 		// A release without the report tells nothing where leases outlast the spell.
-		settledAll := f.AllReconciled > 0 || !known && x.spell > lossTiming.lease.Seconds()
+		settledAll := f.AllReconciled > 0 || !known && x.outageS > lossTiming.lease.Seconds()
 		if settledAll && run == want && f.AllGoingS == 0 {
 			f.AllGoingS = since
 			f.StateRequests, f.StateChanges = l.state.Requests()-requests, l.state.Puts()-changes
 		}
 	}
-	l.h.mu.Lock()
-	for _, e := range l.h.events {
+	l.events.mu.Lock()
+	for _, e := range l.events.events {
 		if e.Kind == standin.EventOrdered && e.At.After(back) {
 			f.FirstOrderS = e.At.Sub(back).Seconds()
 			break
 		}
 	}
-	l.h.mu.Unlock()
-	f.Commands = l.h.counts(back, back.Add(recoverySpan))
-	faults = l.h.faults(lost, back, back.Add(recoverySpan), func(uid string) bool { return l.facts[uid].asked })
-	l.procMu.Lock()
-	for _, name := range l.names[:x.returns] {
-		memory = max(memory, peakMemory(l.procs[name].Process.Pid))
+	l.events.mu.Unlock()
+	f.Commands = l.events.count(back, back.Add(recoveryCheckTime))
+	faults = l.events.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return l.views[uid].cancelRequested })
+	l.processMutex.Lock()
+	for _, name := range l.names[:x.returning] {
+		memory = max(memory, peakMemory(l.commands[name].Process.Pid))
 	}
-	l.procMu.Unlock()
-	for _, name := range l.names[x.returns:] {
+	l.processMutex.Unlock()
+	for _, name := range l.names[x.returning:] {
 		l.start(name)
 	}
 	return f, faults, memory
@@ -222,24 +222,24 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	l := newLoopbackLoss(ctx, t, *lossWorkers)
 	time.Sleep(3 * time.Second)
-	l.submitAll(ctx, l.fixed)
-	for i, x := range lossScenes[:*lossPlays] {
+	l.submitAll(ctx, l.permanentJobs)
+	for i, x := range loopbackLosses[:*lossPlays] {
 		f, faults, memory := l.play(ctx, x, l.jobs[i])
 		t.Logf("%v, peak %.0f MB", f, memory)
 		for _, fault := range faults {
 			t.Errorf("%s: %s", f.Scene, fault)
 		}
 		f.Scene = "real processes, " + f.Scene
-		if err := keepFigures(f); err != nil {
+		if err := saveMeasurements(f); err != nil {
 			t.Error(err)
 		}
 		for _, u := range l.jobs[i][len(l.jobs[i])-3:] {
-			if run, _ := l.runningOf([]submission{u}); run > 0 && time.Since(l.facts[u.spec.UID].cancelledAt) > lossTiming.cancel {
+			if run, _ := l.taskCounts([]submission{u}); run > 0 && time.Since(l.views[u.spec.UID].cancelledAt) > lossTiming.cancel {
 				t.Errorf("%s: %s is cancelled, and %d tasks run", f.Scene, u.spec.UID, run)
 			}
 		}
 	}
-	if run, want := l.runningOf(l.fixed); run != want {
+	if run, want := l.taskCounts(l.permanentJobs); run != want {
 		t.Errorf("%d of %d replicas run in the end", run, want)
 	}
 	cancel()
@@ -247,7 +247,7 @@
 		l.signal(name, syscall.SIGKILL)
 	}
 	l.wg.Wait()
-	for _, b := range l.broken {
+	for _, b := range l.violations {
 		t.Error(b)
 	}
 }
--- a/loopback_quota_test.go
+++ b/loopback_quota_test.go
@@ -26,8 +26,8 @@
 	loopbackFlood  = flag.Int("loopback.flood", 64, "senders of the team that floods")
 )
 
-// teamFigures are the answers that one team's senders got.
-type teamFigures struct {
+// teamMeasurements are the answers that one team's senders got.
+type teamMeasurements struct {
 	mu       sync.Mutex // guards the fields below
 	accepted int
 	statuses map[int]int
@@ -36,23 +36,23 @@
 
 // loopbackSchedule is the teams and all jobs that they may submit.
 func loopbackSchedule() schedule {
-	s := schedule{most: 8, limits: map[string]float64{"flood": 0, "orders": 12, "ledger": 6, "batch": 0},
-		floors: map[string]float64{"orders": 8, "batch": 4}, timing: timing{report: 2 * time.Second, lease: 10 * time.Second, cancel: 25 * time.Second}}
+	s := schedule{maxMachines: 8, limits: map[string]float64{"flood": 0, "orders": 12, "ledger": 6, "batch": 0},
+		guarantees: map[string]float64{"orders": 8, "batch": 4}, timing: workerTiming{report: 2 * time.Second, lease: 10 * time.Second, cancel: 25 * time.Second}}
 	for team, n := range map[string]int{"flood": loopbackJobs, "orders": loopbackJobs / 10, "ledger": loopbackJobs / 10, "batch": loopbackJobs / 10} {
 		for range n {
-			u := user(len(s.users)+1, 0, 1.5, func(sp *wire.Spec) { sp.Team, sp.Priority, sp.Cores, sp.Preemptible = team, "standard", 1, true })
-			s.users = append(s.users, u)
+			u := newSubmission(len(s.submissions)+1, 0, 1.5, func(sp *wire.Spec) { sp.Team, sp.Priority, sp.Cores, sp.Preemptible = team, "standard", 1, true })
+			s.submissions = append(s.submissions, u)
 		}
 	}
 	return s
 }
 
-// sender submits a team's jobs one after another until ctx ends, with a pause between them and a
+// submitLoop submits a team's jobs one after another until ctx ends, with a pause between them and a
 // longer one after a refusal. A job that was refused is submitted again.
-func (l *loopback) sender(ctx context.Context, jobs <-chan string, pause, refused time.Duration, figures *teamFigures) {
+func (l *loopback) submitLoop(ctx context.Context, jobs <-chan string, pause, refused time.Duration, figures *teamMeasurements) {
 	for uid := range jobs {
 		spec, _ := l.Job(uid)
-		raw := bodyOf(l.t, spec, nil)
+		raw := submissionBody(l.t, spec, nil)
 		for ctx.Err() == nil {
 			began := time.Now()
 			status, _, err := l.send(ctx, l.names[rand.IntN(len(l.names))], wire.PathJobs, raw)
@@ -64,7 +64,7 @@
 			figures.note(status, taken, took)
 			if taken {
 				l.mu.Lock()
-				l.facts[uid].accepted, l.facts[uid].moved = true, time.Now()
+				l.views[uid].accepted, l.views[uid].lastProgress = true, time.Now()
 				l.mu.Unlock()
 				break
 			}
@@ -77,7 +77,7 @@
 	}
 }
 
-func (f *teamFigures) note(status int, taken bool, took time.Duration) {
+func (f *teamMeasurements) note(status int, taken bool, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.statuses[status]++
@@ -87,15 +87,15 @@
 	}
 }
 
-// troubleLoop kills, pauses and refuses the leader or another controller in turn until ctx ends.
-func (l *loopback) troubleLoop(ctx context.Context) {
+// faultLoop kills, pauses and refuses the leader or another controller in turn until ctx ends.
+func (l *loopback) faultLoop(ctx context.Context) {
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(4*time.Second + rand.N(4*time.Second)):
 		}
-		name := l.leads()
+		name := l.leaderName()
 		if n%4 == 3 {
 			name = l.names[rand.IntN(len(l.names))]
 		}
@@ -125,17 +125,17 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	l := newLoopback(ctx, t, loopbackSchedule())
-	watch := newGuaranteeWatch(l.world)
+	watch := newGuaranteeMonitor(l.simulation)
 	time.Sleep(3 * time.Second)
 	load, stopLoad := context.WithTimeout(ctx, *loopbackSpan)
 	defer stopLoad()
 	var wg sync.WaitGroup
-	all := map[string]*teamFigures{}
-	for team := range l.s.limits {
-		figures := &teamFigures{statuses: map[int]int{}, latency: hdr.New(1, 60_000_000, 3)}
+	all := map[string]*teamMeasurements{}
+	for team := range l.schedule.limits {
+		figures := &teamMeasurements{statuses: map[int]int{}, latency: hdr.New(1, 60_000_000, 3)}
 		all[team] = figures
 		jobs := make(chan string, loopbackJobs)
-		for _, u := range l.s.users {
+		for _, u := range l.schedule.submissions {
 			if u.spec.Team == team {
 				jobs <- u.spec.UID
 			}
@@ -146,16 +146,16 @@
 			senders, pause, refused = *loopbackFlood, 0, 50*time.Millisecond
 		}
 		for range senders {
-			wg.Go(func() { l.sender(load, jobs, pause, refused, figures) })
+			wg.Go(func() { l.submitLoop(load, jobs, pause, refused, figures) })
 		}
 	}
 	if *loopbackFaults {
-		wg.Go(func() { l.troubleLoop(load) })
+		wg.Go(func() { l.faultLoop(load) })
 	}
 	wg.Go(func() {
 		for load.Err() == nil {
 			time.Sleep(250 * time.Millisecond)
-			watch.look()
+			watch.sample()
 		}
 	})
 	wg.Wait()
@@ -169,10 +169,10 @@
 		t.Logf("%-7s %6.1f accepted/s  latency ms p50 %.1f p99 %.1f max %.1f  answers %v", team, float64(f.accepted)/loopbackSpan.Seconds(),
 			float64(f.latency.ValueAtQuantile(50))/1e3, float64(f.latency.ValueAtQuantile(99))/1e3, float64(f.latency.Max())/1e3, f.statuses)
 	}
-	for team := range l.s.floors {
-		t.Logf("%s: at most %v under its guarantee without a start, %.2f of it on average", team, watch.longest[team], watch.served(team))
+	for team := range l.schedule.guarantees {
+		t.Logf("%s: at most %v under its guarantee without a start, %.2f of it on average", team, watch.longestUnserved[team], watch.servedShare(team))
 	}
-	for _, b := range append(l.broken, watch.keptOut()...) {
+	for _, b := range append(l.violations, watch.unservedTeams()...) {
 		t.Error(b)
 	}
 }
--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -16,16 +16,16 @@
 
 // A transaction whose answer was lost is settled by its nonce, not done twice.
 func TestLostCommitAnswer(t *testing.T) {
-	s, n, l, w := alone(t)
-	s.submit(n, spec("j-1", nil))
+	s, n, l, w := clusterWithWorker(t)
+	s.submit(n, jobSpec("j-1", nil))
 	s.resync(l)
 	s.state.LoseAnswers(1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() {
 		// The repeat waits on the clock, as does the elector.
-		for s.clk.BlockUntilContext(ctx, 2) == nil {
-			s.clk.Advance(100 * time.Millisecond)
+		for s.clock.BlockUntilContext(ctx, 2) == nil {
+			s.clock.Advance(100 * time.Millisecond)
 			if len(w.Starts()) > 0 {
 				return
 			}
@@ -42,24 +42,24 @@
 // other nodes read what they wrote: what they have told stays true, and nothing is
 // started, recorded or moved twice when the leader finds out.
 func TestLostAnswersOfTheLeaderWhileOthersRead(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	l, _ := s.elect(a)
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, l, w)
-	s.submit(b, spec("j-1", nil))
-	s.submit(b, spec("j-2", func(sp *wire.Spec) { sp.Tasks = 2 }))
-	s.submit(b, spec("j-3", nil))
+	s.submit(b, jobSpec("j-1", nil))
+	s.submit(b, jobSpec("j-2", func(sp *wire.Spec) { sp.Tasks = 2 }))
+	s.submit(b, jobSpec("j-3", nil))
 	s.resync(l)
 	is := func(uid string, allowed ...string) {
 		t.Helper()
 		for _, n := range []*Service{a, b} {
 			_, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil)
-			s.told(uid, []string{v.Status}, allowed...)
+			s.checkAnswers(uid, []string{v.Status}, allowed...)
 		}
 	}
 	// Placements: a user cancels one of the jobs before the leader knows that its attempt is recorded.
-	s.meanwhile(func() { s.settle(l) }, func() {
+	s.loseAnswerDuring(func() { s.settle(l) }, func() {
 		if len(w.Starts()) != 0 {
 			t.Errorf("started before the leader knows that it is recorded: %v", w.Starts())
 		}
@@ -78,11 +78,11 @@
 	w.End("j-2/0", wire.CauseDone)
 	w.End("j-2/1", wire.CauseDone)
 	heartbeat(t, l, w)
-	s.meanwhile(func() { l.pass(t.Context()) }, func() {
+	s.loseAnswerDuring(func() { l.pass(t.Context()) }, func() {
 		for _, uid := range []string{"j-1", "j-2"} {
 			is(uid, wire.JobDone)
 			_, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
-			s.told("abort after the end", []string{v.Status}, wire.JobDone)
+			s.checkAnswers("abort after the end", []string{v.Status}, wire.JobDone)
 		}
 	})
 	c := s.node(nil) // remembers nothing
@@ -97,7 +97,7 @@
 	if left := s.state.Keys(store.PrefixJob); len(left) != 0 {
 		t.Errorf("jobs that have not moved: %v", left)
 	}
-	if got := w.Starts(); len(got) > 4 || startsOf([]*standin.Worker{w}, "j-2") != 2 || startsOf([]*standin.Worker{w}, "j-1") != 1 {
+	if got := w.Starts(); len(got) > 4 || startCount([]*standin.Worker{w}, "j-2") != 2 || startCount([]*standin.Worker{w}, "j-1") != 1 {
 		t.Errorf("starts %v", got)
 	}
 }
@@ -108,14 +108,14 @@
 // leader then finds out, and nothing is recorded again, moved again or kept.
 func TestEveryLostAnswerOfTheLeader(t *testing.T) {
 	life := func(pieces int, lossy bool) (puts int) {
-		s := newSite(t)
+		s := newTestCluster(t)
 		a, b := s.node(nil), s.node(nil)
 		l, _ := s.elect(a)
 		w := s.worker("n-1", "x", true)
 		heartbeat(t, l, w)
 		uids := []string{"j-1", "j-2"}
 		for _, uid := range uids {
-			s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 1 }))
+			s.submit(a, jobSpec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 1 }))
 		}
 		s.resync(l)
 		before := s.state.Puts()
@@ -140,7 +140,7 @@
 					record()
 					continue
 				}
-				s.meanwhile(record, func() {
+				s.loseAnswerDuring(record, func() {
 					for _, n := range []*Service{b, s.node(nil)} {
 						for _, uid := range uids {
 							if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); v.Status != now {
@@ -165,7 +165,7 @@
 		heartbeat(t, l, w)
 		drain()
 		for _, uid := range uids {
-			if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs, spec(uid, nil)); code != http.StatusOK || v.Status != wire.JobDone {
+			if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs, jobSpec(uid, nil)); code != http.StatusOK || v.Status != wire.JobDone {
 				t.Errorf("%s submitted again: %d %+v", uid, code, v)
 			}
 		}
@@ -196,16 +196,16 @@
 // told or written since changes by the late one.
 func TestLeadersTransactionsCarriedOutLate(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
-		s, n, l, w := alone(t)
+		s, n, l, w := clusterWithWorker(t)
 		uids := []string{"j-1", "j-2", "j-3"}
 		for _, uid := range uids {
-			s.submit(n, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 1 }))
+			s.submit(n, jobSpec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 1 }))
 		}
 		s.resync(l)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
-			for s.clk.BlockUntilContext(ctx, 2) == nil {
-				s.clk.Advance(100 * time.Millisecond)
+			for s.clock.BlockUntilContext(ctx, 2) == nil {
+				s.clock.Advance(100 * time.Millisecond)
 			}
 		}()
 		late := 0
@@ -238,7 +238,7 @@
 		s.resync(l)
 		drain()
 		// One that is recorded twice alone: its first record must not come back over the second.
-		s.submit(n, spec("j-4", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 2, 0.5 }))
+		s.submit(n, jobSpec("j-4", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 2, 0.5 }))
 		s.resync(l)
 		l.mu.Lock()
 		l.runPlan(l.clock.Now())
@@ -275,10 +275,10 @@
 // Every transaction may be applied by the store, answered, and arrive again:
 // nothing that users were told, and nobody's lead, changes by it.
 func TestRepeatedTransactionsChangeNothing(t *testing.T) {
-	s, n, l, w := alone(t)
-	s.submit(n, spec("j-1", nil))
-	s.submit(n, spec("j-2", nil))
-	s.submit(n, spec("j-3", nil))
+	s, n, l, w := clusterWithWorker(t)
+	s.submit(n, jobSpec("j-1", nil))
+	s.submit(n, jobSpec("j-2", nil))
+	s.submit(n, jobSpec("j-3", nil))
 	s.resync(l)
 	s.settle(l)
 	w.End("j-1/0", wire.CauseDone)
@@ -311,7 +311,7 @@
 	if diff := cmp.Diff(before, look(), cmp.AllowUnexported(told{})); diff != "" {
 		t.Error(diff)
 	}
-	if code, v, _ := s.ask(n, "POST", wire.PathJobs, spec("j-2", nil)); code != 200 || v.Status != wire.JobCancelled {
+	if code, v, _ := s.ask(n, "POST", wire.PathJobs, jobSpec("j-2", nil)); code != 200 || v.Status != wire.JobCancelled {
 		t.Errorf("a submission that comes again after the abort: %d %+v", code, v)
 	}
 	if _, ok := n.elector.MayAnswerHeartbeats(); !ok {
--- a/mass_loss_test.go
+++ b/mass_loss_test.go
@@ -18,11 +18,11 @@
 func TestMassLoss(t *testing.T) {
 	const tasks = 4
 	visits := func(machines, lost int) int {
-		s, l := adopted(t, machines, tasks)
+		s, l := adoptedFleet(t, machines, tasks)
 		s.advance(10 * time.Second)
 		for i := range machines - lost {
-			l.Heartbeat(report(i, tasks, 1, 0))
-			l.Heartbeat(report(i, tasks, 2, l.term.Token))
+			l.Heartbeat(fleetReport(i, tasks, 1, 0))
+			l.Heartbeat(fleetReport(i, tasks, 2, l.term.Token))
 		}
 		s.advance(14 * time.Second)
 		l.mu.Lock()
@@ -59,7 +59,7 @@
 		return looked
 	}
 	// Each machine's lease end is looked at once a lease; beyond that, only what is lost.
-	for _, machines := range []int{300, largeFleet} {
+	for _, machines := range []int{300, minFleetLimit} {
 		if looked := visits(machines, 100); looked > machines+100*tasks {
 			t.Errorf("the loss of 100 of %d machines visits %d", machines, looked)
 		}
--- a/peer_messages_test.go
+++ b/peer_messages_test.go
@@ -19,9 +19,9 @@
 // What comes between controllers cut short, too large, of unknown form or with
 // nonsense in it ends its own connection at most: the others are served as before.
 func TestBadPeerMessagesEndTheirConnectionOnly(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
-	s.submit(n, spec("j-1", nil))
+	s.submit(n, jobSpec("j-1", nil))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/placement_test.go
+++ b/placement_test.go
@@ -16,12 +16,12 @@
 
 // The zone cap counts tasks whose machine has not been heard of.
 func TestZoneCapWithUnknownMachine(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	ga, stop := s.elect(a)
 	w := s.worker("n-1", "x", false)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) {
+	s.submit(a, jobSpec("j-1", func(sp *wire.Spec) {
 		sp.Kind, sp.Priority, sp.Preemptible, sp.Spread, sp.Tasks = wire.KindService, "critical", false, true, 2
 	}))
 	s.resync(ga)
@@ -41,7 +41,7 @@
 
 // A long job whose own deadline is far must not wait for longer than its class may.
 func TestSlackFollowsAims(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(func(f *config.Facts) {
 		f.Objectives = []config.Objective{{Kind: "finished", Class: "lane", WithinS: 180}, {Kind: "wait", Class: "lane", WithinS: 120},
 			{Kind: "wait", Class: "lane", WithinS: 3}}
@@ -61,7 +61,7 @@
 		{"other", due(310), 100, 210 * clock.Second},
 		{"other", nil, 100, jobs.UnlimitedSlack},
 	} {
-		record := store.JobRecord{Spec: spec("j-1", func(sp *wire.Spec) {
+		record := store.JobRecord{Spec: jobSpec("j-1", func(sp *wire.Spec) {
 			sp.Priority, sp.Class, sp.DeadlineS, sp.ExpectedS = "standard", tt.class, tt.due, tt.expect
 		})}
 		job := jobs.New(record, 1, &l.cfg.Facts, 0)
@@ -75,7 +75,7 @@
 // job with a zone of its own. Nothing of the array starts in another zone while some
 // of it may go on in its own, and all of it once nothing can; the bound job never does.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, _ := s.elect(n)
 	here := []*standin.Worker{s.worker("n-1", "x", true), s.worker("n-2", "x", true), s.worker("n-3", "x", true)}
@@ -83,15 +83,15 @@
 	for _, w := range here {
 		heartbeat(t, l, w)
 	}
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.Zone = 2, 4, "x" }))
-	s.submit(n, spec("j-2", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.SameZone = 4, 4, true }))
+	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.Zone = 2, 4, "x" }))
+	s.submit(n, jobSpec("j-2", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.SameZone = 4, 4, true }))
 	s.resync(l)
 	s.settle(l)
-	if startsOf(here, "j-1") != 2 || startsOf(here, "j-2") != 4 {
+	if startCount(here, "j-1") != 2 || startCount(here, "j-2") != 4 {
 		t.Fatalf("started %v, %v and %v", here[0].Starts(), here[1].Starts(), here[2].Starts())
 	}
 	// One with some of the array is gone, and the zone has no room for that.
-	lost := slices.IndexFunc(here, func(w *standin.Worker) bool { return startsOf([]*standin.Worker{w}, "j-2") > 0 })
+	lost := slices.IndexFunc(here, func(w *standin.Worker) bool { return startCount([]*standin.Worker{w}, "j-2") > 0 })
 	l.returnMachines(t.Context(), []string{here[lost].Beats.Machine})
 	for _, w := range here {
 		w.Unreachable(true)
@@ -102,7 +102,7 @@
 		}
 		s.settle(l)
 		s.advance(3 * time.Second)
-		if got := startsOf(there, "j-1") + startsOf(there, "j-2"); got != 0 {
+		if got := startCount(there, "j-1") + startCount(there, "j-2"); got != 0 {
 			t.Fatalf("%d started in another zone while the array may go on in its own", got)
 		}
 	}
@@ -113,10 +113,10 @@
 		}
 		s.settle(l)
 	}
-	if got := startsOf(there, "j-1"); got != 0 {
+	if got := startCount(there, "j-1"); got != 0 {
 		t.Errorf("%d of a job run in a zone that it does not allow", got)
 	}
-	if got := startsOf(there, "j-2"); got != 4 {
+	if got := startCount(there, "j-2"); got != 4 {
 		t.Errorf("%d of the array's 4 tasks run in the other zone after the lease", got)
 	}
 }
@@ -124,21 +124,21 @@
 // A job that waits long begins although work of higher priority keeps coming: its
 // first task goes first, and room is kept for it.
 func TestLargeJobBeginsUnderLastingOverload(t *testing.T) {
-	s, n, l, w := alone(t) // 8 cores
+	s, n, l, w := clusterWithWorker(t) // 8 cores
 	uid := 100
 	next := func() string {
 		uid++
 		return "j-" + string(rune('0'+uid/100)) + string(rune('0'+uid/10%10)) + string(rune('0'+uid%10))
 	}
 	small := func() {
-		s.submit(n, spec(next(), func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.Team = "high", 1, 4, "team" }))
+		s.submit(n, jobSpec(next(), func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.Team = "high", 1, 4, "team" }))
 	}
 	for range 6 {
 		small()
 	}
 	s.resync(l)
 	s.settle(l)
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 3, 8, 20 }))
+	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 3, 8, 20 }))
 	s.resync(l)
 	began := 0
 	for at := 0; at < 240; at += 4 {
@@ -166,7 +166,7 @@
 // The lowest priority's starts follow the controller's share of a processor, however
 // much room there is; work of higher priority does not wait for them.
 func TestLowWorkIsPaced(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(func(f *config.Facts) { f.Limits.CoreShare = 0.1 })
 	l, _ := s.elect(n)
 	var ws []*standin.Worker
@@ -175,8 +175,8 @@
 		heartbeat(t, l, w)
 		ws = append(ws, w)
 	}
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "low", 5000, 0.05, 0.1 }))
-	s.submit(n, spec("j-2", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "standard", 300, 0.05, 0.1 }))
+	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "low", 5000, 0.05, 0.1 }))
+	s.submit(n, jobSpec("j-2", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "standard", 300, 0.05, 0.1 }))
 	s.resync(l)
 	placed := func(uid string) int {
 		l.mu.Lock()
@@ -184,9 +184,9 @@
 		l.jobs.Get(uid).PruneWaiting()
 		return len(l.jobs.Get(uid).Tasks) - len(l.jobs.Get(uid).Waiting)
 	}
-	s.pass(l, ws, 1)
+	s.runSeconds(l, ws, 1)
 	first := placed("j-1")
-	s.pass(l, ws, 4)
+	s.runSeconds(l, ws, 4)
 	if got := placed("j-1") - first; got < 450 || got > 750 {
 		t.Errorf("%d tasks of the lowest priority began in 4 s, want 150 a second", got)
 	}
--- a/process_pause_test.go
+++ b/process_pause_test.go
@@ -14,8 +14,8 @@
 // computed before and is about to send is checked against the lease at the last
 // step, so that nothing of it goes out after.
 func TestNothingOfBeforeGoesOutAfterStandingStill(t *testing.T) {
-	s, n, l, w := alone(t)
-	s.submit(n, spec("j-1", nil))
+	s, n, l, w := clusterWithWorker(t)
+	s.submit(n, jobSpec("j-1", nil))
 	s.resync(l)
 	l.mu.Lock()
 	now := l.clock.Now()
@@ -32,8 +32,8 @@
 		t.Fatalf("no command is about to be sent: %+v", command)
 	}
 	rep := w.Report()
-	s.kill(n) // nothing of this node's renewals gets through any more
-	s.clk.Advance(32 * time.Second)
+	s.disconnect(n) // nothing of this node's renewals gets through any more
+	s.clock.Advance(32 * time.Second)
 
 	l.sendCommand(t.Context(), command)
 	if got := w.Starts(); len(got) != 0 {
@@ -67,7 +67,7 @@
 // for all) has heard nobody meanwhile. That is its own silence, not the machines':
 // nothing is given up, and the lead is kept.
 func TestStandingStillIsNoSilence(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, _ := s.elect(n)
 	hosts := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
--- a/provisioning_test.go
+++ b/provisioning_test.go
@@ -9,9 +9,9 @@
 
 // Without any trouble, work gets the machines that it wants, though the sum of all
 // that is held seems to be enough.
-func playWanting(t *testing.T, users ...submission) {
-	playOut(t, schedule{seed: 1, lasts: 40 * time.Second, users: users}, func(w *world) {
-		if left := w.waiting(true); len(left) > 0 {
+func playUntilPlaced(t *testing.T, users ...submission) {
+	playSchedule(t, schedule{seed: 1, duration: 40 * time.Second, submissions: users}, func(w *simulation) {
+		if left := w.unplacedTasks(true); len(left) > 0 {
 			w.t.Errorf("at the end: %v", left)
 		}
 	})
@@ -19,7 +19,7 @@
 
 // Replicas that are to be apart get machines in a second zone.
 func TestApartJobGetsMachinesInTwoZones(t *testing.T) {
-	playWanting(t, user(1, 2, 0, func(sp *wire.Spec) {
+	playUntilPlaced(t, newSubmission(1, 2, 0, func(sp *wire.Spec) {
 		sp.Kind, sp.Tasks, sp.MachineTypes, sp.Spread = wire.KindService, 2, []string{"b"}, true
 	}))
 }
@@ -30,8 +30,8 @@
 	single := func(zone string) func(sp *wire.Spec) {
 		return func(sp *wire.Spec) { sp.Kind, sp.Zone, sp.MachineTypes = wire.KindService, zone, []string{"s"} }
 	}
-	playWanting(t, user(1, 2, 0, single("x")), user(2, 2, 0, single("y")),
-		user(3, 20, 0, func(sp *wire.Spec) {
+	playUntilPlaced(t, newSubmission(1, 2, 0, single("x")), newSubmission(2, 2, 0, single("y")),
+		newSubmission(3, 20, 0, func(sp *wire.Spec) {
 			sp.Kind, sp.Tasks, sp.Cores, sp.SameZone = wire.KindService, 2, 2, true
 		}))
 }
@@ -39,17 +39,17 @@
 // A task gets a machine where what is left beside replicas on each machine is too
 // little for it: as much on all of them as it wants is no room.
 func TestTaskGetsRoomBesideReplicas(t *testing.T) {
-	playWanting(t, user(1, 2, 0, func(sp *wire.Spec) { sp.Kind, sp.Cores, sp.MachineTypes = wire.KindService, 7, []string{"b"} }),
-		user(2, 30, 4, func(sp *wire.Spec) { sp.Cores, sp.Priority = 2, "high" }))
+	playUntilPlaced(t, newSubmission(1, 2, 0, func(sp *wire.Spec) { sp.Kind, sp.Cores, sp.MachineTypes = wire.KindService, 7, []string{"b"} }),
+		newSubmission(2, 30, 4, func(sp *wire.Spec) { sp.Cores, sp.Priority = 2, "high" }))
 }
 
 // Work that is bound to a zone gets a machine there where other work, that could be
 // elsewhere and does not give way, fills those that are there.
 func TestBoundWorkGetsRoomBesideReplicas(t *testing.T) {
-	playWanting(t, user(1, 2, 0, func(sp *wire.Spec) {
-		standing(1)(sp)
+	playUntilPlaced(t, newSubmission(1, 2, 0, func(sp *wire.Spec) {
+		asService(1)(sp)
 		sp.Cores, sp.Priority, sp.MachineTypes = 4, "critical", []string{"s"}
 	}),
-		user(2, 30, 0, func(sp *wire.Spec) { sp.Kind, sp.Cores, sp.Priority, sp.Zone = wire.KindService, 2, "critical", "x" }),
-		user(3, 30, 0, func(sp *wire.Spec) { sp.Kind, sp.Cores, sp.Priority, sp.Zone = wire.KindService, 2, "critical", "y" }))
+		newSubmission(2, 30, 0, func(sp *wire.Spec) { sp.Kind, sp.Cores, sp.Priority, sp.Zone = wire.KindService, 2, "critical", "x" }),
+		newSubmission(3, 30, 0, func(sp *wire.Spec) { sp.Kind, sp.Cores, sp.Priority, sp.Zone = wire.KindService, 2, "critical", "y" }))
 }
--- a/quota_failover_test.go
+++ b/quota_failover_test.go
@@ -15,12 +15,12 @@
 // The team's limit counts what a predecessor started and may still exist.
 func TestTeamLimitAcrossLeaders(t *testing.T) {
 	limit := func(f *config.Facts) { f.Teams[0].CPUsMax = 4 }
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(limit), s.node(limit)
 	ga, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 4 }))
+	s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = 4 }))
 	s.resync(ga)
 	s.settle(ga)
 	if got := w.Live(); len(got) != 2 {
@@ -38,19 +38,19 @@
 // A new leader counts what a cancelled job's tasks take while they may still exist.
 func TestCancelledTasksCountForLimit(t *testing.T) {
 	limit := func(f *config.Facts) { f.Teams[0].CPUsMax = 4 }
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(limit), s.node(limit)
 	ga, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
+	s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(ga)
 	s.settle(ga)
 	stop()
 	if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
-	s.submit(b, spec("j-2", nil))
+	s.submit(b, jobSpec("j-2", nil))
 	gb, _ := s.elect(b)
 	heartbeat(t, gb, other)
 	s.settle(gb)
@@ -75,14 +75,14 @@
 	for _, pieces := range []int{1, 2} {
 		for _, proof := range []string{"lease end", "return", "newer session", "halted"} {
 			t.Run(fmt.Sprintf("%d tasks, %s", pieces, proof), func(t *testing.T) {
-				s := newSite(t)
-				a, b, c := s.node(limited(4)), s.node(limited(4)), s.node(limited(4))
+				s := newTestCluster(t)
+				a, b, c := s.node(withTeamLimit(4)), s.node(withTeamLimit(4)), s.node(withTeamLimit(4))
 				l, stop := s.elect(a)
 				hung, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 				heartbeat(t, l, hung)
 				uids := []string{"j-1", "j-2"}[:3-pieces]
 				for _, uid := range uids {
-					s.submit(a, spec(uid, func(sp *wire.Spec) { sp.Tasks = pieces }))
+					s.submit(a, jobSpec(uid, func(sp *wire.Spec) { sp.Tasks = pieces }))
 				}
 				s.resync(l)
 				s.settle(l)
@@ -95,7 +95,7 @@
 						t.Fatalf("abort: %d", code)
 					}
 				}
-				s.submit(b, spec("j-3", func(sp *wire.Spec) { sp.Tasks = 2 }))
+				s.submit(b, jobSpec("j-3", func(sp *wire.Spec) { sp.Tasks = 2 }))
 				nothing := func(when string, l *leader) {
 					t.Helper()
 					heartbeat(t, l, other)
@@ -158,12 +158,12 @@
 // not count them for the team's limit while their machine can't be asked.
 func TestDoneTasksDoNotCountUnderASuccessor(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
-		s := newSite(t)
-		a, b := s.node(limited(4)), s.node(limited(4))
+		s := newTestCluster(t)
+		a, b := s.node(withTeamLimit(4)), s.node(withTeamLimit(4))
 		l, stop := s.elect(a)
 		w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 		heartbeat(t, l, w)
-		s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 4/float64(pieces) }))
+		s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 4/float64(pieces) }))
 		s.resync(l)
 		s.settle(l)
 		for _, p := range w.Live() {
@@ -177,7 +177,7 @@
 			t.Fatal("the end was not recorded")
 		}
 		stop()
-		s.submit(b, spec("j-2", nil))
+		s.submit(b, jobSpec("j-2", nil))
 		l, _ = s.elect(b)
 		heartbeat(t, l, other)
 		s.settle(l)
@@ -192,12 +192,12 @@
 // durable. Its successor uses the room. When the first wakes, its record fails and
 // nothing of what it reserved is ever started.
 func TestLeaderWakesAfterItsSuccessorUsedTheRoom(t *testing.T) {
-	s := newSite(t)
-	a, b := s.node(limited(4)), s.node(limited(4))
+	s := newTestCluster(t)
+	a, b := s.node(withTeamLimit(4)), s.node(withTeamLimit(4))
 	ga, stop := s.elect(a)
 	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
 	heartbeat(t, ga, w)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
+	s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = 2 }))
 	s.resync(ga)
 	ga.mu.Lock()
 	ga.runPlan(ga.clock.Now())
@@ -230,9 +230,9 @@
 // Under lower limits after a restart, what runs goes on and counts; nothing starts until
 // enough of it is proved gone.
 func TestOtherLimitsAfterARestart(t *testing.T) {
-	s := newSite(t)
-	a, b := s.node(limited(8)), s.node(limited(4))
-	_, w, stop := ledWork(t, a, s, 6)
+	s := newTestCluster(t)
+	a, b := s.node(withTeamLimit(8)), s.node(withTeamLimit(4))
+	_, w, stop := leadWithJob(t, a, s, 6)
 	first := w.Live()
 	if len(first) != 4 {
 		t.Fatalf("four tasks of 2 cores under a limit of 8: %v", first)
--- a/quota_guarantees_test.go
+++ b/quota_guarantees_test.go
@@ -14,7 +14,7 @@
 // How much the team limits are played: a short seeded form unless more is asked for.
 var (
 	quotaSeeds = flag.Uint64("quota.seeds", 3, "how many schedules of submissions by several teams are played")
-	quotaJobs  = flag.Int("quota.jobs", jobsPerCycle, "how many jobs each of them submits")
+	quotaJobs  = flag.Int("quota.jobs", jobsPerRound, "how many jobs each of them submits")
 	quotaSeed  = flag.Uint64("quota.seed", 0, "the seed of the first of them")
 )
 
@@ -25,12 +25,12 @@
 	for seed := *quotaSeed; seed < *quotaSeed+*quotaSeeds; seed++ {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
-			broken, watch := playTeams(t, teamSchedule(seed))
-			for _, fault := range slices.Concat(broken, watch.keptOut(), watch.underServed()) {
+			broken, watch := playTeamSchedule(t, randomTeamSchedule(seed))
+			for _, fault := range slices.Concat(broken, watch.unservedTeams(), watch.underservedTeams()) {
 				t.Error(fault)
 			}
-			for team := range watch.w.s.floors {
-				t.Logf("%s: at most %v under its guarantee without a start, %.2f of it on average", team, watch.longest[team], watch.served(team))
+			for team := range watch.simulation.schedule.guarantees {
+				t.Logf("%s: at most %v under its guarantee without a start, %.2f of it on average", team, watch.longestUnserved[team], watch.servedShare(team))
 			}
 		})
 	}
@@ -40,29 +40,29 @@
 func TestCheckerSeesBrokenLedgers(t *testing.T) {
 	for name, tt := range map[string]struct {
 		strip func(l quota.Limits) quota.Limits
-		found func(broken []string, watch *guaranteeWatch) bool
+		found func(broken []string, watch *guaranteeMonitor) bool
 	}{
 		"without limits": {
 			func(l quota.Limits) quota.Limits { return quota.Limits{Guarantee: l.Guarantee} },
-			func(broken []string, _ *guaranteeWatch) bool {
+			func(broken []string, _ *guaranteeMonitor) bool {
 				return slices.ContainsFunc(broken, func(b string) bool { return strings.Contains(b, "quota") })
 			}},
 		"without guarantees": {
 			func(l quota.Limits) quota.Limits { return quota.Limits{Limit: l.Limit} },
-			func(_ []string, watch *guaranteeWatch) bool { return len(watch.keptOut()) > 0 }},
+			func(_ []string, watch *guaranteeMonitor) bool { return len(watch.unservedTeams()) > 0 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := teamSchedule(1)
-			s.ledger = func(teams map[string]quota.Limits) *quota.Ledger {
+			s := randomTeamSchedule(1)
+			s.newLedger = func(teams map[string]quota.Limits) *quota.Ledger {
 				stripped := map[string]quota.Limits{}
 				for team, limits := range teams {
 					stripped[team] = tt.strip(limits)
 				}
 				return quota.NewLedger(stripped)
 			}
-			if broken, watch := playTeams(t, s); !tt.found(broken, watch) {
-				t.Errorf("nothing is found: %v, %v", broken, watch.longest)
+			if broken, watch := playTeamSchedule(t, s); !tt.found(broken, watch) {
+				t.Errorf("nothing is found: %v, %v", broken, watch.longestUnserved)
 			}
 		})
 	}
@@ -71,20 +71,20 @@
 // Three controllers accept jobs for a team's last free room in the same instant. All are
 // accepted, one runs, and the others follow one by one.
 func TestLastRoomAcceptedByThreeControllers(t *testing.T) {
-	s := schedule{seed: 3, lasts: at(60), leads: 1}
+	s := schedule{seed: 3, duration: seconds(60), firstLeader: 1}
 	for i := range 3 {
-		u := user(i+1, 20, 10, func(sp *wire.Spec) { sp.Team, sp.Cores = "tight", 4 })
-		u.node = i
-		s.users = append(s.users, u)
+		u := newSubmission(i+1, 20, 10, func(sp *wire.Spec) { sp.Team, sp.Cores = "tight", 4 })
+		u.firstController = i
+		s.submissions = append(s.submissions, u)
 	}
-	s.setup = func(w *world) {
-		w.during(25, func() {
-			if got := w.used("tight"); got != 4 {
+	s.setup = func(w *simulation) {
+		w.runAt(25, func() {
+			if got := w.teamCores("tight"); got != 4 {
 				t.Errorf("the team uses %v, want the 4 that fit its limit of %v", got, tightLimit)
 			}
-			for _, u := range w.s.users {
+			for _, u := range w.schedule.submissions {
 				w.mu.Lock()
-				accepted := w.facts[u.spec.UID].accepted
+				accepted := w.views[u.spec.UID].accepted
 				w.mu.Unlock()
 				if !accepted {
 					t.Errorf("%s is not accepted", u.spec.UID)
@@ -92,5 +92,5 @@
 			}
 		})
 	}
-	playOut(t, s, func(w *world) { w.served() })
+	playSchedule(t, s, func(w *simulation) { w.checkAllServed() })
 }
--- a/quota_test.go
+++ b/quota_test.go
@@ -16,14 +16,14 @@
 // A limit that is smaller than one task: its submission is refused for good; a job that
 // was accepted under a higher limit waits and stays known, and no machine is rented for it.
 func TestLimitSmallerThanOneTask(t *testing.T) {
-	s := newSite(t)
-	a, b := s.node(limited(4)), s.node(limited(1))
+	s := newTestCluster(t)
+	a, b := s.node(withTeamLimit(4)), s.node(withTeamLimit(1))
 	_, stop := s.elect(a)
-	s.submit(a, spec("j-1", func(sp *wire.Spec) { sp.Preemptible = false }))
+	s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Preemptible = false }))
 	stop()
 	gb, _ := s.elect(b)
 	b.current.Store(gb)
-	if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs, spec("j-2", nil)); code != http.StatusUnprocessableEntity {
+	if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs, jobSpec("j-2", nil)); code != http.StatusUnprocessableEntity {
 		t.Errorf("a task of 2 cores under a limit of 1: status %d, want 422", code)
 	}
 	if code, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK || v.Status != wire.JobQueued {
@@ -45,9 +45,9 @@
 // Ends of attempts that are reported late, twice, or of an earlier attempt free nothing
 // of the present one's room.
 func TestLateEndsFreeNothing(t *testing.T) {
-	s := newSite(t)
-	n := s.node(limited(2))
-	l, w, _ := ledWork(t, n, s, 2)
+	s := newTestCluster(t)
+	n := s.node(withTeamLimit(2))
+	l, w, _ := leadWithJob(t, n, s, 2)
 	running := w.Live()
 	if len(running) != 1 {
 		t.Fatalf("one task of 2 cores under a limit of 2: %v", running)
@@ -82,8 +82,8 @@
 
 // Bad input gets what the protocol says and leaves the ledger alone.
 func TestBadSubmissionsLeaveTheLedgerAlone(t *testing.T) {
-	s := newSite(t)
-	n := s.node(limited(4))
+	s := newTestCluster(t)
+	n := s.node(withTeamLimit(4))
 	l, _ := s.elect(n)
 	for name, tt := range map[string]struct {
 		mod  func(m map[string]any)
@@ -103,7 +103,7 @@
 		"negative GPUs":      {func(m map[string]any) { m["accelerators"] = -1.0 }, http.StatusBadRequest},
 		"service over limit": {func(m map[string]any) { m["shape"], m["pieces"] = wire.KindService, 3 }, http.StatusUnprocessableEntity},
 	} {
-		if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, bodyOf(t, spec("j-1", nil), tt.mod)); code != tt.want {
+		if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, submissionBody(t, jobSpec("j-1", nil), tt.mod)); code != tt.want {
 			t.Errorf("%s: status %d, want %d", name, code, tt.want)
 		}
 	}
@@ -121,16 +121,16 @@
 // Work within a team's guarantee takes the place of what another team runs beyond its
 // own, whatever the priorities, and what it took the place of does not take it back.
 func TestGuaranteeIsGivenBack(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(func(f *config.Facts) {
 		f.Teams = append(f.Teams, config.Team{Name: "owner", CPUs: 2})
 	})
-	l, w, _ := ledWork(t, n, s, 8)
+	l, w, _ := leadWithJob(t, n, s, 8)
 	if got := w.Live(); len(got) != 4 {
 		t.Fatalf("four tasks of 2 cores on 8: %v", got)
 	}
 	for i := range 3 {
-		s.submit(n, spec(fmt.Sprintf("j-%d", i+2), func(sp *wire.Spec) { sp.Team, sp.Priority, sp.Cores = "owner", "low", 1 }))
+		s.submit(n, jobSpec(fmt.Sprintf("j-%d", i+2), func(sp *wire.Spec) { sp.Team, sp.Priority, sp.Cores = "owner", "low", 1 }))
 	}
 	s.resync(l)
 	for range 6 {
--- a/random_schedules_test.go
+++ b/random_schedules_test.go
@@ -14,31 +14,31 @@
 
 // How many random schedules are played, and the seed of the first.
 var (
-	meetings = flag.Uint64("meetings", 200, "how many random schedules are played")
-	further  = flag.Uint64("further", 100, "how many random schedules with further troubles are played")
-	held     = flag.Uint64("held", 40, "how many random schedules are played whose messages are held, too")
-	oneWay   = flag.Uint64("oneway", 30, "how many random schedules are played whose messages are held in one direction only")
-	meeting  = flag.Uint64("meeting", 0, "the seed of the first random schedule")
+	scheduleCount = flag.Uint64("meetings", 200, "how many random schedules are played")
+	furtherCount  = flag.Uint64("further", 100, "how many random schedules with further troubles are played")
+	heldCount     = flag.Uint64("held", 40, "how many random schedules are played whose messages are held, too")
+	oneWayCount   = flag.Uint64("oneway", 30, "how many random schedules are played whose messages are held in one direction only")
+	firstSeed  = flag.Uint64("meeting", 0, "the seed of the first random schedule")
 )
 
 // Whole services play random schedules of troubles against stand-ins on virtual
 // time, and the rules of the protocol are held against what is seen from outside.
-func TestRandomMeetings(t *testing.T) { playRandom(t, *meetings, drawSchedule) }
+func TestRandomMeetings(t *testing.T) { playRandomSchedules(t, *scheduleCount, randomSchedule) }
 
 // The same with the further troubles.
-func TestRandomFurtherMeetings(t *testing.T) { playRandom(t, *further, drawFurther) }
+func TestRandomFurtherMeetings(t *testing.T) { playRandomSchedules(t, *furtherCount, randomFurtherSchedule) }
 
 // The same again with messages that are held and delivered late.
-func TestRandomHeldMeetings(t *testing.T) { playRandom(t, *held, drawHeld) }
+func TestRandomHeldMeetings(t *testing.T) { playRandomSchedules(t, *heldCount, randomHeldSchedule) }
 
 // The same with each hold in one direction only.
-func TestRandomOneWayMeetings(t *testing.T) { playRandom(t, *oneWay, drawOneWay) }
+func TestRandomOneWayMeetings(t *testing.T) { playRandomSchedules(t, *oneWayCount, randomOneWaySchedule) }
 
-func playRandom(t *testing.T, seeds uint64, draw func(seed uint64) schedule) {
-	for seed := *meeting; seed < *meeting+seeds; seed++ {
+func playRandomSchedules(t *testing.T, seeds uint64, draw func(seed uint64) schedule) {
+	for seed := *firstSeed; seed < *firstSeed+seeds; seed++ {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
-			playOut(t, draw(seed), nil)
+			playSchedule(t, draw(seed), nil)
 		})
 	}
 }
@@ -47,20 +47,20 @@
 func TestQuietMeeting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := drawSchedule(1)
-		s.troubles = nil
-		for i := range s.users {
-			s.users[i].onKind, s.users[i].cancelAt, s.users[i].onDone = "", 0, false
+		s := randomSchedule(1)
+		s.faults = nil
+		for i := range s.submissions {
+			s.submissions[i].cancelOnFault, s.submissions[i].cancelAfter, s.submissions[i].cancelOnDone = "", 0, false
 		}
-		w := newWorld(ctx, t, s)
-		w.play()
-		for _, u := range s.users {
-			if u.spec.Kind == wire.KindBatch && !w.facts[u.spec.UID].done {
+		w := newSimulation(ctx, t, s)
+		w.run()
+		for _, u := range s.submissions {
+			if u.spec.Kind == wire.KindBatch && !w.views[u.spec.UID].done {
 				t.Errorf("%s is not done", u.spec.UID)
 			}
 		}
-		w.end(cancel)
-		for _, b := range w.broken {
+		w.shutDown(cancel)
+		for _, b := range w.violations {
 			t.Error(b)
 		}
 		if t.Failed() {
@@ -82,18 +82,18 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				s := schedule{seed: 1, lasts: 30 * time.Second}
-				s.users = []submission{{at: time.Second, runs: 5 * time.Second, spec: spec("j-1", func(sp *wire.Spec) {
+				s := schedule{seed: 1, duration: 30 * time.Second}
+				s.submissions = []submission{{after: time.Second, runTime: 5 * time.Second, spec: jobSpec("j-1", func(sp *wire.Spec) {
 					sp.Team, sp.Cores, sp.ExpectedS = "free", 1, 5
 					mod(sp)
 				})}}
-				w := newWorld(ctx, t, s)
-				w.play()
-				if left := w.waiting(true); len(left) > 0 {
-					t.Errorf("after %v: %v", s.lasts+quietTail, left)
+				w := newSimulation(ctx, t, s)
+				w.run()
+				if left := w.unplacedTasks(true); len(left) > 0 {
+					t.Errorf("after %v: %v", s.duration+faultFreeTail, left)
 				}
-				w.end(cancel)
-				for _, b := range w.broken {
+				w.shutDown(cancel)
+				for _, b := range w.violations {
 					t.Error(b)
 				}
 				if t.Failed() {
--- a/recording_test.go
+++ b/recording_test.go
@@ -16,8 +16,8 @@
 // each other, and placements of a job go in one change.
 func TestPutsFollowRecords(t *testing.T) {
 	puts := func(tasks int) (placed, ended int) {
-		s, n, l, w := alone(t)
-		s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = tasks, 0.05, 0.1 }))
+		s, n, l, w := clusterWithWorker(t)
+		s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = tasks, 0.05, 0.1 }))
 		s.resync(l)
 		before := s.state.Puts()
 		s.settle(l)
@@ -48,7 +48,7 @@
 // of leaders in the middle neither loses one nor runs one twice.
 func TestSwarmSharesRecords(t *testing.T) {
 	puts := func(jobs int) float64 {
-		s := newSite(t)
+		s := newTestCluster(t)
 		a, b := s.node(nil), s.node(nil)
 		l, stop := s.elect(a)
 		var ws []*standin.Worker
@@ -59,7 +59,7 @@
 		}
 		uid := func(k int) string { return fmt.Sprintf("j-%d", k) }
 		for k := range jobs {
-			s.submit(a, spec(uid(k), func(sp *wire.Spec) { sp.Cores, sp.RAM = 0.25, 0.5 }))
+			s.submit(a, jobSpec(uid(k), func(sp *wire.Spec) { sp.Cores, sp.RAM = 0.25, 0.5 }))
 		}
 		accepted := s.state.Puts()
 		s.resync(l)
@@ -87,7 +87,7 @@
 			if _, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/"+uid(k), nil); v.Status != wire.JobDone {
 				t.Fatalf("%s of %d: %+v, want done", uid(k), jobs, v)
 			}
-			if code, v, _ := s.ask(a, http.MethodPost, wire.PathJobs, spec(uid(k), nil)); code != http.StatusOK || v.Status != wire.JobDone {
+			if code, v, _ := s.ask(a, http.MethodPost, wire.PathJobs, jobSpec(uid(k), nil)); code != http.StatusOK || v.Status != wire.JobDone {
 				t.Fatalf("%s submitted again: %d %+v", uid(k), code, v)
 			}
 		}
@@ -124,17 +124,17 @@
 // that the state service takes: one that does not is refused for ever, and
 // everything behind it waits. If one is refused all the same, the rest goes on.
 func TestTransactionsKeepTheLimits(t *testing.T) {
-	s, n, l, ws := crew(t, 16)
+	s, n, l, ws := clusterWithWorkers(t, 16)
 	uids := []string{}
 	for k := range 60 {
 		uid := fmt.Sprintf("j-1%03d", k)
 		uids = append(uids, uid)
-		s.submit(n, spec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 2, 0.1, 0.1 }))
+		s.submit(n, jobSpec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 2, 0.1, 0.1 }))
 	}
 	s.resync(l)
-	s.pass(l, ws, 2)
+	s.runSeconds(l, ws, 2)
 	for k := range 150 {
-		s.submit(n, spec(fmt.Sprintf("j-2%03d", k), func(sp *wire.Spec) { sp.Cores, sp.RAM = 0.1, 0.1 }))
+		s.submit(n, jobSpec(fmt.Sprintf("j-2%03d", k), func(sp *wire.Spec) { sp.Cores, sp.RAM = 0.1, 0.1 }))
 	}
 	s.resync(l)
 	l.mu.Lock()
@@ -142,7 +142,7 @@
 		l.writer.MarkDirty(uid) // recorded already with others' results
 	}
 	l.mu.Unlock()
-	s.pass(l, ws, 3)
+	s.runSeconds(l, ws, 3)
 	for _, w := range ws {
 		for _, p := range w.Live() {
 			w.End(p, wire.CauseDone)
@@ -152,7 +152,7 @@
 		s.ask(n, http.MethodPost, fmt.Sprintf("%s/j-2%03d/%s", wire.PathJobs, k, wire.SuffixCancel), nil)
 	}
 	s.resync(l)
-	s.pass(l, ws, 12)
+	s.runSeconds(l, ws, 12)
 	if got := s.state.TooMany(); got != 0 {
 		t.Errorf("%d transactions were refused for their size", got)
 	}
@@ -160,7 +160,7 @@
 		t.Errorf("%d jobs are not over", len(got))
 	}
 	// One that is refused does not keep the others up.
-	s.submit(n, spec("j-3", nil))
+	s.submit(n, jobSpec("j-3", nil))
 	s.resync(l)
 	tx := &statewriter.Transaction{}
 	for k := range 30 {
@@ -169,8 +169,8 @@
 	if !l.commit(t.Context(), tx) {
 		t.Fatal("a refused transaction ends the term")
 	}
-	s.pass(l, ws, 2)
-	if startsOf(ws, "j-3") != 1 {
+	s.runSeconds(l, ws, 2)
+	if startCount(ws, "j-3") != 1 {
 		t.Error("nothing begins after a transaction was refused")
 	}
 }
--- a/resignation_test.go
+++ b/resignation_test.go
@@ -22,7 +22,7 @@
 // A leader that renews its lease but can't read the changes of jobs gives the
 // lead up while its successor can still stop in time what was cancelled.
 func TestBlindLeaderGivesUp(t *testing.T) {
-	s, n, l, _ := alone(t)
+	s, n, l, _ := clusterWithWorker(t)
 	limit := l.maxUnsynced().Duration()
 	live := func(d time.Duration) {
 		for ; d > 0; d -= time.Second {
@@ -69,7 +69,7 @@
 
 // A leader cut off from every worker makes room for one that may hear them.
 func TestDeafLeaderAbdicates(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, _ := s.elect(n)
 	heartbeat(t, l, s.worker("n-1", "x", true))
@@ -90,7 +90,7 @@
 // With many machines, one interval without any heartbeat is proof enough: the sooner
 // another leads, the fewer leases run out.
 func TestDeafLeaderOfManyAbdicatesSooner(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, _ := s.elect(n)
 	s.advance(time.Second)
@@ -110,10 +110,10 @@
 }
 
 func TestBeatWithoutHold(t *testing.T) {
-	s, n, l, w := alone(t)
+	s, n, l, w := clusterWithWorker(t)
 	n.attestationLinks["other"] = peer.NewLink("127.0.0.1:1") // nobody attests
 	s.state.Refuse(n.cfg.Node, true)
-	s.clk.Advance(6 * time.Second)
+	s.clock.Advance(6 * time.Second)
 	rep := w.Report()
 	if _, ok := l.Heartbeat(&rep); ok {
 		t.Fatal("answered a heartbeat after the lease may have lapsed")
@@ -122,7 +122,7 @@
 
 // When none hears, the fault is this leader's: another may be heard.
 func TestLeaderThatNobodyHearsAbdicates(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	l, _ := s.elect(n)
 	var all []*standin.Worker
@@ -132,7 +132,7 @@
 		w.Unreachable(true)
 		all = append(all, w)
 	}
-	s.submit(n, spec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 4, 8 }))
+	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 4, 8 }))
 	s.resync(l)
 	for range 6 {
 		s.settle(l)
@@ -155,7 +155,7 @@
 // heartbeats before anybody else can act, sends no steward, tells users nothing and
 // is not healthy.
 func TestCutOffWithItsWorkers(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	n.attestationLinks["other"], n.relayLinks["other"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
 	n.users.Relay, n.users.Alone = n.relay, n.isolated
@@ -163,7 +163,7 @@
 	n.current.Store(l)
 	w := s.worker("n-1", "x", true)
 	heartbeat(t, l, w)
-	s.submit(n, spec("j-1", nil))
+	s.submit(n, jobSpec("j-1", nil))
 	s.state.Refuse(n.cfg.Node, true)
 	s.advance(5 * time.Second)
 	rep := w.Report()
@@ -193,7 +193,7 @@
 
 // A node that was not told for a while who leads sends workers nowhere.
 func TestStewardIsForgotten(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	s.elect(a)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -203,7 +203,7 @@
 		runtime.Gosched()
 	}
 	defer s.state.Stall()() // from here on the store says nothing at all
-	s.clk.Advance(6 * time.Second)
+	s.clock.Advance(6 * time.Second)
 	if got := b.Leader(); got != "" {
 		t.Errorf("still sends workers to %q", got)
 	}
--- a/team_reports_test.go
+++ b/team_reports_test.go
@@ -29,9 +29,9 @@
 
 // The report follows a team's work from waiting at its limit to its proof of absence.
 func TestTeamsReport(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(func(f *config.Facts) { f.Teams[0].CPUsMax, f.Teams[0].CPUs = 4, 2 })
-	l, w, _ := ledWork(t, n, s, 4)
+	l, w, _ := leadWithJob(t, n, s, 4)
 	n.current.Store(l)
 	look := func() quota.TeamReport {
 		t.Helper()
@@ -66,10 +66,10 @@
 }
 
 // askTeams asks a controller of a world for the teams' use as an operator does.
-func (w *world) askTeams(node int) (quota.Report, error) {
-	p := w.running(fmt.Sprintf("node-%d", node+1))
+func (w *simulation) askTeams(node int) (quota.Report, error) {
+	p := w.runningProcess(fmt.Sprintf("node-%d", node+1))
 	if p == nil {
-		return quota.Report{}, errLost
+		return quota.Report{}, errNoResponse
 	}
 	server := httptest.NewRecorder()
 	p.operators().ServeHTTP(server, httptest.NewRequestWithContext(w.ctx, http.MethodGet, operator.PathTeams, nil))
@@ -82,14 +82,14 @@
 // Every controller tells what the leader's ledger holds; when nobody leads, what it saw
 // last, and how old that is. One that never heard a leader says so.
 func TestTeamsFromEveryController(t *testing.T) {
-	s := schedule{seed: 1, lasts: at(60), leads: 1, limits: map[string]float64{}}
-	s.users = []submission{user(1, 2, 0, func(sp *wire.Spec) { standing(2)(sp); sp.Team = "tight" })}
-	s.troubles = []trouble{
-		{kind: refuseAll, at: at(30), lasts: at(25)},
-		{kind: killNode, at: at(31), lasts: at(20), node: 3},
+	s := schedule{seed: 1, duration: seconds(60), firstLeader: 1, limits: map[string]float64{}}
+	s.submissions = []submission{newSubmission(1, 2, 0, func(sp *wire.Spec) { asService(2)(sp); sp.Team = "tight" })}
+	s.faults = []fault{
+		{kind: stateRefusesAll, at: seconds(30), duration: seconds(25)},
+		{kind: controllerKilled, at: seconds(31), duration: seconds(20), controller: 3},
 	}
-	s.setup = func(w *world) {
-		w.during(25, func() {
+	s.setup = func(w *simulation) {
+		w.runAt(25, func() {
 			for node := range 3 {
 				r, err := w.askTeams(node)
 				if err != nil || !r.Fresh || r.Leader != "node-1" {
@@ -101,7 +101,7 @@
 				}
 			}
 		})
-		w.during(50, func() {
+		w.runAt(50, func() {
 			r, err := w.askTeams(1)
 			if err != nil || r.Fresh || r.AgeS < 24 || r.Leader != "node-1" {
 				t.Errorf("while nobody leads: %+v, %v", r, err)
@@ -110,12 +110,12 @@
 				t.Errorf("while nobody leads: %+v", got)
 			}
 		})
-		w.during(52, func() {
+		w.runAt(52, func() {
 			if r, err := w.askTeams(0); err == nil {
 				t.Errorf("a controller that has just started, while nobody leads: %+v", r)
 			}
 		})
-		w.during(100, func() {
+		w.runAt(100, func() {
 			for node := range 3 {
 				if r, err := w.askTeams(node); err != nil || !r.Fresh || r.AgeS != 0 || r.Node != fmt.Sprintf("node-%d", node+1) {
 					t.Errorf("node %d when all is well again: %+v, %v", node+1, r, err)
@@ -123,12 +123,12 @@
 			}
 		})
 	}
-	playOut(t, s, nil)
+	playSchedule(t, s, nil)
 }
 
 // A thousand teams take several messages between controllers.
 func TestTeamsComeInPages(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	many := func(f *config.Facts) {
 		for i := range 1000 {
 			f.Teams = append(f.Teams, config.Team{Name: fmt.Sprintf("team-%04d", i), CPUsMax: float64(i + 1)})
--- a/total_loss_test.go
+++ b/total_loss_test.go
@@ -27,10 +27,10 @@
 func TestTotalLoss(t *testing.T) {
 	for _, spell := range []float64{0.4, 6, 25, 50} {
 		for returns := 1; returns <= 3; returns++ {
-			x := totalLoss{lossAt: 40, spell: spell, returns: returns}
+			x := totalLoss{lossAtS: 40, outageS: spell, returning: returns}
 			t.Run(fmt.Sprintf("spell=%v,returns=%d", spell, returns), func(t *testing.T) {
 				t.Parallel()
-				broken, f := playLoss(t, x, *lossMachines, nil)
+				broken, f := playTotalLoss(t, x, *lossMachines, nil)
 				for _, b := range broken {
 					t.Error(b)
 				}
@@ -43,7 +43,7 @@
 					t.Errorf("all goes on %.2f s after the first return, want within %v s", f.AllGoingS, allGoingWithin)
 				}
 				t.Log(f)
-				if err := keepFigures(f); err != nil {
+				if err := saveMeasurements(f); err != nil {
 					t.Error(err)
 				}
 			})
@@ -57,7 +57,7 @@
 	for _, spell := range []float64{6, 14, 32} {
 		t.Run(fmt.Sprintf("spell=%v", spell), func(t *testing.T) {
 			t.Parallel()
-			broken, f := playLoss(t, totalLoss{lossAt: 40, spell: spell, returns: 1, timing: modelTiming}, 20, nil)
+			broken, f := playTotalLoss(t, totalLoss{lossAtS: 40, outageS: spell, returning: 1, timing: defaultTiming}, 20, nil)
 			for _, b := range broken {
 				t.Error(b)
 			}
@@ -77,7 +77,7 @@
 		}
 		r.Shared = nil
 	}
-	broken, _ := playLoss(t, totalLoss{lossAt: 40, spell: 6, returns: 3}, 20, forget)
+	broken, _ := playTotalLoss(t, totalLoss{lossAtS: 40, outageS: 6, returning: 3}, 20, forget)
 	kinds := map[string]bool{}
 	for _, b := range broken {
 		for _, kind := range []string{"is stopped without a cause", "starts on"} {
@@ -96,7 +96,7 @@
 	for seed := *lossSeed; seed < *lossSeed+*lossSeeds; seed++ {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
-			playOut(t, drawLosses(seed), nil)
+			playSchedule(t, randomLossSchedule(seed), nil)
 		})
 	}
 }
@@ -107,21 +107,21 @@
 	for request := 1; request <= crashPoints; request++ {
 		t.Run(fmt.Sprintf("request=%d", request), func(t *testing.T) {
 			t.Parallel()
-			x := totalLoss{lossAt: 30, spell: 1, returns: 3}
-			h := &histories{}
+			x := totalLoss{lossAtS: 30, outageS: 1, returning: 3}
+			h := &eventLog{}
 			s := x.schedule(12, h)
 			setup := s.setup
-			s.setup = func(w *world) {
+			s.setup = func(w *simulation) {
 				setup(w)
-				w.crashLeaders(x.lost(w).Add(at(x.spell)), request, 2)
+				w.crashLeaders(x.lostAt(w).Add(seconds(x.outageS)), request, 2)
 			}
-			var w *world
-			playOut(t, s, func(played *world) {
+			var w *simulation
+			playSchedule(t, s, func(played *simulation) {
 				w = played
-				w.served()
+				w.checkAllServed()
 			})
-			lost := x.lost(w)
-			for _, f := range h.faults(lost, lost.Add(at(x.spell)), lost.Add(at(x.spell)+recoverySpan), func(uid string) bool { return w.facts[uid].asked }) {
+			lost := x.lostAt(w)
+			for _, f := range h.violations(lost, lost.Add(seconds(x.outageS)), lost.Add(seconds(x.outageS)+recoveryCheckTime), func(uid string) bool { return w.views[uid].cancelRequested }) {
 				t.Error(f)
 			}
 		})
--- a/user_requests_test.go
+++ b/user_requests_test.go
@@ -14,12 +14,12 @@
 )
 
 func TestAnswersToUsers(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(func(f *config.Facts) { f.Teams = append(f.Teams, config.Team{Name: "small", CPUsMax: 3}) })
-	good := spec("j-1", nil)
+	good := jobSpec("j-1", nil)
 	s.submit(n, good)
 	edit := func(mod func(m map[string]any)) []byte {
-		return bodyOf(t, good, func(m map[string]any) { m["uid"] = "j-2"; mod(m) })
+		return submissionBody(t, good, func(m map[string]any) { m["uid"] = "j-2"; mod(m) })
 	}
 	tests := []struct {
 		name string
@@ -76,11 +76,11 @@
 
 // A node that the state service refuses alone serves users through another.
 func TestRefusedNodeRelays(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
 	s.connect(a, b)
 	s.elect(b)
-	s.submit(a, spec("j-1", nil))
+	s.submit(a, jobSpec("j-1", nil))
 	s.state.Refuse(a.cfg.Node, true)
 	for range 2 { // the first refusals show that it is not a single one
 		s.ask(a, http.MethodGet, wire.PathJobs+"/j-1", nil)
@@ -88,7 +88,7 @@
 	if code, v, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || v.UID != "j-1" {
 		t.Errorf("query: %d %+v", code, v)
 	}
-	if code, _, _ := s.ask(a, http.MethodPost, wire.PathJobs, spec("j-2", nil)); code != 201 {
+	if code, _, _ := s.ask(a, http.MethodPost, wire.PathJobs, jobSpec("j-2", nil)); code != 201 {
 		t.Errorf("submit: %d", code)
 	}
 	if code, _, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-3", nil); code != 404 {
@@ -107,28 +107,28 @@
 // A node judges jobs by the machine types of now: an old catalogue will do for a
 // moment in which nobody tells it the new one, and no longer.
 func TestOldCatalogueAcceptsNothing(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
-	s.submit(n, spec("j-1", nil))
+	s.submit(n, jobSpec("j-1", nil))
 	s.cloud.Trouble = true
-	s.clk.Advance(100 * time.Second)
-	s.submit(n, spec("j-2", nil))
-	s.clk.Advance(30 * time.Second)
-	if code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-3", nil)); code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
+	s.clock.Advance(100 * time.Second)
+	s.submit(n, jobSpec("j-2", nil))
+	s.clock.Advance(30 * time.Second)
+	if code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec("j-3", nil)); code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 		t.Errorf("judged by an old catalogue: %d, Retry-After %q", code, head.Get("Retry-After"))
 	}
 	// A node that has just started and knows no types at all.
-	if code, _, _ := s.ask(s.node(nil), http.MethodPost, wire.PathJobs, spec("j-4", nil)); code != http.StatusServiceUnavailable {
+	if code, _, _ := s.ask(s.node(nil), http.MethodPost, wire.PathJobs, jobSpec("j-4", nil)); code != http.StatusServiceUnavailable {
 		t.Errorf("judged by no catalogue: %d", code)
 	}
 	s.cloud.Trouble = false
-	small := bigBuild
+	small := largeMachineType
 	small.Cores = 1
 	s.cloud.Builds = []wire.MachineType{small}
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-5", nil)); code != http.StatusUnprocessableEntity {
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec("j-5", nil)); code != http.StatusUnprocessableEntity {
 		t.Errorf("a job that fits no machine of now: %d", code)
 	}
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-1", nil)); code != http.StatusOK {
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec("j-1", nil)); code != http.StatusOK {
 		t.Errorf("a known job: %d", code)
 	}
 }
@@ -136,9 +136,9 @@
 // A node answers no poll from what it knew before the poll came: what another
 // node has told since must not be taken back.
 func TestPollsAreNeverOlderThanAnswersGiven(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	a, b := s.node(nil), s.node(nil)
-	s.submit(a, spec("j-1", nil))
+	s.submit(a, jobSpec("j-1", nil))
 	for _, n := range []*Service{a, b} {
 		if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || v.Status != wire.JobQueued {
 			t.Fatalf("%d %+v", code, v)
@@ -150,7 +150,7 @@
 	if _, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobCancelled {
 		t.Errorf("the other node still says %q", v.Status)
 	}
-	s.submit(b, spec("j-2", nil))
+	s.submit(b, jobSpec("j-2", nil))
 	s.state.Forget() // the history of changes is gone: all is read again
 	if code, v, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 200 || v.Status != wire.JobQueued {
 		t.Errorf("after the history was gone: %d %+v", code, v)
@@ -162,9 +162,9 @@
 // it so: no node may answer something older, nor anything else than the state to a
 // repeat, even a malformed one, and a transaction carried out late changes nothing.
 func TestAskedEverywhereRightAfterAnAnswer(t *testing.T) {
-	for _, tr := range mishaps {
+	for _, tr := range transactionFaults {
 		t.Run(tr.name, func(t *testing.T) {
-			s := newSite(t)
+			s := newTestCluster(t)
 			nodes := []*Service{s.node(nil), s.node(nil), s.node(nil)}
 			l, _ := s.elect(nodes[0])
 			w := s.worker("n-1", "x", true)
@@ -177,30 +177,30 @@
 			}
 			for _, uid := range []string{"j-1", "j-2"} {
 				tr.set(s.state)
-				if code, _ := s.until(nodes[1:], http.MethodPost, wire.PathJobs, spec(uid, nil)); code != http.StatusCreated && code != http.StatusOK {
+				if code, _ := s.askUntilAnswered(nodes[1:], http.MethodPost, wire.PathJobs, jobSpec(uid, nil)); code != http.StatusCreated && code != http.StatusOK {
 					t.Fatalf("submit: %d", code)
 				}
-				s.told("accepted", s.asks(nodes, uid, false), wire.JobQueued, wire.JobRunning, "503")
+				s.checkAnswers("accepted", s.askEverywhere(nodes, uid, false), wire.JobQueued, wire.JobRunning, "503")
 			}
 			s.resync(l)
 			s.settle(l)
 			tr.set(s.state)
-			if _, v := s.until(nodes[1:], http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
+			if _, v := s.askUntilAnswered(nodes[1:], http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
 				t.Fatalf("abort: %+v", v)
 			}
-			s.told("cancelled", s.asks(nodes, "j-2", true), wire.JobCancelled, "503")
+			s.checkAnswers("cancelled", s.askEverywhere(nodes, "j-2", true), wire.JobCancelled, "503")
 			s.resync(l)
 			w.End("j-1/0", wire.CauseDone)
 			heartbeat(t, l, w)
 			s.settle(l)
-			if _, v := s.until(nodes, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobDone {
+			if _, v := s.askUntilAnswered(nodes, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobDone {
 				t.Fatalf("ended: %+v", v)
 			}
-			s.told("done", s.asks(nodes, "j-1", true), wire.JobDone, "503")
+			s.checkAnswers("done", s.askEverywhere(nodes, "j-1", true), wire.JobDone, "503")
 			s.state.Deliver()
 			s.state.Repeat()
-			s.told("cancelled, after late transactions", s.asks(nodes, "j-2", true), wire.JobCancelled)
-			s.told("done, after late transactions", s.asks(nodes, "j-1", true), wire.JobDone)
+			s.checkAnswers("cancelled, after late transactions", s.askEverywhere(nodes, "j-2", true), wire.JobCancelled)
+			s.checkAnswers("done, after late transactions", s.askEverywhere(nodes, "j-1", true), wire.JobDone)
 			for _, k := range s.state.Keys(store.PrefixJob) {
 				if k == store.JobKey("j-2") {
 					t.Error("the cancelled job is among the unfinished ones again")
@@ -214,7 +214,7 @@
 // at once and told when to come back, the lowest priority first; what is known
 // already stays known, and cancels go through.
 func TestSwarmIsRefusedAtOnce(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	_, _ = s.elect(n)
 	small := n.cfg.Facts.State
@@ -222,7 +222,7 @@
 	n.users.Store = store.New(n.cfg.Outside.State, small, 5)
 	refused, accepted := 0, 0
 	for k := range 40 {
-		code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, spec(fmt.Sprintf("j-%d", k), func(sp *wire.Spec) { sp.Priority = "low" }))
+		code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec(fmt.Sprintf("j-%d", k), func(sp *wire.Spec) { sp.Priority = "low" }))
 		switch code {
 		case http.StatusCreated:
 			accepted++
@@ -238,7 +238,7 @@
 	if accepted < 4 || refused < 20 {
 		t.Errorf("%d accepted, %d refused", accepted, refused)
 	}
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, spec("j-100", func(sp *wire.Spec) { sp.Priority = "critical" })); code != http.StatusCreated {
+	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec("j-100", func(sp *wire.Spec) { sp.Priority = "critical" })); code != http.StatusCreated {
 		t.Errorf("a critical job: %d, want 201", code)
 	}
 	if code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-0/"+wire.SuffixCancel, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
@@ -249,10 +249,10 @@
 // A storm of questions about jobs that nobody submitted: what can't be looked up
 // is refused at once, and jobs that run are answered for as ever.
 func TestStormOfUnknownJobs(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	_, _ = s.elect(n)
-	s.submit(n, spec("j-1", nil))
+	s.submit(n, jobSpec("j-1", nil))
 	if code, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK {
 		t.Fatalf("poll: %d", code)
 	}
@@ -281,16 +281,16 @@
 // Submissions that share a transaction share neither a refusal nor a conflict:
 // what is known hears so, what the store does not take fails alone.
 func TestSubmissionsOfABatchAreJudgedAlone(t *testing.T) {
-	s := newSite(t)
+	s := newTestCluster(t)
 	n := s.node(nil)
 	_, _ = s.elect(n)
-	s.submit(n, spec("j-1", nil))
+	s.submit(n, jobSpec("j-1", nil))
 	release := s.state.Stall() // those that come meanwhile share the next transaction
 	codes := make(chan int)
 	const jobs = 12
 	for k := range jobs {
 		go func() {
-			code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, spec(fmt.Sprintf("j-%d", k), nil))
+			code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec(fmt.Sprintf("j-%d", k), nil))
 			codes <- code
 		}()
 	}
