--- a/bench_serving_test.go
+++ b/bench_serving_test.go
@@ -17,12 +17,12 @@
 )
 
 // serveLimited serves users and workers on loopback as the daemon does.
-func serveLimited(tb testing.TB, l *leader, h http.Handler) string {
+func serveLimited(tb testing.TB, leader *leader, h http.Handler) string {
 	ln, err := listen(tb.Context(), "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	limited := connlimit.New(ln, 1000, connlimit.Outgoing{Workers: l.workers}, l.clock, l.log)
+	limited := connlimit.New(ln, 1000, connlimit.Outgoing{Workers: leader.workers}, leader.clock, leader.log)
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
 		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ConnState: limited.ConnState}
 	go srv.Serve(limited)
@@ -78,16 +78,16 @@
 		change bool
 	}{{"unchanged", false}, {"changed", true}} {
 		b.Run(c.name, func(b *testing.B) {
-			_, l := trustedFleet(b, benchMachines, benchTasks)
-			h := agent.ServeHeartbeat(benchAgent{l}, func() bool { return false })
+			_, leader := trustedFleet(b, benchMachines, benchTasks)
+			h := agent.ServeHeartbeat(benchAgent{leader}, func() bool { return false })
 			var raws [][]byte
 			for n := range 2 {
 				for i := range benchMachines {
-					rep := fleetReport(i, benchTasks, 1, l.term.Token)
+					report := fleetReport(i, benchTasks, 1, leader.term.Token)
 					if n == 1 && c.change {
-						rep.Tasks[0].Status = wire.TaskFlushing
+						report.Tasks[0].Status = wire.TaskFlushing
 					}
-					raws = append(raws, encodeReport(b, rep))
+					raws = append(raws, encodeReport(b, report))
 				}
 			}
 			useOneThread(b)
@@ -110,13 +110,13 @@
 func (d *discardResponse) WriteHeader(int) {}
 
 // setSequence replaces a report's tally in place; it is written with eight bytes.
-func setSequence(tb testing.TB, raw []byte, tally uint64) {
-	at := bytes.Index(raw, []byte("\xa5tally\xcf"))
+func setSequence(tb testing.TB, encoded []byte, sequence uint64) {
+	at := bytes.Index(encoded, []byte("\xa5tally\xcf"))
 	if at < 0 {
-		tb.Fatalf("no tally in %x", raw)
+		tb.Fatalf("no tally in %x", encoded)
 	}
 	for k := range 8 {
-		raw[at+7+k] = byte(tally >> (56 - 8*k))
+		encoded[at+7+k] = byte(sequence >> (56 - 8*k))
 	}
 }
 
@@ -130,13 +130,13 @@
 
 // BenchmarkBeatServed is the same over a connection.
 func BenchmarkBeatServed(b *testing.B) {
-	_, l := trustedFleet(b, benchMachines, benchTasks)
-	n := l.servingNode(b)
-	n.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(benchAgent{l}, func() bool { return false }))
-	addr := serveLimited(b, l, n.router)
+	_, leader := trustedFleet(b, benchMachines, benchTasks)
+	node := leader.servingNode(b)
+	node.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(benchAgent{leader}, func() bool { return false }))
+	addr := serveLimited(b, leader, node.router)
 	raws, conns := make([][]byte, benchMachines), make([]*rawConnection, benchMachines)
 	for i := range raws {
-		raws[i] = encodeReport(b, fleetReport(i, benchTasks, 1, l.term.Token))
+		raws[i] = encodeReport(b, fleetReport(i, benchTasks, 1, leader.term.Token))
 		conns[i] = dialRaw(b, addr)
 	}
 	useOneThread(b)
@@ -150,15 +150,15 @@
 
 // BenchmarkRedirectServed is a heartbeat at a controller that does not lead.
 func BenchmarkRedirectServed(b *testing.B) {
-	_, l := trustedFleet(b, 10, benchTasks)
+	_, leader := trustedFleet(b, 10, benchTasks)
 	h := http.HandlerFunc(agent.ServeHeartbeat(redirecting{}, func() bool { return false }))
-	addr := serveLimited(b, l, h)
-	x := dialRaw(b, addr)
-	raw := encodeReport(b, fleetReport(1, benchTasks, 1, l.term.Token))
+	addr := serveLimited(b, leader, h)
+	connection := dialRaw(b, addr)
+	encoded := encodeReport(b, fleetReport(1, benchTasks, 1, leader.term.Token))
 	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
-		x.send(b, http.MethodPost, wire.PathHeartbeat, raw)
+		connection.send(b, http.MethodPost, wire.PathHeartbeat, encoded)
 	}
 }
 
@@ -177,52 +177,52 @@
 		tb.Fatal(err)
 	}
 	cfg := *l.cfg
-	n := newService(&cfg, operator, l.log, l.clock)
-	n.current.Store(l)
-	return n
+	node := newService(&cfg, operator, l.log, l.clock)
+	node.current.Store(l)
+	return node
 }
 
 // BenchmarkPoll is one poll of an unfinished job, alone in its read, over a connection.
 func BenchmarkPollServed(b *testing.B) {
-	s, l := trustedFleet(b, benchMachines, benchTasks)
-	n := l.servingNode(b)
-	s.submit(n, jobSpec("j-900", nil))
-	x := dialRaw(b, serveLimited(b, l, n.router))
+	cluster, leader := trustedFleet(b, benchMachines, benchTasks)
+	node := leader.servingNode(b)
+	cluster.submit(node, jobSpec("j-900", nil))
+	connection := dialRaw(b, serveLimited(b, leader, node.router))
 	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
-		x.send(b, http.MethodGet, wire.PathJobs+"/j-900", nil)
+		connection.send(b, http.MethodGet, wire.PathJobs+"/j-900", nil)
 	}
 }
 
 // BenchmarkSubmitServed is one submission, alone in its transaction, over a connection.
 func BenchmarkSubmitServed(b *testing.B) {
-	_, l := trustedFleet(b, benchMachines, benchTasks)
-	n := l.servingNode(b)
-	x := dialRaw(b, serveLimited(b, l, n.router))
+	_, leader := trustedFleet(b, benchMachines, benchTasks)
+	node := leader.servingNode(b)
+	connection := dialRaw(b, serveLimited(b, leader, node.router))
 	useOneThread(b)
 	b.ResetTimer()
 	for k := range b.N {
-		x.send(b, http.MethodPost, wire.PathJobs, submissionBody(b, jobSpec(fmt.Sprintf("j-%d", 100000+k), nil), nil))
+		connection.send(b, http.MethodPost, wire.PathJobs, submissionBody(b, jobSpec(fmt.Sprintf("j-%d", 100000+k), nil), nil))
 	}
 }
 
 // BenchmarkHealth is a probe of the load balancer.
 func BenchmarkHealthServed(b *testing.B) {
-	_, l := trustedFleet(b, 10, benchTasks)
-	n := l.servingNode(b)
-	x := dialRaw(b, serveLimited(b, l, n.router))
+	_, leader := trustedFleet(b, 10, benchTasks)
+	node := leader.servingNode(b)
+	connection := dialRaw(b, serveLimited(b, leader, node.router))
 	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
-		x.send(b, http.MethodGet, wire.PathHealth, nil)
+		connection.send(b, http.MethodGet, wire.PathHealth, nil)
 	}
 }
 
 // BenchmarkConnect is a connection that comes, with one probe, and goes.
 func BenchmarkConnect(b *testing.B) {
-	_, l := trustedFleet(b, 10, benchTasks)
-	addr := serveLimited(b, l, l.servingNode(b).router)
+	_, leader := trustedFleet(b, 10, benchTasks)
+	addr := serveLimited(b, leader, leader.servingNode(b).router)
 	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
@@ -230,8 +230,8 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		x := &rawConnection{c, bufio.NewReaderSize(c, 64)}
-		x.send(b, http.MethodGet, wire.PathHealth, nil)
+		connection := &rawConnection{c, bufio.NewReaderSize(c, 64)}
+		connection.send(b, http.MethodGet, wire.PathHealth, nil)
 		c.Close()
 	}
 }
@@ -246,8 +246,8 @@
 				b.Fatal(err)
 			}
 			b.Cleanup(func() { ln.Close() })
-			raw := encodeReport(b, fleetReport(1, benchTasks, 1, 1))
-			answer := append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/msgpack\r\n%sContent-Length: %d\r\n\r\n", c.header, len(raw)), raw...)
+			encoded := encodeReport(b, fleetReport(1, benchTasks, 1, 1))
+			answer := append(fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Type: application/msgpack\r\n%sContent-Length: %d\r\n\r\n", c.header, len(encoded)), encoded...)
 			go func() {
 				for {
 					conn, err := ln.Accept()
@@ -288,9 +288,9 @@
 
 // encodeReport is a report as it comes.
 func encodeReport(tb testing.TB, report *wire.Heartbeat) []byte {
-	raw, err := wire.Marshal(report)
+	encoded, err := wire.Marshal(report)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return raw
+	return encoded
 }
--- a/bench_test.go
+++ b/bench_test.go
@@ -30,143 +30,143 @@
 
 // BenchmarkStep is a pass of the leader's loop with nothing to do.
 func BenchmarkStep(b *testing.B) {
-	_, l := trustedFleet(b, benchMachines, benchTasks)
-	l.pass(b.Context())
+	_, leader := trustedFleet(b, benchMachines, benchTasks)
+	leader.pass(b.Context())
 	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
-		l.pass(b.Context())
+		leader.pass(b.Context())
 	}
 }
 
 // BenchmarkRound is a repair round.
 func BenchmarkRound(b *testing.B) {
-	_, l := trustedFleet(b, benchMachines, benchTasks)
-	l.pass(b.Context())
+	_, leader := trustedFleet(b, benchMachines, benchTasks)
+	leader.pass(b.Context())
 	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
-		l.mu.Lock()
-		l.planner.RepairNow()
-		l.runPlan(l.clock.Now())
-		l.mu.Unlock()
+		leader.mu.Lock()
+		leader.planner.RepairNow()
+		leader.runPlan(leader.clock.Now())
+		leader.mu.Unlock()
 	}
 }
 
 // BenchmarkResize is a pass of the fleet's sizing with nothing to rent or return.
 func BenchmarkResize(b *testing.B) {
-	_, l := trustedFleet(b, benchMachines, benchTasks)
+	_, leader := trustedFleet(b, benchMachines, benchTasks)
 	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
-		l.autoscale(b.Context())
+		leader.autoscale(b.Context())
 	}
 }
 
 // BenchmarkList is one reading of the cloud's list, without its request.
 func BenchmarkCheckStall(b *testing.B) {
-	_, l := trustedFleet(b, benchMachines, benchTasks)
+	_, leader := trustedFleet(b, benchMachines, benchTasks)
 	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
-		l.checkPause()
+		leader.checkPause()
 	}
 }
 
 // BenchmarkChange is a job that comes with the changes, and a plan that finds no room for it.
 func BenchmarkChange(b *testing.B) {
-	_, l := trustedFleet(b, benchMachines, benchTasks)
-	raw, err := wire.Marshal(store.JobRecord{Spec: jobSpec("j-900", func(sp *wire.Spec) { sp.Tasks = 8 })})
+	_, leader := trustedFleet(b, benchMachines, benchTasks)
+	encoded, err := wire.Marshal(store.JobRecord{Spec: jobSpec("j-900", func(spec *wire.Spec) { spec.Tasks = 8 })})
 	if err != nil {
 		b.Fatal(err)
 	}
 	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
-		l.mu.Lock()
-		if err := l.addJob(store.JobKey("j-900"), raw, 1, l.clock.Now()); err != nil {
+		leader.mu.Lock()
+		if err := leader.addJob(store.JobKey("j-900"), encoded, 1, leader.clock.Now()); err != nil {
 			b.Fatal(err)
 		}
-		job := l.jobs.Get("j-900")
-		l.jobs.Remove(job)
-		l.jobs.Dequeue(job)
-		l.mu.Unlock()
+		job := leader.jobs.Get("j-900")
+		leader.jobs.Remove(job)
+		leader.jobs.Dequeue(job)
+		leader.mu.Unlock()
 	}
 }
 
 // BenchmarkTask is a task placed, told, seen running, ended, recorded and
 // forgotten, in jobs of 48.
 func BenchmarkTask(b *testing.B) {
-	s := newTestCluster(b)
-	n := s.node(nil)
-	l, _ := s.elect(n)
-	tallies := make([]uint64, benchMachines)
+	cluster := newTestCluster(b)
+	node := cluster.node(nil)
+	leader, _ := cluster.elect(node)
+	sequences := make([]uint64, benchMachines)
 	heartbeat := func(i int, report *wire.Heartbeat) wire.HeartbeatResponse {
-		tallies[i]++
-		report.Sequence = tallies[i]
-		ans, ok := l.Heartbeat(report)
+		sequences[i]++
+		report.Sequence = sequences[i]
+		response, ok := leader.Heartbeat(report)
 		if !ok {
 			b.Fatal("not answered")
 		}
-		return ans
+		return response
 	}
 	for range 3 {
 		for i := range benchMachines {
-			heartbeat(i, fleetReport(i, 0, 0, l.term.Token))
+			heartbeat(i, fleetReport(i, 0, 0, leader.term.Token))
 		}
 	}
 	useOneThread(b)
 	b.ResetTimer()
 	for k := 0; k < b.N; {
 		uid := fmt.Sprintf("j-%d", 1000+k)
-		raw, err := wire.Marshal(store.JobRecord{Spec: jobSpec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Priority = 48, "low" })})
+		encoded, err := wire.Marshal(store.JobRecord{Spec: jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Priority = 48, "low" })})
 		if err != nil {
 			b.Fatal(err)
 		}
-		epoch, err := n.store.Commit(b.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey(uid), Value: msgpack.RawMessage(raw)}}})
+		epoch, err := node.store.Commit(b.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey(uid), Value: msgpack.RawMessage(encoded)}}})
 		if err != nil {
 			b.Fatal(err)
 		}
-		l.mu.Lock()
-		if err := l.addJob(store.JobKey(uid), raw, epoch, l.clock.Now()); err != nil {
+		leader.mu.Lock()
+		if err := leader.addJob(store.JobKey(uid), encoded, epoch, leader.clock.Now()); err != nil {
 			b.Fatal(err)
 		}
-		l.planner.AllowBestEffort(48)
-		l.mu.Unlock()
-		l.pass(b.Context())
+		leader.planner.AllowBestEffort(48)
+		leader.mu.Unlock()
+		leader.pass(b.Context())
 		for round := range 3 {
-			l.mu.Lock()
+			leader.mu.Lock()
 			on := map[int][]wire.TaskReport{}
-			l.fleet.EachMachine(func(machine *fleet.Machine) {
+			leader.fleet.EachMachine(func(machine *fleet.Machine) {
 				var at int
 				fmt.Sscanf(machine.Name, "n-%d", &at)
-				machine.EachAllocation(func(bk *fleet.Allocation) {
-					st := wire.TaskReport{Task: bk.Task.String(), Attempt: bk.Attempt, Status: wire.TaskRunning}
+				machine.EachAllocation(func(allocation *fleet.Allocation) {
+					task := wire.TaskReport{Task: allocation.Task.String(), Attempt: allocation.Attempt, Status: wire.TaskRunning}
 					if round == 2 {
-						st.Status, st.Cause = wire.TaskEnded, wire.CauseDone
+						task.Status, task.Cause = wire.TaskEnded, wire.CauseDone
 					}
 					if round > 0 {
-						on[at] = append(on[at], st)
+						on[at] = append(on[at], task)
 					} else {
 						on[at] = nil
 					}
 				})
 			})
-			l.mu.Unlock()
+			leader.mu.Unlock()
 			for i, list := range on {
-				rep := fleetReport(i, 0, 0, l.term.Token)
-				rep.Tasks = list
-				heartbeat(i, rep)
+				report := fleetReport(i, 0, 0, leader.term.Token)
+				report.Tasks = list
+				heartbeat(i, report)
 			}
 			if round == 2 {
-				l.mu.Lock()
-				for job := range l.jobs.All() {
-					l.writer.MarkDirty(job.UID)
+				leader.mu.Lock()
+				for job := range leader.jobs.All() {
+					leader.writer.MarkDirty(job.UID)
 				}
-				l.mu.Unlock()
-				l.pass(b.Context())
+				leader.mu.Unlock()
+				leader.pass(b.Context())
 				for i := range on {
-					heartbeat(i, fleetReport(i, 0, 0, l.term.Token))
+					heartbeat(i, fleetReport(i, 0, 0, leader.term.Token))
 				}
 			}
 			k += 16
@@ -176,39 +176,39 @@
 
 // BenchmarkPlanShort is a plan for 60 jobs that find no room.
 func BenchmarkPlanShort(b *testing.B) {
-	_, l := trustedFleet(b, benchMachines, benchTasks)
-	l.mu.Lock()
+	_, leader := trustedFleet(b, benchMachines, benchTasks)
+	leader.mu.Lock()
 	for k := range 60 {
-		sp := jobSpec(fmt.Sprintf("j-%d", 2000+k), func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 8, 3+float64(k%4), 8+float64(k%7) })
-		raw, err := wire.Marshal(store.JobRecord{Spec: sp})
+		spec := jobSpec(fmt.Sprintf("j-%d", 2000+k), func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 8, 3+float64(k%4), 8+float64(k%7) })
+		encoded, err := wire.Marshal(store.JobRecord{Spec: spec})
 		if err != nil {
 			b.Fatal(err)
 		}
-		if err := l.addJob(store.JobKey(sp.UID), raw, 1, l.clock.Now()); err != nil {
+		if err := leader.addJob(store.JobKey(spec.UID), encoded, 1, leader.clock.Now()); err != nil {
 			b.Fatal(err)
 		}
 	}
-	l.mu.Unlock()
+	leader.mu.Unlock()
 	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
-		l.mu.Lock()
-		l.jobs.SetChanged(true)
-		l.runPlan(l.clock.Now())
-		l.mu.Unlock()
+		leader.mu.Lock()
+		leader.jobs.SetChanged(true)
+		leader.runPlan(leader.clock.Now())
+		leader.mu.Unlock()
 	}
 }
 
 // BenchmarkRefresh is a machine brought into the picture.
 func BenchmarkRefresh(b *testing.B) {
-	_, l := trustedFleet(b, benchMachines, benchTasks)
-	l.pass(b.Context())
-	machines := l.fleet.Machines()
+	_, leader := trustedFleet(b, benchMachines, benchTasks)
+	leader.pass(b.Context())
+	machines := leader.fleet.Machines()
 	useOneThread(b)
 	b.ResetTimer()
 	for k := range b.N {
-		l.mu.Lock()
-		l.refreshMachine(machines[k%len(machines)], l.clock.Now())
-		l.mu.Unlock()
+		leader.mu.Lock()
+		leader.refreshMachine(machines[k%len(machines)], leader.clock.Now())
+		leader.mu.Unlock()
 	}
 }
--- a/cancellation_outage_test.go
+++ b/cancellation_outage_test.go
@@ -15,95 +15,95 @@
 )
 
 // dropCancelHints lets no hint of a node's cancels reach the leader: they are hints.
-func dropCancelHints(n *Service) { n.users.Cancelled = nil }
+func dropCancelHints(node *Service) { node.users.Cancelled = nil }
 
 // The cancellation gap: the state service refuses the leader alone, another
 // controller confirms a cancel, then it is down for all. The leader goes on
 // answering heartbeats on the others' word, which must carry the cancel: the task is
 // stopped by the answer to a heartbeat, without any hold, and no other is.
 func TestAttestationCarriesCancels(t *testing.T) {
-	s, nodes, l, w := connectedCluster(t)
+	cluster, nodes, leader, worker := connectedCluster(t)
 	dropCancelHints(nodes[1])
-	s.state.Refuse(nodes[0].cfg.Node, true)
-	s.cancelJob(nodes[1], "j-1")
-	if got := w.Live(); len(got) != 2 {
+	cluster.state.Refuse(nodes[0].cfg.Node, true)
+	cluster.cancelJob(nodes[1], "j-1")
+	if got := worker.Live(); len(got) != 2 {
 		t.Fatalf("running %v: the leader can't know yet", got)
 	}
-	s.state.Refuse("", true)
-	s.advance(8 * time.Second) // the lease of the leader may have lapsed
+	cluster.state.Refuse("", true)
+	cluster.advance(8 * time.Second) // the lease of the leader may have lapsed
 	if _, may := nodes[0].elector.HoldsLease(); may {
 		t.Fatal("the leader still has its lease")
 	}
 	if _, may := nodes[0].elector.MayAnswerHeartbeats(); !may {
 		t.Fatal("all attest the outage, and the leader answers no heartbeats")
 	}
-	heartbeat(t, l, w)
-	if got := w.Live(); len(got) != 1 || got[0] != "j-2/0" {
+	heartbeat(t, leader, worker)
+	if got := worker.Live(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Fatalf("running %v after the attested leader answered, want j-2/0 alone", got)
 	}
 	// What the leader was told is a hint: after the outage the store is the truth.
-	s.state.Refuse(nodes[0].cfg.Node, false)
-	s.state.Refuse("", false)
-	s.advance(2 * time.Second)
-	s.resync(l)
-	heartbeat(t, l, w)
-	s.settle(l)
-	if got := w.Starts(); len(got) != 2 {
+	cluster.state.Refuse(nodes[0].cfg.Node, false)
+	cluster.state.Refuse("", false)
+	cluster.advance(2 * time.Second)
+	cluster.resync(leader)
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
+	if got := worker.Starts(); len(got) != 2 {
 		t.Errorf("starts %v, want each job's once", got)
 	}
-	s.checkStatus(nodes[0], "j-1", wire.JobCancelled)
+	cluster.checkStatus(nodes[0], "j-1", wire.JobCancelled)
 }
 
 // A controller that can't name every cancel since the leader last knew does not
 // attest: it began since, it has forgotten some, or they fit no message. Then
 // heartbeats go unanswered when the lease ends, and the leases do the rest.
 func TestWhoCannotVouchDoesNotAttest(t *testing.T) {
-	tests := map[string]func(s *testCluster, n *Service) *Service{
-		"began since": func(s *testCluster, n *Service) *Service {
-			s.submit(n, jobSpec("j-7", nil))
-			s.nodeCount -= 2 // the same node again
-			again := s.node(nil)
-			s.nodeCount++
-			s.checkStatus(again, "j-7", wire.JobQueued)
+	tests := map[string]func(cluster *testCluster, node *Service) *Service{
+		"began since": func(cluster *testCluster, node *Service) *Service {
+			cluster.submit(node, jobSpec("j-7", nil))
+			cluster.nodeCount -= 2 // the same node again
+			again := cluster.node(nil)
+			cluster.nodeCount++
+			cluster.checkStatus(again, "j-7", wire.JobQueued)
 			return again
 		},
-		"never had an answer": func(s *testCluster, _ *Service) *Service { return s.node(nil) },
-		"has forgotten": func(s *testCluster, n *Service) *Service {
-			s.cancelJob(n, "j-1")
+		"never had an answer": func(cluster *testCluster, _ *Service) *Service { return cluster.node(nil) },
+		"has forgotten": func(cluster *testCluster, node *Service) *Service {
+			cluster.cancelJob(node, "j-1")
 			for i := range 9000 {
-				n.users.Cancels.Known(fmt.Sprintf("j-%d", 100+i), 1)
+				node.users.Cancels.Known(fmt.Sprintf("j-%d", 100+i), 1)
 			}
-			return n
+			return node
 		},
-		"too many for a message": func(_ *testCluster, n *Service) *Service {
+		"too many for a message": func(_ *testCluster, node *Service) *Service {
 			for i := range 2000 {
-				n.users.Cancels.Expect(fmt.Sprintf("j-%d", 100+i))
+				node.users.Cancels.Expect(fmt.Sprintf("j-%d", 100+i))
 			}
-			return n
+			return node
 		},
-		"knows a later leader": func(s *testCluster, n *Service) *Service {
-			s.disconnect(s.firstLeader)
-			s.clock.Advance(6 * time.Second)
-			s.elect(n)
-			return n
+		"knows a later leader": func(cluster *testCluster, node *Service) *Service {
+			cluster.disconnect(cluster.firstLeader)
+			cluster.clock.Advance(6 * time.Second)
+			cluster.elect(node)
+			return node
 		},
 	}
 	for name, mod := range tests {
 		t.Run(name, func(t *testing.T) {
-			s, nodes, l, _ := connectedCluster(t)
-			s.firstLeader = nodes[0]
-			o := peer.Outage{Asked: true, Lead: l.term.Revision, Epoch: l.syncedRevision()}
-			s.state.Refuse("", true)
+			cluster, nodes, leader, _ := connectedCluster(t)
+			cluster.firstLeader = nodes[0]
+			o := peer.Outage{Asked: true, Lead: leader.term.Revision, Epoch: leader.syncedRevision()}
+			cluster.state.Refuse("", true)
 			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: o}); !r.Word.Attests {
 				t.Fatal("does not attest though it can vouch")
 			}
-			s.state.Refuse("", false)
+			cluster.state.Refuse("", false)
 			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: o}); r.Word.Attests {
 				t.Fatal("attests though the state service serves it")
 			}
-			n := mod(s, nodes[1])
-			s.state.Refuse("", true)
-			if r := n.answerPeer(t.Context(), peer.Ask{Outage: o}); r.Word.Attests {
+			node := mod(cluster, nodes[1])
+			cluster.state.Refuse("", true)
+			if r := node.answerPeer(t.Context(), peer.Ask{Outage: o}); r.Word.Attests {
 				t.Errorf("attests, with cancels %v", r.Word.Cancelled)
 			}
 			// An old form of the question, or none, is no question at all.
@@ -117,35 +117,35 @@
 // A cancel counts as told whether this node made it, passed it on, read it, or
 // does not know yet what became of it.
 func TestEveryCancelToldIsRemembered(t *testing.T) {
-	s, nodes, l, _ := connectedCluster(t)
-	since := l.syncedRevision()
-	named := func(n *Service) []string {
-		uids, whole := n.users.Cancels.Since(since, n.store.FirstRevision())
+	cluster, nodes, leader, _ := connectedCluster(t)
+	since := leader.syncedRevision()
+	named := func(node *Service) []string {
+		uids, whole := node.users.Cancels.Since(since, node.store.FirstRevision())
 		if !whole {
-			t.Fatalf("%s can't vouch", n.cfg.Node)
+			t.Fatalf("%s can't vouch", node.cfg.Node)
 		}
 		return uids
 	}
-	s.cancelJob(nodes[1], "j-1")
+	cluster.cancelJob(nodes[1], "j-1")
 	if got := named(nodes[1]); len(got) != 1 || got[0] != "j-1" {
 		t.Errorf("made: %v", got)
 	}
-	s.checkStatus(nodes[2], "j-1", wire.JobCancelled)
+	cluster.checkStatus(nodes[2], "j-1", wire.JobCancelled)
 	if got := named(nodes[2]); len(got) != 1 || got[0] != "j-1" {
 		t.Errorf("read: %v", got)
 	}
-	s.submit(nodes[1], jobSpec("j-3", nil))
-	s.state.Refuse(nodes[0].cfg.Node, true)
+	cluster.submit(nodes[1], jobSpec("j-3", nil))
+	cluster.state.Refuse(nodes[0].cfg.Node, true)
 	for nodes[0].store.Failing() == false {
 		nodes[0].store.Refused(t.Context(), 1_000_000)
 	}
-	s.cancelJob(nodes[0], "j-3") // passed on
+	cluster.cancelJob(nodes[0], "j-3") // passed on
 	if got := named(nodes[0]); len(got) != 1 || got[0] != "j-3" || nodes[0].users.Cancels.Epoch("j-3") == 0 {
 		t.Errorf("passed on: %v, of epoch %d", got, nodes[0].users.Cancels.Epoch("j-3"))
 	}
 	// The answer to the change is lost, and it may be done any time.
-	s.state.DelayNext()
-	if code, _, _ := s.ask(nodes[1], http.MethodPost, wire.PathJobs+"/j-2/abort", nil); code != http.StatusServiceUnavailable {
+	cluster.state.DelayNext()
+	if code, _, _ := cluster.ask(nodes[1], http.MethodPost, wire.PathJobs+"/j-2/abort", nil); code != http.StatusServiceUnavailable {
 		t.Fatalf("an abort of unknown outcome: %d", code)
 	}
 	// j-3 may be there, too: it was asked of both other nodes, and one of them did it.
@@ -158,101 +158,101 @@
 // controllers: its task is stopped directly before any change could be read.
 // Lost, repeated or untrue, the hint harms nothing.
 func TestHintStopsAtOnce(t *testing.T) {
-	s, nodes, l, w := connectedCluster(t)
+	cluster, nodes, leader, worker := connectedCluster(t)
 	nodes[1].elector = nodes[0].elector // knows who leads
-	s.state.Refuse(nodes[0].cfg.Node, true)
-	s.cancelJob(nodes[1], "j-1")
-	for len(w.Live()) != 1 {
+	cluster.state.Refuse(nodes[0].cfg.Node, true)
+	cluster.cancelJob(nodes[1], "j-1")
+	for len(worker.Live()) != 1 {
 		runtime.Gosched()
 	}
-	if got := w.Live(); got[0] != "j-2/0" {
+	if got := worker.Live(); got[0] != "j-2/0" {
 		t.Fatalf("running %v", got)
 	}
-	s.state.Refuse(nodes[0].cfg.Node, false)
+	cluster.state.Refuse(nodes[0].cfg.Node, false)
 	// Repeated, of a job that is not known, and of one that was not cancelled.
 	nodes[0].answerPeer(t.Context(), peer.Ask{Cancelled: []string{"j-1", "j-99", "j-2"}})
-	for len(w.Live()) != 0 {
-		l.dispatch(t.Context()) // as the loop does when the command before has landed
+	for len(worker.Live()) != 0 {
+		leader.dispatch(t.Context()) // as the loop does when the command before has landed
 		runtime.Gosched()
 	}
-	s.advance(time.Second)
-	heartbeat(t, l, w)
-	s.settle(l)
-	if got := w.Starts(); len(got) != 2 {
+	cluster.advance(time.Second)
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
+	if got := worker.Starts(); len(got) != 2 {
 		t.Fatalf("started %v before the state service was asked", got)
 	}
-	s.resync(l)
-	heartbeat(t, l, w)
-	s.settle(l)
-	heartbeat(t, l, w)
-	if got := w.Live(); len(got) != 1 || got[0] != "j-2/0" {
+	cluster.resync(leader)
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
+	heartbeat(t, leader, worker)
+	if got := worker.Live(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Errorf("running %v, want the job that was not cancelled", got)
 	}
-	s.checkStatus(nodes[2], "j-2", wire.JobQueued)
+	cluster.checkStatus(nodes[2], "j-2", wire.JobQueued)
 }
 
 // After a spell in which changes may have been missed, no run goes out before
 // they have been read, not even one that was recorded before the spell.
 func TestNoRunOnOldKnowledge(t *testing.T) {
-	spells := map[string]func(s *testCluster, n *Service, l *leader){
-		"refused alone": func(s *testCluster, n *Service, _ *leader) {
-			s.state.Refuse(n.cfg.Node, true)
-			s.advance(3 * time.Second)
-			s.state.Refuse(n.cfg.Node, false)
+	spells := map[string]func(cluster *testCluster, node *Service, leader *leader){
+		"refused alone": func(cluster *testCluster, node *Service, _ *leader) {
+			cluster.state.Refuse(node.cfg.Node, true)
+			cluster.advance(3 * time.Second)
+			cluster.state.Refuse(node.cfg.Node, false)
 		},
-		"stood still": func(s *testCluster, _ *Service, l *leader) {
-			s.clock.Advance(4 * time.Second)
-			l.checkPause()
+		"stood still": func(cluster *testCluster, _ *Service, leader *leader) {
+			cluster.clock.Advance(4 * time.Second)
+			leader.checkPause()
 		},
 	}
 	for name, spell := range spells {
 		t.Run(name, func(t *testing.T) {
-			s := newTestCluster(t)
-			n, other := s.node(nil), s.node(nil)
-			l, _ := s.elect(n)
-			w := s.worker("n-1", "x", true)
-			heartbeat(t, l, w)
-			l.checkPause()
-			s.submit(n, jobSpec("j-1", nil))
-			s.resync(l)
-			l.mu.Lock()
-			l.runPlan(l.clock.Now())
-			write := l.buildTransaction()
-			l.mu.Unlock()
-			if !l.commit(t.Context(), write) { // recorded, not sent yet
+			cluster := newTestCluster(t)
+			node, other := cluster.node(nil), cluster.node(nil)
+			leader, _ := cluster.elect(node)
+			worker := cluster.worker("n-1", "x", true)
+			heartbeat(t, leader, worker)
+			leader.checkPause()
+			cluster.submit(node, jobSpec("j-1", nil))
+			cluster.resync(leader)
+			leader.mu.Lock()
+			leader.runPlan(leader.clock.Now())
+			transaction := leader.buildTransaction()
+			leader.mu.Unlock()
+			if !leader.commit(t.Context(), transaction) { // recorded, not sent yet
 				t.Fatal("not recorded")
 			}
-			s.cancelJob(other, "j-1")
-			spell(s, n, l)
-			s.advance(2 * time.Second)
-			if _, may := n.elector.HoldsLease(); !may {
+			cluster.cancelJob(other, "j-1")
+			spell(cluster, node, leader)
+			cluster.advance(2 * time.Second)
+			if _, may := node.elector.HoldsLease(); !may {
 				t.Fatal("the lead was lost")
 			}
-			l.mu.Lock()
-			scope := l.commandScope()
-			l.mu.Unlock()
+			leader.mu.Lock()
+			scope := leader.commandScope()
+			leader.mu.Unlock()
 			if scope != fleet.NoRuns {
 				t.Fatalf("scope %v, want no runs", scope)
 			}
-			heartbeat(t, l, w)
-			l.dispatch(t.Context())
-			if got := w.Starts(); len(got) != 0 {
+			heartbeat(t, leader, worker)
+			leader.dispatch(t.Context())
+			if got := worker.Starts(); len(got) != 0 {
 				t.Fatalf("started %v, which was cancelled", got)
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
-			go func() { defer close(done); l.watchJobs(ctx, l.syncedRevision()) }()
+			go func() { defer close(done); leader.watchJobs(ctx, leader.syncedRevision()) }()
 			for scope != fleet.AllCommands { // it reads at once, and without waiting
-				l.mu.Lock()
-				scope = l.commandScope()
-				l.mu.Unlock()
+				leader.mu.Lock()
+				scope = leader.commandScope()
+				leader.mu.Unlock()
 				runtime.Gosched()
 			}
 			cancel()
 			<-done
-			heartbeat(t, l, w)
-			s.settle(l)
-			if got := w.Starts(); len(got) != 0 {
+			heartbeat(t, leader, worker)
+			cluster.settle(leader)
+			if got := worker.Starts(); len(got) != 0 {
 				t.Errorf("started %v, which was cancelled", got)
 			}
 		})
@@ -262,23 +262,23 @@
 // A cancel that the leader knows, of a task whose machine could not be told, stops
 // it also when the machine reports only in an outage that all attest.
 func TestKnownCancelStopsInAnOutage(t *testing.T) {
-	s, nodes, l, w := connectedCluster(t)
-	w.Unreachable(true)
-	s.cancelJob(nodes[1], "j-1")
-	s.resync(l)
-	s.settle(l)
-	s.state.Refuse("", true)
-	s.advance(8 * time.Second)
+	cluster, nodes, leader, worker := connectedCluster(t)
+	worker.Unreachable(true)
+	cluster.cancelJob(nodes[1], "j-1")
+	cluster.resync(leader)
+	cluster.settle(leader)
+	cluster.state.Refuse("", true)
+	cluster.advance(8 * time.Second)
 	if _, may := nodes[0].elector.HoldsLease(); may {
 		t.Fatal("the leader still has its lease")
 	}
-	heartbeat(t, l, w)
-	if got := w.Live(); len(got) != 1 || got[0] != "j-2/0" {
+	heartbeat(t, leader, worker)
+	if got := worker.Live(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Errorf("running %v after the attested leader answered, want j-2/0 alone", got)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if allocation := l.jobs.Get("j-1").Tasks[0].Allocation; allocation == nil || allocation.Ended {
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	if allocation := leader.jobs.Get("j-1").Tasks[0].Allocation; allocation == nil || allocation.Ended {
 		t.Error("freed without a proof")
 	}
 }
--- a/cancellation_test.go
+++ b/cancellation_test.go
@@ -19,41 +19,41 @@
 
 // A cancel accepted elsewhere, unseen by the leader, still keeps it from placing.
 func TestCancelWinsOverPlacement(t *testing.T) {
-	s := newTestCluster(t)
-	a, b := s.node(nil), s.node(nil)
-	l, _ := s.elect(a)
-	w := s.worker("n-1", "x", true)
-	heartbeat(t, l, w)
-	s.submit(b, jobSpec("j-1", nil))
-	s.resync(l)
-	if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || v.Status != wire.JobCancelled {
-		t.Fatalf("abort: %d %+v", code, v)
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	leader, _ := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
+	cluster.submit(nodeB, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || status.Status != wire.JobCancelled {
+		t.Fatalf("abort: %d %+v", code, status)
 	}
-	s.settle(l)
-	heartbeat(t, l, w)
-	s.settle(l)
-	if got := w.Starts(); len(got) != 0 {
+	cluster.settle(leader)
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
+	if got := worker.Starts(); len(got) != 0 {
 		t.Fatalf("started after the cancel: %v", got)
 	}
-	if _, v, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobCancelled {
-		t.Fatalf("state %+v", v)
+	if _, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobCancelled {
+		t.Fatalf("state %+v", status)
 	}
 }
 
 func TestCancelStopsRunningTasks(t *testing.T) {
-	s, n, l, w := clusterWithWorker(t)
-	s.submit(n, jobSpec("j-1", nil))
-	s.resync(l)
-	s.settle(l)
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
+	cluster, node, leader, worker := clusterWithWorker(t)
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
-	s.resync(l)
-	s.settle(l)
-	if got := w.Live(); len(got) != 0 {
+	cluster.resync(leader)
+	cluster.settle(leader)
+	if got := worker.Live(); len(got) != 0 {
 		t.Fatalf("still on the machine: %v", got)
 	}
-	if keys := s.state.Keys(store.PrefixAttempts); len(keys) != 0 {
+	if keys := cluster.state.Keys(store.PrefixAttempts); len(keys) != 0 {
 		t.Errorf("records left: %v", keys)
 	}
 }
@@ -62,23 +62,23 @@
 // repeat it at other nodes and cancel at once. Whoever is told that the job is
 // cancelled is told nothing else from then on, and it never runs.
 func TestCancelledAtOnceWhileAnswersAreSlow(t *testing.T) {
-	s := newTestCluster(t)
-	nodes := []*Service{s.node(nil), s.node(nil), s.node(nil)}
-	l, _ := s.elect(nodes[0])
-	w := s.worker("n-1", "x", true)
-	heartbeat(t, l, w)
+	cluster := newTestCluster(t)
+	nodes := []*Service{cluster.node(nil), cluster.node(nil), cluster.node(nil)}
+	leader, _ := cluster.elect(nodes[0])
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
 	for k := range 8 {
 		uid := fmt.Sprintf("j-%d", k)
-		release := s.state.Stall()
+		release := cluster.state.Stall()
 		var wg sync.WaitGroup
-		for _, n := range nodes {
-			wg.Go(func() { s.ask(n, http.MethodPost, wire.PathJobs, jobSpec(uid, nil)) })
+		for _, node := range nodes {
+			wg.Go(func() { cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec(uid, nil)) })
 			wg.Go(func() {
-				code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
-				if code == http.StatusOK && v.Status == wire.JobCancelled {
-					s.checkAnswers("told to be cancelled", s.askEverywhere(nodes, uid, true), wire.JobCancelled, "503")
+				code, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
+				if code == http.StatusOK && status.Status == wire.JobCancelled {
+					cluster.checkAnswers("told to be cancelled", cluster.askEverywhere(nodes, uid, true), wire.JobCancelled, "503")
 				} else if code != http.StatusNotFound {
-					t.Errorf("abort: %d %+v", code, v)
+					t.Errorf("abort: %d %+v", code, status)
 				}
 			})
 		}
@@ -87,14 +87,14 @@
 		}
 		release()
 		wg.Wait()
-		if _, v, _ := s.ask(nodes[k%3], http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
-			t.Fatalf("abort: %+v", v)
+		if _, status, _ := cluster.ask(nodes[k%3], http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
+			t.Fatalf("abort: %+v", status)
 		}
-		s.checkAnswers("cancelled", s.askEverywhere(nodes, uid, true), wire.JobCancelled)
+		cluster.checkAnswers("cancelled", cluster.askEverywhere(nodes, uid, true), wire.JobCancelled)
 	}
-	s.resync(l)
-	s.settle(l)
-	if got := w.Starts(); len(got) != 0 {
+	cluster.resync(leader)
+	cluster.settle(leader)
+	if got := worker.Starts(); len(got) != 0 {
 		t.Errorf("started %v", got)
 	}
 }
@@ -104,22 +104,22 @@
 func TestCancelMeetsTheEndOfTheLastTask(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
 		for _, first := range []string{"cancel", "end", "end between the cancel's reading and writing"} {
-			s := newTestCluster(t)
-			nodes := []*Service{s.node(nil), s.node(nil)}
-			l, _ := s.elect(nodes[0])
-			w := s.worker("n-1", "x", true)
-			heartbeat(t, l, w)
-			s.submit(nodes[1], jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks = pieces }))
-			s.resync(l)
-			s.settle(l)
-			for _, p := range w.Live() {
-				w.End(p, wire.CauseDone)
+			cluster := newTestCluster(t)
+			nodes := []*Service{cluster.node(nil), cluster.node(nil)}
+			leader, _ := cluster.elect(nodes[0])
+			worker := cluster.worker("n-1", "x", true)
+			heartbeat(t, leader, worker)
+			cluster.submit(nodes[1], jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = pieces }))
+			cluster.resync(leader)
+			cluster.settle(leader)
+			for _, p := range worker.Live() {
+				worker.End(p, wire.CauseDone)
 			}
-			heartbeat(t, l, w)
-			l.mu.Lock()
-			wr := l.buildTransaction() // about to be recorded
-			l.mu.Unlock()
-			if wr == nil || len(wr.Finished()) != 1 {
+			heartbeat(t, leader, worker)
+			leader.mu.Lock()
+			transaction := leader.buildTransaction() // about to be recorded
+			leader.mu.Unlock()
+			if transaction == nil || len(transaction.Finished()) != 1 {
 				t.Fatal("the end is not to be recorded")
 			}
 			want, other := wire.JobCancelled, wire.JobDone
@@ -128,28 +128,28 @@
 			}
 			switch first {
 			case "end":
-				l.commit(t.Context(), wr)
+				leader.commit(t.Context(), transaction)
 			case "cancel":
 			default:
 				once := false
-				s.state.Before(func(path string) {
+				cluster.state.Before(func(path string) {
 					if path == wire.PathCommit && !once {
 						once = true
-						l.commit(t.Context(), wr)
+						leader.commit(t.Context(), transaction)
 					}
 				})
 			}
-			if _, v, _ := s.ask(nodes[1], http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); v.Status != want {
-				t.Errorf("%s first: the cancel is answered %q", first, v.Status)
+			if _, status, _ := cluster.ask(nodes[1], http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); status.Status != want {
+				t.Errorf("%s first: the cancel is answered %q", first, status.Status)
 			}
 			if first == "cancel" {
-				l.commit(t.Context(), wr)
+				leader.commit(t.Context(), transaction)
 			}
-			s.checkAnswers(first+" first", s.askEverywhere(nodes, "j-1", true), want)
-			s.resync(l)
-			s.settle(l)
-			s.checkAnswers(first+" first, not "+other, s.askEverywhere(append(nodes, s.node(nil)), "j-1", true), want)
-			if left := append(s.state.Keys(store.PrefixAttempts), s.state.Keys(store.PrefixJob)...); len(left) != 0 {
+			cluster.checkAnswers(first+" first", cluster.askEverywhere(nodes, "j-1", true), want)
+			cluster.resync(leader)
+			cluster.settle(leader)
+			cluster.checkAnswers(first+" first, not "+other, cluster.askEverywhere(append(nodes, cluster.node(nil)), "j-1", true), want)
+			if left := append(cluster.state.Keys(store.PrefixAttempts), cluster.state.Keys(store.PrefixJob)...); len(left) != 0 {
 				t.Errorf("%s first: left %v", first, left)
 			}
 		}
@@ -164,29 +164,29 @@
 	for _, pieces := range []int{1, 2} {
 		for _, moment := range []string{"before", "starts=j", "starts=p", "starts=s", "catalog", "demand", "watch"} {
 			t.Run(fmt.Sprintf("%d tasks, %s", pieces, moment), func(t *testing.T) {
-				s := newTestCluster(t)
-				a, b, c := s.node(withTeamLimit(8)), s.node(withTeamLimit(8)), s.node(withTeamLimit(8))
-				l, stop := s.elect(a)
-				w := s.worker("n-1", "x", true)
-				heartbeat(t, l, w)
+				cluster := newTestCluster(t)
+				nodeA, nodeB, nodeC := cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(8))
+				leader, stop := cluster.elect(nodeA)
+				worker := cluster.worker("n-1", "x", true)
+				heartbeat(t, leader, worker)
 				for _, uid := range []string{"j-1", "j-2"} {
-					s.submit(a, jobSpec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 4/float64(pieces) }))
+					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 4/float64(pieces) }))
 				}
-				s.submit(a, jobSpec("j-3", func(sp *wire.Spec) { sp.Cores = 4 }))
-				s.resync(l)
-				s.settle(l)
+				cluster.submit(nodeA, jobSpec("j-3", func(spec *wire.Spec) { spec.Cores = 4 }))
+				cluster.resync(leader)
+				cluster.settle(leader)
 				stop()
 				cancelled := false
 				cancel := func() {
-					if code, v, _ := s.ask(c, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
-						t.Errorf("abort: %d %+v", code, v)
+					if code, status, _ := cluster.ask(nodeC, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+						t.Errorf("abort: %d %+v", code, status)
 					}
 					cancelled = true
 				}
 				if moment == "before" {
 					cancel()
 				} else {
-					s.state.Before(func(path string) {
+					cluster.state.Before(func(path string) {
 						// Just before this read of the load is carried out.
 						if !cancelled && strings.Contains(path, moment) {
 							cancel()
@@ -194,51 +194,51 @@
 					})
 				}
 				ctx, end := context.WithCancel(t.Context())
-				r := s.acquireTerm(b)
-				l = newLeader(b, r)
-				l.ctx = ctx
-				epoch, err := l.loadRecords(ctx)
+				term := cluster.acquireTerm(nodeB)
+				leader = newLeader(nodeB, term)
+				leader.ctx = ctx
+				epoch, err := leader.loadRecords(ctx)
 				if err != nil {
 					t.Fatal(err)
 				}
-				l.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: s.cloud.Builds})
+				leader.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: cluster.cloud.Builds})
 				if cancelled == (moment == "watch") {
 					t.Fatalf("cancelled by the end of the load: %t", cancelled)
 				}
-				s.state.Before(nil)
+				cluster.state.Before(nil)
 				if !cancelled {
 					cancel()
 				}
-				heartbeat(t, l, w)
-				l.mu.Lock()
-				if used := l.fleet.Machine("n-1").UsedCores; used != 8 && len(w.Live()) == 2*pieces {
-					t.Errorf("%v cores in use while %v are there", used, w.Live())
+				heartbeat(t, leader, worker)
+				leader.mu.Lock()
+				if used := leader.fleet.Machine("n-1").UsedCores; used != 8 && len(worker.Live()) == 2*pieces {
+					t.Errorf("%v cores in use while %v are there", used, worker.Live())
 				}
-				l.mu.Unlock()
+				leader.mu.Unlock()
 				watching := make(chan struct{})
-				go func() { defer close(watching); l.watchJobs(ctx, epoch) }()
+				go func() { defer close(watching); leader.watchJobs(ctx, epoch) }()
 				for known := false; !known; runtime.Gosched() {
-					l.mu.Lock()
-					job := l.jobs.Get("j-2")
+					leader.mu.Lock()
+					job := leader.jobs.Get("j-2")
 					known = job == nil || job.Cancelled
-					l.mu.Unlock()
+					leader.mu.Unlock()
 				}
 				end()
 				<-watching
 				for range 3 {
-					s.settle(l)
-					heartbeat(t, l, w)
+					cluster.settle(leader)
+					heartbeat(t, leader, worker)
 				}
-				for _, p := range w.Live() {
+				for _, p := range worker.Live() {
 					if strings.HasPrefix(p, "j-2/") {
 						t.Errorf("%s goes on", p)
 					}
 				}
-				ws := []*standin.Worker{w}
-				if startCount(ws, "j-1") != pieces || startCount(ws, "j-2") != pieces || startCount(ws, "j-3") != 1 {
-					t.Errorf("starts %v", w.Starts())
+				workers := []*standin.Worker{worker}
+				if startCount(workers, "j-1") != pieces || startCount(workers, "j-2") != pieces || startCount(workers, "j-3") != 1 {
+					t.Errorf("starts %v", worker.Starts())
 				}
-				if left := s.state.Keys(store.PrefixAttempts + "j-2"); len(left) != 0 {
+				if left := cluster.state.Keys(store.PrefixAttempts + "j-2"); len(left) != 0 {
 					t.Errorf("records left: %v", left)
 				}
 			})
@@ -251,90 +251,90 @@
 // users nothing and answers no worker once another can act, a command of it that was
 // under way is void, and the task is stopped by the new leader.
 func TestCutLeaderWhileJobsAreCancelledThroughTheNewOne(t *testing.T) {
-	s := newTestCluster(t)
-	a, b := s.node(nil), s.node(nil)
-	a.attestationLinks["node-2"], a.relayLinks["node-2"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
-	a.users.Relay = a.relay
-	ga, _ := s.elect(a)
-	w := s.worker("n-1", "x", true)
-	heartbeat(t, ga, w)
-	s.submit(a, jobSpec("j-1", nil))
-	s.submit(a, jobSpec("j-2", nil))
-	s.resync(ga)
-	w.KeepNext()
-	s.settle(ga) // the runs are on their way
-	s.state.Refuse(a.cfg.Node, true)
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	nodeA.attestationLinks["node-2"], nodeA.relayLinks["node-2"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
+	nodeA.users.Relay = nodeA.relay
+	oldLeader, _ := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, oldLeader, worker)
+	cluster.submit(nodeA, jobSpec("j-1", nil))
+	cluster.submit(nodeA, jobSpec("j-2", nil))
+	cluster.resync(oldLeader)
+	worker.KeepNext()
+	cluster.settle(oldLeader) // the runs are on their way
+	cluster.state.Refuse(nodeA.cfg.Node, true)
 	for range 8 {
-		s.advance(time.Second)
-		rep := w.Report()
-		if ans, ok := ga.Heartbeat(&rep); ok {
-			if !s.state.Value(store.KeyLead, nil) {
+		cluster.advance(time.Second)
+		report := worker.Report()
+		if response, ok := oldLeader.Heartbeat(&report); ok {
+			if !cluster.state.Value(store.KeyLead, nil) {
 				t.Fatal("answers a heartbeat while another may lead")
 			}
-			w.Take(ans)
+			worker.Take(response)
 		}
 	}
-	gb, _ := s.elect(b)
-	if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
-		t.Fatalf("abort: %d %+v", code, v)
+	newLeader, _ := cluster.elect(nodeB)
+	if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+		t.Fatalf("abort: %d %+v", code, status)
 	}
-	s.resync(gb)
-	s.checkAnswers("asked at the cut node", s.askEverywhere([]*Service{a}, "j-1", true), "503")
-	s.settle(ga)
-	if rep := w.Report(); func() bool { _, ok := ga.Heartbeat(&rep); return ok }() {
+	cluster.resync(newLeader)
+	cluster.checkAnswers("asked at the cut node", cluster.askEverywhere([]*Service{nodeA}, "j-1", true), "503")
+	cluster.settle(oldLeader)
+	if report := worker.Report(); func() bool { _, ok := oldLeader.Heartbeat(&report); return ok }() {
 		t.Error("the cut leader still answers heartbeats")
 	}
 	for range 3 {
-		heartbeat(t, gb, w)
-		s.settle(gb)
+		heartbeat(t, newLeader, worker)
+		cluster.settle(newLeader)
 	}
-	w.Deliver()
-	heartbeat(t, gb, w)
-	s.settle(gb)
-	if got := w.Live(); !slices.Equal(got, []string{"j-2/0"}) {
+	worker.Deliver()
+	heartbeat(t, newLeader, worker)
+	cluster.settle(newLeader)
+	if got := worker.Live(); !slices.Equal(got, []string{"j-2/0"}) {
 		t.Errorf("on the machine %v, want the job that was not cancelled", got)
 	}
-	if got := startCount([]*standin.Worker{w}, "j-2"); got != 1 {
-		t.Errorf("starts %v", w.Starts())
+	if got := startCount([]*standin.Worker{worker}, "j-2"); got != 1 {
+		t.Errorf("starts %v", worker.Starts())
 	}
 }
 
 // A cancelled job's attempt stays on record until nothing of it can be anywhere,
 // whichever jobs share the record, and under the next leader too.
 func TestCancelInASharedRecord(t *testing.T) {
-	s := newTestCluster(t)
-	a, b := s.node(nil), s.node(nil)
-	l, stop := s.elect(a)
-	w := s.worker("n-1", "x", true)
-	heartbeat(t, l, w)
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	leader, stop := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
 	for _, uid := range []string{"j-1", "j-2", "j-3"} {
-		s.submit(a, jobSpec(uid, func(sp *wire.Spec) { sp.Cores = 2 }))
+		cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Cores = 2 }))
 	}
-	s.resync(l)
-	s.settle(l)
-	if got := w.Live(); len(got) != 3 {
+	cluster.resync(leader)
+	cluster.settle(leader)
+	if got := worker.Live(); len(got) != 3 {
 		t.Fatalf("on the machine: %v", got)
 	}
-	w.Unreachable(true)
-	if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK {
+	worker.Unreachable(true)
+	if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
 	stop()
-	l, _ = s.elect(b)
-	l.mu.Lock()
-	if c := l.fleet.Machine("n-1").UsedCores; c != 6 {
+	leader, _ = cluster.elect(nodeB)
+	leader.mu.Lock()
+	if c := leader.fleet.Machine("n-1").UsedCores; c != 6 {
 		t.Errorf("%v cores in use, want 6: the cancelled task may still run", c)
 	}
-	l.mu.Unlock()
-	w.Unreachable(false)
+	leader.mu.Unlock()
+	worker.Unreachable(false)
 	for range 3 {
-		heartbeat(t, l, w)
-		s.settle(l)
+		heartbeat(t, leader, worker)
+		cluster.settle(leader)
 	}
-	if got := w.Live(); len(got) != 2 {
+	if got := worker.Live(); len(got) != 2 {
 		t.Errorf("on the machine: %v, want the two that were not cancelled", got)
 	}
-	if got := w.Starts(); len(got) != 3 {
+	if got := worker.Starts(); len(got) != 3 {
 		t.Errorf("started %v", got)
 	}
 }
--- a/fleet_of_four_thousand_test.go
+++ b/fleet_of_four_thousand_test.go
@@ -10,26 +10,26 @@
 // and every job is served.
 func TestFourThousandMachines(t *testing.T) {
 	t.Parallel()
-	s := schedule{seed: 1, duration: seconds(100), firstLeader: 1, maxMachines: maxSimulatedFleet, submissions: largeFleetSubmissions(),
+	schedule := faultSchedule{seed: 1, duration: seconds(100), firstLeader: 1, maxMachines: maxSimulatedFleet, submissions: largeFleetSubmissions(),
 		timing: workerTiming{report: 6 * time.Second, lease: 24 * time.Second, cancel: 60 * time.Second}}
-	s.submissions[0].cancelAfter = seconds(60) // in the outage, or right after it
-	s.faults = []fault{
+	schedule.submissions[0].cancelAfter = seconds(60) // in the outage, or right after it
+	schedule.faults = []scheduledFault{
 		{kind: controllerKilled, at: seconds(32), duration: seconds(1), controller: 3},
 		{kind: stateRefusesAll, at: seconds(50), duration: seconds(12)},
 		{kind: zoneIsolated, at: seconds(70), duration: seconds(30), machine: 0},
 	}
-	s.setup = func(w *simulation) {
-		w.rentSmallMachinesOnly()
-		w.runAt(30, func() {
-			if n := w.bootedMachines(); n < simulatedFleet {
+	schedule.setup = func(sim *simulation) {
+		sim.rentSmallMachinesOnly()
+		sim.runAt(30, func() {
+			if n := sim.bootedMachines(); n < simulatedFleet {
 				t.Errorf("%d machines are up before the troubles, want %d", n, simulatedFleet)
 			}
 		})
-		w.runAt(69, func() { w.checkLargeServices("before the zone is lost") })
+		sim.runAt(69, func() { sim.checkLargeServices("before the zone is lost") })
 	}
-	playSchedule(t, s, func(w *simulation) {
-		w.checkLargeServices("at the end")
-		w.checkAllServed()
+	playSchedule(t, schedule, func(sim *simulation) {
+		sim.checkLargeServices("at the end")
+		sim.checkAllServed()
 	})
 }
 
@@ -38,45 +38,45 @@
 // asked for little more than the records.
 func TestTotalLossOfFourThousandMachines(t *testing.T) {
 	t.Parallel()
-	h := &eventLog{}
-	x := totalLoss{lossAtS: 40, outageS: 6, returning: 3}
-	s := schedule{seed: 1, duration: seconds(80), firstLeader: 1, maxMachines: maxSimulatedFleet, submissions: largeFleetSubmissions(), onEvent: h.record,
+	events := &eventLog{}
+	loss := totalLoss{lossAtS: 40, outageS: 6, returning: 3}
+	schedule := faultSchedule{seed: 1, duration: seconds(80), firstLeader: 1, maxMachines: maxSimulatedFleet, submissions: largeFleetSubmissions(), onEvent: events.record,
 		timing: workerTiming{report: 6 * time.Second, lease: 30 * time.Second, cancel: 60 * time.Second}}
 	for node := range 3 {
-		s.faults = append(s.faults, fault{kind: controllerKilled, at: seconds(x.lossAtS), duration: seconds(x.outageS + 0.2*float64(node)), controller: node})
+		schedule.faults = append(schedule.faults, scheduledFault{kind: controllerKilled, at: seconds(loss.lossAtS), duration: seconds(loss.outageS + 0.2*float64(node)), controller: node})
 	}
-	f := lossMeasurements{Scene: "four thousand machines, 3 back after 6.0 s"}
-	s.setup = func(w *simulation) {
-		w.rentSmallMachinesOnly()
-		told := w.cloud.Told
-		w.cloud.Told = func(what string) { told(what); h.recordCloud(what) }
-		w.runAt(x.lossAtS, func() {
-			if n := w.bootedMachines(); n < simulatedFleet {
+	measured := lossMeasurements{Scene: "four thousand machines, 3 back after 6.0 s"}
+	schedule.setup = func(sim *simulation) {
+		sim.rentSmallMachinesOnly()
+		told := sim.cloud.Told
+		sim.cloud.Told = func(what string) { told(what); events.recordCloud(what) }
+		sim.runAt(loss.lossAtS, func() {
+			if n := sim.bootedMachines(); n < simulatedFleet {
 				t.Errorf("%d machines are up before the loss, want %d", n, simulatedFleet)
 			}
 		})
-		w.wg.Go(func() { w.measureLoss(x, h, &f) })
+		sim.wg.Go(func() { sim.measureLoss(loss, events, &measured) })
 	}
-	var w *simulation
-	playSchedule(t, s, func(played *simulation) {
-		w = played
-		w.checkLargeServices("at the end")
-		w.checkAllServed()
+	var sim *simulation
+	playSchedule(t, schedule, func(played *simulation) {
+		sim = played
+		sim.checkLargeServices("at the end")
+		sim.checkAllServed()
 	})
-	lost := x.lostAt(w)
-	back := lost.Add(seconds(x.outageS))
-	f.Commands = h.count(back, back.Add(recoveryCheckTime))
-	for _, fault := range h.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return w.views[uid].cancelRequested }) {
+	lost := loss.lostAt(sim)
+	back := lost.Add(seconds(loss.outageS))
+	measured.Commands = events.count(back, back.Add(recoveryCheckTime))
+	for _, fault := range events.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return sim.views[uid].cancelRequested }) {
 		t.Error(fault)
 	}
-	if f.Commands.Rentals > 0 || f.Commands.Halts > 0 {
-		t.Errorf("%+v, want no rentals and no stops", f.Commands)
+	if measured.Commands.Rentals > 0 || measured.Commands.Halts > 0 {
+		t.Errorf("%+v, want no rentals and no stops", measured.Commands)
 	}
-	if f.AllGoingS == 0 || f.AllGoingS > allGoingWithin {
-		t.Errorf("all goes on %.2f s after the first return, want within %v s", f.AllGoingS, allGoingWithin)
+	if measured.AllGoingS == 0 || measured.AllGoingS > allGoingWithin {
+		t.Errorf("all goes on %.2f s after the first return, want within %v s", measured.AllGoingS, allGoingWithin)
 	}
-	t.Log(f)
-	if err := saveMeasurements(f); err != nil {
+	t.Log(measured)
+	if err := saveMeasurements(measured); err != nil {
 		t.Error(err)
 	}
 }
--- a/harness_checks_test.go
+++ b/harness_checks_test.go
@@ -33,14 +33,14 @@
 		time.Sleep(100 * time.Millisecond)
 		w.state.Keys("lead")
 		for uid, since := range w.overdueCancellations() {
-			for _, m := range w.hostsOf(uid) {
-				for _, p := range liveTasks(m, uid) {
+			for _, machine := range w.hostsOf(uid) {
+				for _, p := range liveTasks(machine, uid) {
 					w.mu.Lock()
 					told := w.reportedLate[p]
 					w.reportedLate[p] = true
 					w.mu.Unlock()
 					if !told {
-						w.recordViolation("ran_cancelled", "%s is on %s %v after its user was told that it is cancelled", p, m.Host.UID, time.Since(since))
+						w.recordViolation("ran_cancelled", "%s is on %s %v after its user was told that it is cancelled", p, machine.Host.UID, time.Since(since))
 					}
 				}
 			}
@@ -54,9 +54,9 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]time.Time{}
-	for uid, f := range w.views {
-		if f.cancelled && time.Since(f.cancelledAt) > w.schedule.timing.cancel {
-			out[uid] = f.cancelledAt
+	for uid, view := range w.views {
+		if view.cancelled && time.Since(view.cancelledAt) > w.schedule.timing.cancel {
+			out[uid] = view.cancelledAt
 		}
 	}
 	return out
@@ -65,30 +65,30 @@
 // describeLeaderState tells what the leader thinks of a job and the machines, to explain a
 // breach that was found without it.
 func (w *simulation) describeLeaderState(uid string) string {
-	p := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1))
-	if p == nil {
+	process := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1))
+	if process == nil {
 		return "nobody leads"
 	}
-	l := p.current.Load()
-	if l == nil {
+	leader := process.current.Load()
+	if leader == nil {
 		return "nobody leads"
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	sp, _ := w.Job(uid)
-	text := fmt.Sprintf("%+v; leader %s; ", sp, p.name)
-	if job := l.jobs.Get(uid); job == nil {
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	spec, _ := w.Job(uid)
+	text := fmt.Sprintf("%+v; leader %s; ", spec, process.name)
+	if job := leader.jobs.Get(uid); job == nil {
 		text += "job unknown; "
 	} else {
-		text += fmt.Sprintf("waiting %v of %d queued jobs; ", job.Waiting, l.jobs.WaitingLen())
+		text += fmt.Sprintf("waiting %v of %d queued jobs; ", job.Waiting, leader.jobs.WaitingLen())
 	}
-	rec, token := store.TokenRecord{}, uint64(0)
-	w.state.Value(store.KeyToken, &rec)
-	token, _ = l.elector.HoldsLease()
-	text += fmt.Sprintf("token %d, on record %d; ", token, rec.Token)
-	for _, machine := range l.fleet.Machines() {
+	record, token := store.TokenRecord{}, uint64(0)
+	w.state.Value(store.KeyToken, &record)
+	token, _ = leader.elector.HoldsLease()
+	text += fmt.Sprintf("token %d, on record %d; ", token, record.Token)
+	for _, machine := range leader.fleet.Machines() {
 		text += fmt.Sprintf("\n%s %s %s cores %v banned %q cordoned %v usable %v tally %d token %d unheard %d;", machine.Name, machine.Type, machine.Zone, machine.UsedCores, machine.QuarantineReason, machine.Cordoned,
-			planinput.Usable(machine, l.clock.Now()), machine.Sequence, machine.Token, machine.Unacknowledged)
+			planinput.Usable(machine, leader.clock.Now()), machine.Sequence, machine.Token, machine.Unacknowledged)
 		machine.EachAllocation(func(allocation *fleet.Allocation) {
 			text += fmt.Sprintf("\n  %v#%d %+v", allocation.Task, allocation.Attempt, *allocation)
 		})
@@ -98,12 +98,12 @@
 
 // checkFinalState looks at what is left when all has been quiet for a while.
 func (w *simulation) checkFinalState() {
-	for _, u := range w.schedule.submissions {
-		uid := u.spec.UID
+	for _, submission := range w.schedule.submissions {
+		uid := submission.spec.UID
 		w.mu.Lock()
-		f := *w.views[uid]
+		view := *w.views[uid]
 		w.mu.Unlock()
-		if !f.accepted {
+		if !view.accepted {
 			continue
 		}
 		for n := range 3 {
@@ -129,7 +129,7 @@
 	for p, why := range still {
 		uid, _, _ := strings.Cut(p, "/")
 		// Its user may have stopped asking before it was done.
-		if _, v := w.request(0, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); v.Status != wire.JobDone {
+		if _, status := w.request(0, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); status.Status != wire.JobDone {
 			w.recordViolation("waits", "%s waits %v: %s", p, why, w.describeLeaderState(uid))
 		}
 	}
@@ -150,50 +150,50 @@
 	used := map[string]float64{}
 	zones := map[string]map[string]int{} // of each job's tasks
 	all := w.cloud.Machines()
-	for _, m := range all {
-		for _, p := range m.Live() {
+	for _, machine := range all {
+		for _, p := range machine.Live() {
 			on[p] = true
 			uid, _, _ := strings.Cut(p, "/")
-			sp, _ := w.Job(uid)
-			used[sp.Team] += sp.Cores
+			spec, _ := w.Job(uid)
+			used[spec.Team] += spec.Cores
 			if zones[uid] == nil {
 				zones[uid] = map[string]int{}
 			}
-			zones[uid][m.Host.Zone]++
+			zones[uid][machine.Host.Zone]++
 		}
 	}
-	for _, u := range w.schedule.submissions {
-		sp := &u.spec
+	for _, submission := range w.schedule.submissions {
+		spec := &submission.spec
 		w.mu.Lock()
-		f := *w.views[sp.UID]
-		over := w.remainingTasks[sp.UID] == 0
+		view := *w.views[spec.UID]
+		over := w.remainingTasks[spec.UID] == 0
 		w.mu.Unlock()
-		if limit := w.teamLimit(sp.Team); !f.accepted || f.done || f.cancelled || f.cancelRequested || u.alwaysFails || limit > 0 && used[sp.Team]+sp.Cores > limit {
+		if limit := w.teamLimit(spec.Team); !view.accepted || view.done || view.cancelled || view.cancelRequested || submission.alwaysFails || limit > 0 && used[spec.Team]+spec.Cores > limit {
 			continue
 		}
-		for i := range sp.Tasks {
-			p := fmt.Sprintf("%s/%d", sp.UID, i)
+		for i := range spec.Tasks {
+			p := fmt.Sprintf("%s/%d", spec.UID, i)
 			w.mu.Lock()
 			done := w.doneTasks[p] && !over
 			w.mu.Unlock()
 			if done || on[p] {
 				continue
 			}
-			if (rent || (sp.SameZone || sp.Spread) && time.Since(f.lastProgress) > maxGangWait) && len(all) < w.cloud.Most {
+			if (rent || (spec.SameZone || spec.Spread) && time.Since(view.lastProgress) > maxGangWait) && len(all) < w.cloud.Most {
 				out[p] = append(out[p], "though the cloud rents machines")
 			}
-			for _, m := range all {
-				h := m.Host
+			for _, machine := range all {
+				host := machine.Host
 				w.mu.Lock()
-				faulty := w.failingMachines[m]
+				faulty := w.failingMachines[machine]
 				w.mu.Unlock()
-				z := zones[sp.UID]
-				if sp.SameZone && len(z) > 0 && z[h.Zone] == 0 || sp.Spread && z[h.Zone] >= (sp.Tasks+1)/2 {
+				z := zones[spec.UID]
+				if spec.SameZone && len(z) > 0 && z[host.Zone] == 0 || spec.Spread && z[host.Zone] >= (spec.Tasks+1)/2 {
 					continue
 				}
-				if !faulty && (sp.Zone == "" || sp.Zone == h.Zone) && (sp.MachineTypes == nil || slices.Contains(sp.MachineTypes, h.Type)) &&
-					(sp.Preemptible || !h.Preemptible) && m.Room(sp) {
-					out[p] = append(out[p], "while "+h.UID+" has room")
+				if !faulty && (spec.Zone == "" || spec.Zone == host.Zone) && (spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, host.Type)) &&
+					(spec.Preemptible || !host.Preemptible) && machine.Room(spec) {
+					out[p] = append(out[p], "while "+host.UID+" has room")
 				}
 			}
 		}
@@ -204,21 +204,21 @@
 // checkAllServed fails the test unless every batch job is done and all replicas run, but
 // for what was cancelled.
 func (w *simulation) checkAllServed() {
-	for _, u := range w.schedule.submissions {
+	for _, submission := range w.schedule.submissions {
 		w.mu.Lock()
-		f := *w.views[u.spec.UID]
+		view := *w.views[submission.spec.UID]
 		w.mu.Unlock()
 		running := 0
-		for _, n := range w.tasksByZone(u.spec.UID) {
+		for _, n := range w.tasksByZone(submission.spec.UID) {
 			running += n
 		}
 		switch {
-		case f.cancelled && running > 0:
-			w.t.Errorf("%s is cancelled, and %d tasks run", u.spec.UID, running)
-		case !f.cancelled && u.spec.Kind == wire.KindBatch && !f.done:
-			w.t.Errorf("%s is not done", u.spec.UID)
-		case !f.cancelled && u.spec.Kind == wire.KindService && running != u.spec.Tasks:
-			w.t.Errorf("%s has %d replicas, want %d", u.spec.UID, running, u.spec.Tasks)
+		case view.cancelled && running > 0:
+			w.t.Errorf("%s is cancelled, and %d tasks run", submission.spec.UID, running)
+		case !view.cancelled && submission.spec.Kind == wire.KindBatch && !view.done:
+			w.t.Errorf("%s is not done", submission.spec.UID)
+		case !view.cancelled && submission.spec.Kind == wire.KindService && running != submission.spec.Tasks:
+			w.t.Errorf("%s has %d replicas, want %d", submission.spec.UID, running, submission.spec.Tasks)
 		}
 	}
 }
@@ -231,6 +231,6 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	f := w.views[uid]
-	return f.accepted && !f.cancelRequested && !f.done && w.remainingTasks[uid] > running
+	view := w.views[uid]
+	return view.accepted && !view.cancelRequested && !view.done && w.remainingTasks[uid] > running
 }
--- a/harness_controllers_test.go
+++ b/harness_controllers_test.go
@@ -19,21 +19,21 @@
 	"cedardoor/wire"
 )
 
-// process is one process of a controller.
-type process struct {
+// controllerProcess is one process of a controller.
+type controllerProcess struct {
 	*Service
-	name string
-	stop func()
+	name    string
+	stop    func()
 	stopped bool
 }
 
 // runningProcess gives the process that a controller runs, if any.
-func (w *simulation) runningProcess(name string) *process {
+func (w *simulation) runningProcess(name string) *controllerProcess {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, p := range w.processes {
-		if p.name == name && !p.stopped {
-			return p
+	for _, process := range w.processes {
+		if process.name == name && !process.stopped {
+			return process
 		}
 	}
 	return nil
@@ -42,8 +42,8 @@
 // leaderIndex is the place of the controller that leads, or 0.
 func (w *simulation) leaderIndex() int {
 	for i := range 3 {
-		if p := w.runningProcess(fmt.Sprintf("node-%d", i+1)); p != nil {
-			if _, ok := p.elector.HoldsLease(); ok {
+		if process := w.runningProcess(fmt.Sprintf("node-%d", i+1)); process != nil {
+			if _, ok := process.elector.HoldsLease(); ok {
 				return i
 			}
 		}
@@ -53,9 +53,9 @@
 
 // leaderToken is what the leader was given when it took the lead, or 0.
 func (w *simulation) leaderToken() uint64 {
-	if p := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1)); p != nil {
-		if l := p.current.Load(); l != nil {
-			return l.term.Token
+	if process := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1)); process != nil {
+		if leader := process.current.Load(); leader != nil {
+			return leader.term.Token
 		}
 	}
 	return 0
@@ -96,14 +96,14 @@
 	dialMutex.Lock()
 	realDial := link.Dial
 	link.Dial = w.network.Dialer(from)
-	n := newService(cfg, operator, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(standin.NewSteady()))
+	node := newService(cfg, operator, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(standin.NewSteady()))
 	link.Dial = realDial
 	dialMutex.Unlock()
 	if w.schedule.newLedger != nil {
-		n.newLedger = w.schedule.newLedger
+		node.newLedger = w.schedule.newLedger
 	}
 	if w.schedule.alterRecords != nil {
-		n.readRecords = func(ctx context.Context, source recovery.Source) (*recovery.Records, error) {
+		node.readRecords = func(ctx context.Context, source recovery.Source) (*recovery.Records, error) {
 			records, err := recovery.Read(ctx, source)
 			if err == nil {
 				w.schedule.alterRecords(records)
@@ -111,20 +111,20 @@
 			return records, err
 		}
 	}
-	n.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(n, func() bool { return false }))
+	node.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(node, func() bool { return false }))
 	ctx, cancel := context.WithCancel(w.ctx)
-	p := &process{Service: n, name: name}
-	p.stop = func() {
+	process := &controllerProcess{Service: node, name: name}
+	process.stop = func() {
 		w.mu.Lock()
-		p.stopped = true
+		process.stopped = true
 		w.mu.Unlock()
 		w.network.SetCut(from, "", true) // it says nothing more, also no farewell
 		cancel()
 	}
 	back := w.network.Listen(cfg.Back)
-	w.wg.Go(func() { peer.Serve(ctx, back, n.answerPeer, n.log) })
-	w.wg.Go(func() { n.elector.Run(ctx, n.serveTerm) })
+	w.wg.Go(func() { peer.Serve(ctx, back, node.answerPeer, node.log) })
+	w.wg.Go(func() { node.elector.Run(ctx, node.serveTerm) })
 	w.mu.Lock()
-	w.processes = append(w.processes, p)
+	w.processes = append(w.processes, process)
 	w.mu.Unlock()
 }
--- a/harness_faults_test.go
+++ b/harness_faults_test.go
@@ -10,35 +10,35 @@
 )
 
 // activeFault gives a trouble of a kind that goes on now.
-func (w *simulation) activeFault(kind string) (fault, bool) {
+func (w *simulation) activeFault(kind string) (scheduledFault, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, x := range w.activeFaults {
-		if x.kind == kind {
-			return x, true
+	for _, fault := range w.activeFaults {
+		if fault.kind == kind {
+			return fault, true
 		}
 	}
-	return fault{}, false
+	return scheduledFault{}, false
 }
 
 // scheduleHas tells whether the schedule holds a kind of trouble.
 func (w *simulation) scheduleHas(kinds ...string) bool {
-	return slices.ContainsFunc(w.schedule.faults, func(x fault) bool { return slices.Contains(kinds, x.kind) })
+	return slices.ContainsFunc(w.schedule.faults, func(fault scheduledFault) bool { return slices.Contains(kinds, fault.kind) })
 }
 
 // totalHoldTime is for how long messages are held, all in all.
 func (w *simulation) totalHoldTime() (sum time.Duration) {
-	for _, x := range w.schedule.faults {
-		if slices.Contains([]string{zoneMessagesHeld, stateMessagesHeld, peerMessagesHeld, fleetMessagesHeld, workerMessagesHeld}, x.kind) {
-			sum += x.duration
+	for _, fault := range w.schedule.faults {
+		if slices.Contains([]string{zoneMessagesHeld, stateMessagesHeld, peerMessagesHeld, fleetMessagesHeld, workerMessagesHeld}, fault.kind) {
+			sum += fault.duration
 		}
 	}
 	return sum
 }
 
 // heldPairs lists the pairs of hosts whose messages a trouble holds.
-func (w *simulation) heldPairs(x fault, name string, m *standin.Machine) (pairs [][2]string) {
-	switch x.kind {
+func (w *simulation) heldPairs(fault scheduledFault, name string, machine *standin.Machine) (pairs [][2]string) {
+	switch fault.kind {
 	case stateMessagesHeld:
 		pairs = append(pairs, [2]string{name, "state"})
 	case cloudMessagesHeld:
@@ -50,15 +50,15 @@
 			}
 		}
 	case fleetMessagesHeld:
-		for _, m := range w.cloud.Machines() {
-			pairs = append(pairs, [2]string{name, m.Host.UID})
+		for _, machine := range w.cloud.Machines() {
+			pairs = append(pairs, [2]string{name, machine.Host.UID})
 		}
 	case workerMessagesHeld:
-		if m != nil && x.machine < 4 {
-			pairs = append(pairs, [2]string{name, m.Host.UID})
-		} else if m != nil { // it is held apart from every controller
+		if machine != nil && fault.machine < 4 {
+			pairs = append(pairs, [2]string{name, machine.Host.UID})
+		} else if machine != nil { // it is held apart from every controller
 			for o := range 3 {
-				pairs = append(pairs, [2]string{fmt.Sprintf("node-%d", o+1), m.Host.UID})
+				pairs = append(pairs, [2]string{fmt.Sprintf("node-%d", o+1), machine.Host.UID})
 			}
 		}
 	}
@@ -66,88 +66,88 @@
 }
 
 // injectFault begins a trouble and ends it.
-func (w *simulation) injectFault(i int, x fault) {
-	if x.controller == 3 {
-		x.controller = w.leaderIndex()
+func (w *simulation) injectFault(i int, fault scheduledFault) {
+	if fault.controller == 3 {
+		fault.controller = w.leaderIndex()
 	}
-	w.logf("BEGINS %v", x)
+	w.logf("BEGINS %v", fault)
 	w.mu.Lock()
-	w.activeFaults[i] = x
+	w.activeFaults[i] = fault
 	w.mu.Unlock()
-	name := fmt.Sprintf("node-%d", x.controller+1)
-	var m *standin.Machine
+	name := fmt.Sprintf("node-%d", fault.controller+1)
+	var machine *standin.Machine
 	if all := w.cloud.Machines(); len(all) > 0 {
-		m = all[x.machine%len(all)]
+		machine = all[fault.machine%len(all)]
 	}
 	end := func() {}
-	switch p := w.runningProcess(name); {
-	case x.kind == stateRefusesNode:
+	switch process := w.runningProcess(name); {
+	case fault.kind == stateRefusesNode:
 		w.state.Refuse(name, true)
 		end = func() { w.state.Refuse(name, false) }
-	case x.kind == stateRefusesAll:
+	case fault.kind == stateRefusesAll:
 		w.state.Refuse("", true)
 		end = func() { w.state.Refuse("", false) }
-	case x.kind == machineHangs && m != nil && m.Up():
+	case fault.kind == machineHangs && machine != nil && machine.Up():
 		w.mu.Lock()
-		w.hangTimes[m] += x.duration
+		w.hangTimes[machine] += fault.duration
 		w.mu.Unlock()
-		m.Hang(true)
-		end = func() { m.Hang(false) }
-	case x.kind == machineReceivesNothing && m != nil:
-		m.Deafen(true)
-		end = func() { m.Deafen(false) }
-	case x.kind == machineSendsNothing && m != nil:
+		machine.Hang(true)
+		end = func() { machine.Hang(false) }
+	case fault.kind == machineReceivesNothing && machine != nil:
+		machine.Deafen(true)
+		end = func() { machine.Deafen(false) }
+	case fault.kind == machineSendsNothing && machine != nil:
 		w.mu.Lock()
-		w.unreachableFrom[m] = true
+		w.unreachableFrom[machine] = true
 		w.mu.Unlock()
-		end = func() { w.mu.Lock(); delete(w.unreachableFrom, m); w.mu.Unlock() }
-	case x.kind == zoneIsolated:
-		zone := controllerZones[x.machine%2]
+		end = func() { w.mu.Lock(); delete(w.unreachableFrom, machine); w.mu.Unlock() }
+	case fault.kind == zoneIsolated:
+		zone := controllerZones[fault.machine%2]
 		w.network.Isolate(zone, true)
 		end = func() { w.network.Isolate(zone, false) }
-	case x.kind == zoneMessagesHeld:
-		zone := controllerZones[x.machine%len(controllerZones)]
-		w.network.HoldZone(zone, x.direction, true)
-		end = func() { w.network.HoldZone(zone, x.direction, false) }
-	case slices.Contains([]string{stateMessagesHeld, peerMessagesHeld, fleetMessagesHeld, workerMessagesHeld, cloudMessagesHeld}, x.kind):
-		apart := w.heldPairs(x, name, m)
+	case fault.kind == zoneMessagesHeld:
+		zone := controllerZones[fault.machine%len(controllerZones)]
+		w.network.HoldZone(zone, fault.direction, true)
+		end = func() { w.network.HoldZone(zone, fault.direction, false) }
+	case slices.Contains([]string{stateMessagesHeld, peerMessagesHeld, fleetMessagesHeld, workerMessagesHeld, cloudMessagesHeld}, fault.kind):
+		apart := w.heldPairs(fault, name, machine)
 		for _, c := range apart {
-			w.network.Hold(c[0], c[1], x.direction, true)
+			w.network.Hold(c[0], c[1], fault.direction, true)
 		}
 		end = func() {
 			for _, c := range apart {
-				w.network.Hold(c[0], c[1], x.direction, false)
+				w.network.Hold(c[0], c[1], fault.direction, false)
 			}
 		}
-	case x.kind == workerRestarts && m != nil:
-		m.Restart()
+	case fault.kind == workerRestarts && machine != nil:
+		machine.Restart()
 		w.mu.Lock()
-		delete(w.connections, m)
+		delete(w.connections, machine)
 		w.mu.Unlock()
-	case x.kind == machineFailsTasks && m != nil:
+	case fault.kind == machineFailsTasks && machine != nil:
 		w.mu.Lock()
-		w.failingMachines[m] = true
+		w.failingMachines[machine] = true
 		w.mu.Unlock()
-	case (x.kind == spotReclaimedWithNotice || x.kind == spotReclaimed) && m != nil && m.Host.Preemptible:
-		if x.kind == spotReclaimedWithNotice {
-			m.Warn(x.duration)
-			end = func() { w.cloud.Take(m) }
+	case (fault.kind == spotReclaimedWithNotice || fault.kind == spotReclaimed) && machine != nil && machine.Host.Preemptible:
+		if fault.kind == spotReclaimedWithNotice {
+			machine.Warn(fault.duration)
+			end = func() { w.cloud.Take(machine) }
 			break
 		}
-		w.cloud.Take(m)
-	case x.kind == controllerKilled && p != nil:
-		p.stop()
-		end = func() { w.startController(x.controller) }
-	case x.kind == controllerIsolated:
+		w.cloud.Take(machine)
+	case fault.kind == controllerKilled && process != nil:
+		process.stop()
+		end = func() { w.startController(fault.controller) }
+	case fault.kind == controllerIsolated:
 		// The schedule's setup has given each controller a zone of its own, by its name.
 		w.network.Isolate(name, true)
 		end = func() { w.network.Isolate(name, false) }
-	case (x.kind == controllerCutFromPeers || x.kind == controllerCutFromState) && p != nil:
+	case (fault.kind == controllerCutFromPeers || fault.kind == controllerCutFromState) && process != nil:
 		var pairs [][2]string
 		w.mu.Lock()
 		for n := range w.processCount {
 			from := fmt.Sprintf("%s/%d", name, n+1)
-			if x.kind == controllerCutFromState {
+			if fault.kind == controllerCutFromState {
 				pairs = append(pairs, [2]string{from, "state:1"})
 				continue
 			}
@@ -168,30 +168,30 @@
 			}
 		}
 	}
-	key := fmt.Sprintf("%s %s", x.kind, name)
+	key := fmt.Sprintf("%s %s", fault.kind, name)
 	switch {
-	case slices.Contains(holdFaultKinds, x.kind):
-		key = fmt.Sprintf("%s %d", x.kind, i) // each ends by itself
-	case x.kind == stateRefusesAll:
-		key = x.kind
-	case x.kind == zoneIsolated:
-		key = x.kind + " " + controllerZones[x.machine%2]
-	case m != nil && slices.Contains([]string{machineHangs, machineReceivesNothing, machineSendsNothing}, x.kind):
-		key = x.kind + " " + m.Host.UID
+	case slices.Contains(holdFaultKinds, fault.kind):
+		key = fmt.Sprintf("%s %d", fault.kind, i) // each ends by itself
+	case fault.kind == stateRefusesAll:
+		key = fault.kind
+	case fault.kind == zoneIsolated:
+		key = fault.kind + " " + controllerZones[fault.machine%2]
+	case machine != nil && slices.Contains([]string{machineHangs, machineReceivesNothing, machineSendsNothing}, fault.kind):
+		key = fault.kind + " " + machine.Host.UID
 	}
 	w.mu.Lock()
 	w.faultCounts[key]++
 	w.mu.Unlock()
-	time.Sleep(x.duration)
+	time.Sleep(fault.duration)
 	w.mu.Lock()
 	delete(w.activeFaults, i)
 	w.faultCounts[key]--
 	last := w.faultCounts[key] == 0
 	w.mu.Unlock()
-	if last || x.kind == controllerKilled || x.kind == spotReclaimedWithNotice {
+	if last || fault.kind == controllerKilled || fault.kind == spotReclaimedWithNotice {
 		end() // otherwise another of the kind goes on
 	}
-	w.logf("ENDS %s (%s)", x.kind, name)
+	w.logf("ENDS %s (%s)", fault.kind, name)
 }
 
 // runAt runs look at a moment of a scene.
@@ -219,16 +219,16 @@
 			return
 		}
 		asked, times, next = 0, times-1, time.Now().Add(500*time.Millisecond)
-		p := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1))
-		if p == nil {
+		process := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1))
+		if process == nil {
 			return
 		}
-		w.logf("%s ends right before a request", p.name)
-		p.stop()
+		w.logf("%s ends right before a request", process.name)
+		process.stop()
 		w.wg.Go(func() {
 			time.Sleep(300 * time.Millisecond)
 			if w.ctx.Err() == nil {
-				w.startController(int(p.name[len(p.name)-1] - '1'))
+				w.startController(int(process.name[len(process.name)-1] - '1'))
 			}
 		})
 	})
--- a/harness_guarantees_test.go
+++ b/harness_guarantees_test.go
@@ -25,15 +25,15 @@
 // guaranteeMonitor looks, from the machines and from what users were told alone, at how
 // teams with work that waits are served.
 type guaranteeMonitor struct {
-	simulation       *simulation
+	simulation      *simulation
 	unservedSince   map[string]time.Time
 	longestUnserved map[string]time.Duration // under the guarantee without a start
-	usedCores    map[string]float64       // of the guarantee, summed over the looks
-	owedCores    map[string]float64       // the guarantee, summed alike
+	usedCores       map[string]float64       // of the guarantee, summed over the looks
+	owedCores       map[string]float64       // the guarantee, summed alike
 }
 
-func newGuaranteeMonitor(w *simulation) *guaranteeMonitor {
-	return &guaranteeMonitor{simulation: w, unservedSince: map[string]time.Time{}, longestUnserved: map[string]time.Duration{}, usedCores: map[string]float64{}, owedCores: map[string]float64{}}
+func newGuaranteeMonitor(sim *simulation) *guaranteeMonitor {
+	return &guaranteeMonitor{simulation: sim, unservedSince: map[string]time.Time{}, longestUnserved: map[string]time.Duration{}, usedCores: map[string]float64{}, owedCores: map[string]float64{}}
 }
 
 // sample notes what teams with a guarantee have now.
@@ -44,7 +44,7 @@
 			g.usedCores[team] += min(used, guarantee)
 			g.owedCores[team] += guarantee
 		}
-		if !g.hasUnplacedJob(team, func(sp *wire.Spec) bool { return used+sp.Cores <= guarantee }) {
+		if !g.hasUnplacedJob(team, func(spec *wire.Spec) bool { return used+spec.Cores <= guarantee }) {
 			delete(g.unservedSince, team)
 			continue
 		}
@@ -91,23 +91,23 @@
 }
 
 // hasUnplacedJob tells whether a team has a job with tasks that wait, of the given kind.
-func (g *guaranteeMonitor) hasUnplacedJob(team string, kind func(sp *wire.Spec) bool) bool {
-	return slices.ContainsFunc(g.simulation.schedule.submissions, func(u submission) bool {
-		return u.spec.Team == team && kind(&u.spec) && g.simulation.hasUnplacedTasks(u.spec.UID)
+func (g *guaranteeMonitor) hasUnplacedJob(team string, kind func(spec *wire.Spec) bool) bool {
+	return slices.ContainsFunc(g.simulation.schedule.submissions, func(submission scheduledSubmission) bool {
+		return submission.spec.Team == team && kind(&submission.spec) && g.simulation.hasUnplacedTasks(submission.spec.UID)
 	})
 }
 
 // playTeamSchedule plays a schedule of several teams, and gives the rules that were broken and
 // how the guarantees were kept.
-func playTeamSchedule(t *testing.T, s schedule) (broken []string, watch *guaranteeMonitor) {
-	s.setup = func(w *simulation) {
+func playTeamSchedule(t *testing.T, schedule faultSchedule) (broken []string, watch *guaranteeMonitor) {
+	schedule.setup = func(sim *simulation) {
 		for i := range 3 {
 			name := fmt.Sprintf("node-%d", i+1)
-			w.network.Place(name, name)
+			sim.network.Place(name, name)
 		}
-		watch = newGuaranteeMonitor(w)
-		w.wg.Go(func() {
-			for w.ctx.Err() == nil && time.Since(w.startedAt) < s.duration+faultFreeTail/2 {
+		watch = newGuaranteeMonitor(sim)
+		sim.wg.Go(func() {
+			for sim.ctx.Err() == nil && time.Since(sim.startedAt) < schedule.duration+faultFreeTail/2 {
 				time.Sleep(250 * time.Millisecond)
 				watch.sample()
 			}
@@ -115,15 +115,15 @@
 	}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newSimulation(ctx, t, s)
-		w.run()
-		if s.newLedger == nil {
-			w.checkAllServed()
+		sim := newSimulation(ctx, t, schedule)
+		sim.run()
+		if schedule.newLedger == nil {
+			sim.checkAllServed()
 		}
-		w.shutDown(cancel)
-		broken = w.violations
-		if t.Failed() || len(broken) > 0 && s.newLedger == nil {
-			t.Logf("history of seed %d:\n%s", s.seed, strings.Join(w.history, "\n"))
+		sim.shutDown(cancel)
+		broken = sim.violations
+		if t.Failed() || len(broken) > 0 && schedule.newLedger == nil {
+			t.Logf("history of seed %d:\n%s", schedule.seed, strings.Join(sim.history, "\n"))
 		}
 	})
 	return broken, watch
--- a/harness_large_test.go
+++ b/harness_large_test.go
@@ -8,7 +8,7 @@
 const (
 	maxSimulatedFleet    = simulatedFleet * 13 / 8
 	largeServiceReplicas = 160 // replicas of each service, one to a machine
-	largeArrayTasks   = 100 // tasks of each array, likewise
+	largeArrayTasks      = 100 // tasks of each array, likewise
 )
 
 // minFleetLimit is how many machines there may be, at the least.
@@ -16,9 +16,9 @@
 
 // largeFleetSubmissions is services and arrays that fill the large fleet, one task to a machine,
 // and a team at its limit.
-func largeFleetSubmissions() (users []submission) {
-	wholeMachine := func(mod func(sp *wire.Spec)) func(sp *wire.Spec) {
-		return func(sp *wire.Spec) { mod(sp); sp.Cores, sp.RAM = 4, 8 }
+func largeFleetSubmissions() (users []scheduledSubmission) {
+	wholeMachine := func(mod func(spec *wire.Spec)) func(spec *wire.Spec) {
+		return func(spec *wire.Spec) { mod(spec); spec.Cores, spec.RAM = 4, 8 }
 	}
 	n := 0
 	for range simulatedFleet * 4 / 5 / largeServiceReplicas {
@@ -27,11 +27,11 @@
 	}
 	for range simulatedFleet / 5 / largeArrayTasks {
 		n++
-		users = append(users, newSubmission(n, 3, 60, wholeMachine(func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = largeArrayTasks, true })))
+		users = append(users, newSubmission(n, 3, 60, wholeMachine(func(spec *wire.Spec) { spec.Tasks, spec.Preemptible = largeArrayTasks, true })))
 	}
 	for range 4 {
 		n++
-		users = append(users, newSubmission(n, 5, 8, func(sp *wire.Spec) { sp.Team, sp.Tasks = "tight", 12 }))
+		users = append(users, newSubmission(n, 5, 8, func(spec *wire.Spec) { spec.Team, spec.Tasks = "tight", 12 }))
 	}
 	return users
 }
@@ -47,19 +47,19 @@
 // checkLargeServices fails the test unless the replicas of all services that were not
 // cancelled run.
 func (w *simulation) checkLargeServices(when string) {
-	for _, u := range w.schedule.submissions {
+	for _, submission := range w.schedule.submissions {
 		w.mu.Lock()
-		asked := w.views[u.spec.UID].cancelRequested
+		asked := w.views[submission.spec.UID].cancelRequested
 		w.mu.Unlock()
-		if u.spec.Kind != wire.KindService || asked {
+		if submission.spec.Kind != wire.KindService || asked {
 			continue
 		}
 		running := 0
-		for _, n := range w.tasksByZone(u.spec.UID) {
+		for _, n := range w.tasksByZone(submission.spec.UID) {
 			running += n
 		}
-		if running < u.spec.Tasks {
-			w.t.Errorf("%s has %d of %d replicas %s", u.spec.UID, running, u.spec.Tasks, when)
+		if running < submission.spec.Tasks {
+			w.t.Errorf("%s has %d of %d replicas %s", submission.spec.UID, running, submission.spec.Tasks, when)
 		}
 	}
 }
--- a/harness_loopback_test.go
+++ b/harness_loopback_test.go
@@ -37,15 +37,15 @@
 // loopback is a platform of real controllers on loopback sockets, with stand-ins around them.
 type loopback struct {
 	*simulation
-	names   []string
-	clientAddresses map[string]string // addresses for users and workers, by controller
-	operatorAddresses   map[string]string // addresses for operators
-	platformFiles   map[string]string
-	settingsFiles map[string]string // operators' settings
-	http    *http.Client
+	names             []string
+	clientAddresses   map[string]string // addresses for users and workers, by controller
+	operatorAddresses map[string]string // addresses for operators
+	platformFiles     map[string]string
+	settingsFiles     map[string]string // operators' settings
+	http              *http.Client
 
 	processMutex sync.Mutex // guards procs
-	commands  map[string]*exec.Cmd
+	commands     map[string]*exec.Cmd
 }
 
 // serveLoopback serves a handler on a free port.
@@ -83,10 +83,10 @@
 }
 
 // newLoopback sets the platform up and starts its controllers.
-func newLoopback(ctx context.Context, t *testing.T, s schedule) *loopback {
-	l := &loopback{simulation: newSimulation(ctx, t, s), clientAddresses: map[string]string{}, operatorAddresses: map[string]string{}, platformFiles: map[string]string{}, settingsFiles: map[string]string{},
+func newLoopback(ctx context.Context, t *testing.T, schedule faultSchedule) *loopback {
+	l := &loopback{simulation: newSimulation(ctx, t, schedule), clientAddresses: map[string]string{}, operatorAddresses: map[string]string{}, platformFiles: map[string]string{}, settingsFiles: map[string]string{},
 		commands: map[string]*exec.Cmd{},
-		http:  &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
+		http:     &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	l.cloud.Boot = l.bootLoopbackMachine
 	cloudAddress := serveLoopback(t, l.cloud)
 	writes := rate.NewLimiter(loopbackWrites, loopbackWrites)
@@ -107,14 +107,14 @@
 		for team, limit := range l.schedule.limits {
 			cfg.Facts.Teams = append(cfg.Facts.Teams, config.Team{Name: team, CPUsMax: limit, CPUs: l.schedule.guarantees[team]})
 		}
-		raw, err := json.Marshal(cfg)
+		encoded, err := json.Marshal(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
 		l.platformFiles[node.Node] = filepath.Join(t.TempDir(), node.Node+".json")
 		l.settingsFiles[node.Node] = filepath.Join(t.TempDir(), node.Node+"-settings.json")
 		options := fmt.Appendf(nil, `{"metrics": {"listen": %q}}`, l.operatorAddresses[node.Node])
-		if err := errors.Join(os.WriteFile(l.platformFiles[node.Node], raw, 0o600), os.WriteFile(l.settingsFiles[node.Node], options, 0o600)); err != nil {
+		if err := errors.Join(os.WriteFile(l.platformFiles[node.Node], encoded, 0o600), os.WriteFile(l.settingsFiles[node.Node], options, 0o600)); err != nil {
 			t.Fatal(err)
 		}
 		l.start(node.Node)
@@ -149,42 +149,42 @@
 
 // leaderName names the controller that the state service holds for the leader.
 func (l *loopback) leaderName() string {
-	var rec store.LeadRecord
-	if l.state.Value(store.KeyLead, &rec) {
-		return rec.Node
+	var record store.LeadRecord
+	if l.state.Value(store.KeyLead, &record) {
+		return record.Node
 	}
 	return l.names[0]
 }
 
 // bootLoopbackMachine plays a rented machine whose worker talks over loopback.
-func (l *loopback) bootLoopbackMachine(h wire.Machine, b wire.MachineType) *standin.Machine {
-	m := &standin.Machine{Host: h, Build: b, Report: l.schedule.timing.report, Lease: l.schedule.timing.lease, Nodes: l.names, Ledger: l.simulation, Watch: l.schedule.onEvent,
+func (l *loopback) bootLoopbackMachine(host wire.Machine, b wire.MachineType) *standin.Machine {
+	machine := &standin.Machine{Host: host, Build: b, Report: l.schedule.timing.report, Lease: l.schedule.timing.lease, Nodes: l.names, Ledger: l.simulation, Watch: l.schedule.onEvent,
 		Held: func() time.Duration { return 0 },
-		Beat: func(ctx context.Context, _ *standin.Machine, node string, rep wire.Heartbeat) (int, []byte, error) {
-			return l.post(ctx, node, wire.PathHeartbeat, rep)
+		Beat: func(ctx context.Context, _ *standin.Machine, node string, report wire.Heartbeat) (int, []byte, error) {
+			return l.post(ctx, node, wire.PathHeartbeat, report)
 		}}
-	server := httptest.NewServer(m)
-	m.Host.Endpoint = strings.TrimPrefix(server.URL, "http://")
+	server := httptest.NewServer(machine)
+	machine.Host.Endpoint = strings.TrimPrefix(server.URL, "http://")
 	l.wg.Go(func() {
 		defer server.Close()
 		time.Sleep(time.Second)
-		m.Begin(l.ctx)
-		m.Run()
+		machine.Begin(l.ctx)
+		machine.Run()
 	})
-	return m
+	return machine
 }
 
 // post sends one message to a controller.
 func (l *loopback) post(ctx context.Context, node, path string, message any) (int, []byte, error) {
-	raw, err := wire.Marshal(message)
+	encoded, err := wire.Marshal(message)
 	if err != nil {
 		return 0, nil, err
 	}
-	return l.send(ctx, node, path, raw)
+	return l.send(ctx, node, path, encoded)
 }
 
-func (l *loopback) send(ctx context.Context, node, path string, raw []byte) (int, []byte, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.clientAddresses[node]+path, bytes.NewReader(raw))
+func (l *loopback) send(ctx context.Context, node, path string, encoded []byte) (int, []byte, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.clientAddresses[node]+path, bytes.NewReader(encoded))
 	if err != nil {
 		return 0, nil, err
 	}
--- a/harness_observer_test.go
+++ b/harness_observer_test.go
@@ -14,8 +14,8 @@
 func (w *simulation) Job(uid string) (wire.Spec, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	sp, ok := w.specs[uid]
-	return sp, ok
+	spec, ok := w.specs[uid]
+	return spec, ok
 }
 
 // RunTime implements standin.Ledger.
@@ -26,9 +26,9 @@
 		return 0
 	}
 	uid, _, _ := strings.Cut(piece, "/")
-	for _, u := range w.schedule.submissions {
-		if u.spec.UID == uid {
-			return u.runTime
+	for _, submission := range w.schedule.submissions {
+		if submission.spec.UID == uid {
+			return submission.runTime
 		}
 	}
 	return time.Second
@@ -50,28 +50,28 @@
 }
 
 // Accepted implements standin.Ledger.
-func (w *simulation) Accepted(m *standin.Machine, piece string) {
+func (w *simulation) Accepted(machine *standin.Machine, piece string) {
 	uid, _, _ := strings.Cut(piece, "/")
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.acceptedBy[uid] == nil {
 		w.acceptedBy[uid] = map[*standin.Machine]bool{}
 	}
-	w.acceptedBy[uid][m] = true
+	w.acceptedBy[uid][machine] = true
 }
 
 // Started implements standin.Ledger: a task's place, its team's limit and its
 // user's cancel are checked at the moment of its start.
-func (w *simulation) Started(m *standin.Machine, piece string) {
-	w.logf("%s starts on %s", piece, m.Host.UID)
+func (w *simulation) Started(machine *standin.Machine, piece string) {
+	w.logf("%s starts on %s", piece, machine.Host.UID)
 	uid, _, _ := strings.Cut(piece, "/")
-	sp, _ := w.Job(uid)
-	if sp.Zone != "" && sp.Zone != m.Host.Zone || sp.MachineTypes != nil && !slices.Contains(sp.MachineTypes, m.Host.Type) || !sp.Preemptible && m.Host.Preemptible {
-		w.recordViolation("wrong_place", "%s on %+v", piece, m.Host)
+	spec, _ := w.Job(uid)
+	if spec.Zone != "" && spec.Zone != machine.Host.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machine.Host.Type) || !spec.Preemptible && machine.Host.Preemptible {
+		w.recordViolation("wrong_place", "%s on %+v", piece, machine.Host)
 	}
 	w.mu.Lock()
 	w.views[uid].lastProgress = time.Now()
-	w.lastTeamStarts[sp.Team] = time.Now()
+	w.lastTeamStarts[spec.Team] = time.Now()
 	if _, began := w.firstStarts[piece]; !began {
 		w.firstStarts[piece] = time.Now()
 	}
@@ -80,33 +80,33 @@
 	for _, other := range w.hostsOf(uid) {
 		for _, p := range liveTasks(other, uid) {
 			zones[other.Host.Zone]++
-			if p == piece && other != m {
-				w.recordViolation("ran_twice", "%s starts on %s while on %s", piece, m.Host.UID, other.Host.UID)
+			if p == piece && other != machine {
+				w.recordViolation("ran_twice", "%s starts on %s while on %s", piece, machine.Host.UID, other.Host.UID)
 			}
 		}
 	}
-	if limit := w.teamLimit(sp.Team); limit > 0 {
-		if used := w.teamCores(sp.Team); used > limit {
-			w.recordViolation("quota", "%s: team uses %v of %v as %s starts", sp.Team, used, limit, piece)
+	if limit := w.teamLimit(spec.Team); limit > 0 {
+		if used := w.teamCores(spec.Team); used > limit {
+			w.recordViolation("quota", "%s: team uses %v of %v as %s starts", spec.Team, used, limit, piece)
 		}
 	}
-	if sp.SameZone && len(zones) > 1 {
-		w.recordViolation("wrong_place", "%s starts in %s, its job is to be in one zone: %v", piece, m.Host.Zone, zones)
+	if spec.SameZone && len(zones) > 1 {
+		w.recordViolation("wrong_place", "%s starts in %s, its job is to be in one zone: %v", piece, machine.Host.Zone, zones)
 	}
-	if sp.Spread && zones[m.Host.Zone] > (sp.Tasks+1)/2 {
-		w.recordViolation("wrong_place", "%s starts in %s, its job of %d is to be apart: %v", piece, m.Host.Zone, sp.Tasks, zones)
+	if spec.Spread && zones[machine.Host.Zone] > (spec.Tasks+1)/2 {
+		w.recordViolation("wrong_place", "%s starts in %s, its job of %d is to be apart: %v", piece, machine.Host.Zone, spec.Tasks, zones)
 	}
 	w.mu.Lock()
-	f := *w.views[uid]
-	hung := w.hangTimes[m]
+	view := *w.views[uid]
+	hung := w.hangTimes[machine]
 	w.mu.Unlock()
-	if !f.cancelled {
+	if !view.cancelled {
 		return
 	}
 	span := maxCommandDelay + hung
-	for _, x := range w.schedule.faults {
-		if x.kind == commandsDelayed || x.kind == commandsRepeated {
-			span = max(span, maxCommandDelay+hung+x.delay)
+	for _, fault := range w.schedule.faults {
+		if fault.kind == commandsDelayed || fault.kind == commandsRepeated {
+			span = max(span, maxCommandDelay+hung+fault.delay)
 		}
 	}
 	// A leader that is cut from the state service or the others can't hear of a
@@ -119,17 +119,17 @@
 	if w.schedule.buffersMessages {
 		span = max(span, min(w.schedule.timing.cancel, w.schedule.timing.lease+maxCommandDelay+hung+w.totalHoldTime()))
 	}
-	if late := time.Since(f.cancelledAt); late > span {
+	if late := time.Since(view.cancelledAt); late > span {
 		w.recordViolation("ran_cancelled", "%s starts %v after its user was told that it is cancelled (allowed: %v)", piece, late, span)
 	}
 }
 
 // Fails implements standin.Ledger.
-func (w *simulation) Fails(m *standin.Machine, piece string) bool {
+func (w *simulation) Fails(machine *standin.Machine, piece string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	uid, _, _ := strings.Cut(piece, "/")
-	return w.failingMachines[m] || slices.ContainsFunc(w.schedule.submissions, func(u submission) bool { return u.alwaysFails && u.spec.UID == uid })
+	return w.failingMachines[machine] || slices.ContainsFunc(w.schedule.submissions, func(submission scheduledSubmission) bool { return submission.alwaysFails && submission.spec.UID == uid })
 }
 
 // tightLimit is the limit of the team that has one.
@@ -152,16 +152,16 @@
 }
 
 // liveTasks lists a job's tasks that are on a machine.
-func liveTasks(m *standin.Machine, uid string) []string {
-	return slices.DeleteFunc(m.Live(), func(p string) bool { return !strings.HasPrefix(p, uid+"/") })
+func liveTasks(machine *standin.Machine, uid string) []string {
+	return slices.DeleteFunc(machine.Live(), func(p string) bool { return !strings.HasPrefix(p, uid+"/") })
 }
 
 // tasksByZone counts the tasks of a job that are on machines, by zone.
 func (w *simulation) tasksByZone(uid string) map[string]int {
 	zones := map[string]int{}
-	for _, m := range w.hostsOf(uid) {
-		if n := len(liveTasks(m, uid)); n > 0 {
-			zones[m.Host.Zone] += n
+	for _, machine := range w.hostsOf(uid) {
+		if n := len(liveTasks(machine, uid)); n > 0 {
+			zones[machine.Host.Zone] += n
 		}
 	}
 	return zones
@@ -169,12 +169,12 @@
 
 // teamCores is how many cores a team's tasks take.
 func (w *simulation) teamCores(team string) (cores float64) {
-	for _, u := range w.schedule.submissions {
-		if u.spec.Team != team {
+	for _, submission := range w.schedule.submissions {
+		if submission.spec.Team != team {
 			continue
 		}
-		for _, n := range w.tasksByZone(u.spec.UID) {
-			cores += float64(n) * u.spec.Cores
+		for _, n := range w.tasksByZone(submission.spec.UID) {
+			cores += float64(n) * submission.spec.Cores
 		}
 	}
 	return cores
@@ -182,12 +182,12 @@
 
 // replicaCounts counts the replicas that run, and those that there should be.
 func (w *simulation) replicaCounts() (run, want int) {
-	for _, u := range w.schedule.submissions {
-		if u.spec.Kind != wire.KindService {
+	for _, submission := range w.schedule.submissions {
+		if submission.spec.Kind != wire.KindService {
 			continue
 		}
-		want += u.spec.Tasks
-		for _, n := range w.tasksByZone(u.spec.UID) {
+		want += submission.spec.Tasks
+		for _, n := range w.tasksByZone(submission.spec.UID) {
 			run += n
 		}
 	}
@@ -196,8 +196,8 @@
 
 // bootedMachines is how many machines have booted.
 func (w *simulation) bootedMachines() (n int) {
-	for _, m := range w.cloud.Machines() {
-		if m.Up() {
+	for _, machine := range w.cloud.Machines() {
+		if machine.Up() {
 			n++
 		}
 	}
--- a/harness_records_test.go
+++ b/harness_records_test.go
@@ -14,65 +14,65 @@
 const damagedRecord = "torn"
 
 // writeRecord puts a record into the state service, past all controllers.
-func (s *testCluster) writeRecord(n *Service, key string, value any) {
+func (s *testCluster) writeRecord(node *Service, key string, value any) {
 	s.tb.Helper()
-	if _, err := n.store.Commit(s.tb.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: key, Value: value}}}); err != nil {
+	if _, err := node.store.Commit(s.tb.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: key, Value: value}}}); err != nil {
 		s.tb.Fatal(err)
 	}
 }
 
 // deleteRecord deletes a record, past all controllers.
-func (s *testCluster) deleteRecord(n *Service, key string) {
+func (s *testCluster) deleteRecord(node *Service, key string) {
 	s.tb.Helper()
-	if _, err := n.store.Commit(s.tb.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Delete: key}}}); err != nil {
+	if _, err := node.store.Commit(s.tb.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Delete: key}}}); err != nil {
 		s.tb.Fatal(err)
 	}
 }
 
 // lookUpOrphans reads the jobs of tasks that workers show and that are not on the books.
-func (s *testCluster) lookUpOrphans(l *leader) {
+func (s *testCluster) lookUpOrphans(leader *leader) {
 	s.tb.Helper()
-	for _, uid := range l.takeWantedLookups() {
-		if err := l.lookUpJob(s.tb.Context(), uid); err != nil {
+	for _, uid := range leader.takeWantedLookups() {
+		if err := leader.lookUpJob(s.tb.Context(), uid); err != nil {
 			s.tb.Fatal(err)
 		}
 	}
 }
 
-func mustRecoveryReport(t *testing.T, l *leader) recovery.Report {
+func mustRecoveryReport(t *testing.T, leader *leader) recovery.Report {
 	t.Helper()
-	r, known := l.recoveryReport()
+	report, known := leader.recoveryReport()
 	if !known {
 		t.Fatal("the leader tells nothing of its recovery")
 	}
-	return r
+	return report
 }
 
 // startTask lets a worker run a task as some earlier leader may have told it to.
-func startTask(w *standin.Worker, token uint64, task string, attempt uint64) {
-	w.Take(wire.HeartbeatResponse{Token: token, Commands: []wire.Command{{Verb: wire.VerbRun, Task: task, Attempt: attempt}}})
+func startTask(worker *standin.Worker, token uint64, task string, attempt uint64) {
+	worker.Take(wire.HeartbeatResponse{Token: token, Commands: []wire.Command{{Verb: wire.VerbRun, Task: task, Attempt: attempt}}})
 }
 
 // forgetEnded lets a worker forget what has ended, as an earlier leader may have told it.
-func forgetEnded(w *standin.Worker, token uint64) {
+func forgetEnded(worker *standin.Worker, token uint64) {
 	var orders []wire.Command
-	rep := w.Report()
-	for _, p := range rep.Tasks {
+	report := worker.Report()
+	for _, p := range report.Tasks {
 		if p.Status == wire.TaskEnded {
 			orders = append(orders, wire.Command{Verb: wire.VerbForget, Task: p.Task, Attempt: p.Attempt})
 		}
 	}
-	w.Take(wire.HeartbeatResponse{Token: token, Commands: orders})
+	worker.Take(wire.HeartbeatResponse{Token: token, Commands: orders})
 }
 
 // reportUnknownTasks is a report that names so many tasks of jobs that are on nobody's books.
-func reportUnknownTasks(t *testing.T, l *leader, w *standin.Worker, jobs int) {
+func reportUnknownTasks(t *testing.T, leader *leader, worker *standin.Worker, jobs int) {
 	t.Helper()
-	rep := w.Report()
+	report := worker.Report()
 	for i := range jobs {
-		rep.Tasks = append(rep.Tasks, wire.TaskReport{Task: fmt.Sprintf("j-%d/0", 100+i), Attempt: 1, Status: wire.TaskRunning})
+		report.Tasks = append(report.Tasks, wire.TaskReport{Task: fmt.Sprintf("j-%d/0", 100+i), Attempt: 1, Status: wire.TaskRunning})
 	}
-	if _, ok := l.Heartbeat(&rep); !ok {
+	if _, ok := leader.Heartbeat(&report); !ok {
 		t.Fatal("not answered")
 	}
 }
--- a/harness_requests_test.go
+++ b/harness_requests_test.go
@@ -16,80 +16,80 @@
 )
 
 func jobSpec(uid string, mod func(*wire.Spec)) wire.Spec {
-	sp := wire.Spec{UID: uid, Class: "lane", Team: "team", Kind: wire.KindBatch, Priority: "standard", Tasks: 1, Cores: 2, RAM: 4,
+	spec := wire.Spec{UID: uid, Class: "lane", Team: "team", Kind: wire.KindBatch, Priority: "standard", Tasks: 1, Cores: 2, RAM: 4,
 		Image: "img", ImageGB: 1, Preemptible: true, ExpectedS: 10}
 	if mod != nil {
-		mod(&sp)
+		mod(&spec)
 	}
-	return sp
+	return spec
 }
 
 // submissionBody is a submission's body, changed by mod.
-func submissionBody(t testing.TB, sp wire.Spec, mod func(m map[string]any)) []byte {
+func submissionBody(t testing.TB, spec wire.Spec, mod func(m map[string]any)) []byte {
 	t.Helper()
-	raw, err := wire.Marshal(sp)
+	encoded, err := wire.Marshal(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := map[string]any{}
-	if err := wire.Unmarshal(raw, &m); err != nil {
+	if err := wire.Unmarshal(encoded, &m); err != nil {
 		t.Fatal(err)
 	}
-	if sp.Zone == "" {
+	if spec.Zone == "" {
 		m["yard"] = nil
 	}
 	if mod != nil {
 		mod(m)
 	}
-	if raw, err = wire.Marshal(m); err != nil {
+	if encoded, err = wire.Marshal(m); err != nil {
 		t.Fatal(err)
 	}
-	return raw
+	return encoded
 }
 
 // users serves a node's users' interface and answers one request.
-func (s *testCluster) ask(n *Service, method, path string, body any) (int, wire.JobStatus, http.Header) {
+func (s *testCluster) ask(node *Service, method, path string, body any) (int, wire.JobStatus, http.Header) {
 	s.tb.Helper()
 	r := chi.NewRouter()
-	n.users.Routes(r)
-	var raw []byte
+	node.users.Routes(r)
+	var encoded []byte
 	switch b := body.(type) {
 	case nil:
 	case []byte:
-		raw = b
+		encoded = b
 	case wire.Spec:
-		raw = submissionBody(s.tb, b, nil)
+		encoded = submissionBody(s.tb, b, nil)
 	default:
 		var err error
-		if raw, err = wire.Marshal(b); err != nil {
+		if encoded, err = wire.Marshal(b); err != nil {
 			s.tb.Fatal(err)
 		}
 	}
-	rec := httptest.NewRecorder()
-	r.ServeHTTP(rec, httptest.NewRequestWithContext(s.tb.Context(), method, path, bytes.NewReader(raw)))
-	var v wire.JobStatus
-	_ = wire.Unmarshal(rec.Body.Bytes(), &v)
-	return rec.Code, v, rec.Header()
+	recorder := httptest.NewRecorder()
+	r.ServeHTTP(recorder, httptest.NewRequestWithContext(s.tb.Context(), method, path, bytes.NewReader(encoded)))
+	var status wire.JobStatus
+	_ = wire.Unmarshal(recorder.Body.Bytes(), &status)
+	return recorder.Code, status, recorder.Header()
 }
 
-func (s *testCluster) submit(n *Service, sp wire.Spec) {
+func (s *testCluster) submit(node *Service, spec wire.Spec) {
 	s.tb.Helper()
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, sp); code != http.StatusCreated {
-		s.tb.Fatalf("submit %s: status %d", sp.UID, code)
+	if code, _, _ := s.ask(node, http.MethodPost, wire.PathJobs, spec); code != http.StatusCreated {
+		s.tb.Fatalf("submit %s: status %d", spec.UID, code)
 	}
 }
 
-func (s *testCluster) checkStatus(n *Service, uid, want string) {
+func (s *testCluster) checkStatus(node *Service, uid, want string) {
 	s.tb.Helper()
-	if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); code != http.StatusOK || v.Status != want {
-		s.tb.Fatalf("%s at %s: %d %q, want %q", uid, n.cfg.Node, code, v.Status, want)
+	if code, status, _ := s.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); code != http.StatusOK || status.Status != want {
+		s.tb.Fatalf("%s at %s: %d %q, want %q", uid, node.cfg.Node, code, status.Status, want)
 	}
 }
 
-func (s *testCluster) cancelJob(n *Service, uid string) {
+func (s *testCluster) cancelJob(node *Service, uid string) {
 	s.tb.Helper()
-	if code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/"+uid+"/abort", nil); code != http.StatusOK || v.Status != wire.JobCancelled {
-		s.tb.Fatalf("abort of %s at %s: %d %q", uid, n.cfg.Node, code, v.Status)
+	if code, status, _ := s.ask(node, http.MethodPost, wire.PathJobs+"/"+uid+"/abort", nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+		s.tb.Fatalf("abort of %s at %s: %d %q", uid, node.cfg.Node, code, status.Status)
 	}
 }
 
@@ -104,8 +104,8 @@
 	questions := []question{
 		{http.MethodGet, wire.PathJobs + "/" + uid, nil},
 		{http.MethodPost, wire.PathJobs, jobSpec(uid, nil)},
-		{http.MethodPost, wire.PathJobs, jobSpec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Priority = 7, "low" })},
-		{http.MethodPost, wire.PathJobs, jobSpec(uid, func(sp *wire.Spec) { sp.Team = "nobody" })},
+		{http.MethodPost, wire.PathJobs, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Priority = 7, "low" })},
+		{http.MethodPost, wire.PathJobs, jobSpec(uid, func(spec *wire.Spec) { spec.Team = "nobody" })},
 		{http.MethodPost, wire.PathJobs, submissionBody(s.tb, jobSpec(uid, nil), func(m map[string]any) { delete(m, "rank") })},
 		{http.MethodPost, wire.PathJobs, submissionBody(s.tb, jobSpec(uid, nil), func(m map[string]any) { m["pieces"] = "many" })},
 	}
@@ -114,11 +114,11 @@
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, n := range nodes {
+	for _, node := range nodes {
 		for _, q := range questions {
 			wg.Go(func() {
-				code, v, _ := s.ask(n, q.method, q.path, q.body)
-				got := v.Status
+				code, status, _ := s.ask(node, q.method, q.path, q.body)
+				got := status.Status
 				if code != http.StatusOK {
 					got = fmt.Sprint(code)
 				}
@@ -143,15 +143,15 @@
 }
 
 // askUntilAnswered repeats a user's request, at one node after another, until it gets an answer.
-func (s *testCluster) askUntilAnswered(nodes []*Service, method, path string, body any) (code int, v wire.JobStatus) {
+func (s *testCluster) askUntilAnswered(nodes []*Service, method, path string, body any) (code int, status wire.JobStatus) {
 	s.tb.Helper()
 	for i := range 6 {
-		if code, v, _ = s.ask(nodes[i%len(nodes)], method, path, body); code != http.StatusServiceUnavailable {
-			return code, v
+		if code, status, _ = s.ask(nodes[i%len(nodes)], method, path, body); code != http.StatusServiceUnavailable {
+			return code, status
 		}
 	}
 	s.tb.Fatalf("%s %s: never answered", method, path)
-	return code, v
+	return code, status
 }
 
 // transactionFault is what befalls the next transaction.
--- a/harness_site_test.go
+++ b/harness_site_test.go
@@ -25,13 +25,13 @@
 
 // testCluster is a small platform with scripted parts and a fake clock.
 type testCluster struct {
-	tb     testing.TB
-	clock   *clockwork.FakeClock
-	state *standin.State
-	cloud *standin.Cloud
-	nodeCount int
-	disconnected  map[string]*atomic.Bool // by a node's address of the state service
-	firstLeader *Service                // that led first, where a test needs it
+	tb           testing.TB
+	clock        *clockwork.FakeClock
+	state        *standin.State
+	cloud        *standin.Cloud
+	nodeCount    int
+	disconnected map[string]*atomic.Bool // by a node's address of the state service
+	firstLeader  *Service                // that led first, where a test needs it
 }
 
 var largeMachineType = wire.MachineType{SKU: "b", Cores: 8, RAM: 32, HourlyPrice: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"x", "y"}}
@@ -48,7 +48,7 @@
 }
 
 // node makes one controller of the site.
-func (s *testCluster) node(mod func(f *config.Facts)) *Service {
+func (s *testCluster) node(mod func(facts *config.Facts)) *Service {
 	s.nodeCount++
 	cfg := &config.Platform{Node: fmt.Sprintf("node-%d", s.nodeCount), ClientListen: "127.0.0.1:0", Back: "127.0.0.1:0"}
 	dead := new(atomic.Bool)
@@ -77,15 +77,15 @@
 }
 
 // elect makes a node lead for the rest of the test, or until stop is called.
-func (s *testCluster) elect(n *Service) (l *leader, stop func()) {
+func (s *testCluster) elect(node *Service) (leader *leader, stop func()) {
 	ctx, cancel := context.WithCancel(s.tb.Context())
 	ready := make(chan lead.Term)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		n.elector.Run(ctx, func(ctx context.Context, r lead.Term) {
+		node.elector.Run(ctx, func(ctx context.Context, term lead.Term) {
 			select {
-			case ready <- r:
+			case ready <- term:
 			case <-ctx.Done():
 			}
 			<-ctx.Done()
@@ -94,88 +94,88 @@
 	stop = func() { cancel(); <-done }
 	s.tb.Cleanup(stop)
 	select {
-	case r := <-ready:
-		l = newLeader(n, r)
-		l.ctx = s.tb.Context()
+	case term := <-ready:
+		leader = newLeader(node, term)
+		leader.ctx = s.tb.Context()
 	case <-time.After(10 * time.Second):
 		s.tb.Fatal("not elected")
 	}
-	if _, err := l.loadRecords(s.tb.Context()); err != nil {
+	if _, err := leader.loadRecords(s.tb.Context()); err != nil {
 		s.tb.Fatal(err)
 	}
-	l.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: s.cloud.Builds})
-	return l, stop
+	leader.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: s.cloud.Builds})
+	return leader, stop
 }
 
 // disconnect lets nothing of a node reach the state service any more.
-func (s *testCluster) disconnect(n *Service) { s.disconnected[n.cfg.Outside.State].Store(true) }
+func (s *testCluster) disconnect(node *Service) { s.disconnected[node.cfg.Outside.State].Store(true) }
 
 // worker makes a worker whose /do is served.
 func (s *testCluster) worker(host, zone string, loaned bool) *standin.Worker {
-	w := standin.NewWorker(host, "", "b", zone, loaned)
-	w.Beats.Endpoint = s.serve(w)
-	return w
+	worker := standin.NewWorker(host, "", "b", zone, loaned)
+	worker.Beats.Endpoint = s.serve(worker)
+	return worker
 }
 
 // connect lets controllers reach each other.
 func (s *testCluster) connect(nodes ...*Service) {
 	s.tb.Helper()
-	for _, n := range nodes {
+	for _, node := range nodes {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			s.tb.Fatal(err)
 		}
 		done := make(chan struct{})
 		ctx, cancel := context.WithCancel(s.tb.Context())
-		go func() { defer close(done); peer.Serve(ctx, ln, n.answerPeer, n.log) }()
+		go func() { defer close(done); peer.Serve(ctx, ln, node.answerPeer, node.log) }()
 		s.tb.Cleanup(func() { cancel(); <-done })
-		for _, o := range nodes {
-			if o != n {
-				o.attestationLinks[n.cfg.Node] = peer.NewLink(ln.Addr().String())
-				o.relayLinks[n.cfg.Node] = peer.NewLink(ln.Addr().String())
-				o.users.Relay = o.relay
+		for _, other := range nodes {
+			if other != node {
+				other.attestationLinks[node.cfg.Node] = peer.NewLink(ln.Addr().String())
+				other.relayLinks[node.cfg.Node] = peer.NewLink(ln.Addr().String())
+				other.users.Relay = other.relay
 			}
 		}
 	}
 }
 
 // acquireTerm makes a node lead for the rest of the test, without loading anything.
-func (s *testCluster) acquireTerm(n *Service) lead.Term {
+func (s *testCluster) acquireTerm(node *Service) lead.Term {
 	s.tb.Helper()
 	ctx, cancel := context.WithCancel(s.tb.Context())
 	ready, done := make(chan lead.Term, 1), make(chan struct{})
 	go func() {
 		defer close(done)
-		n.elector.Run(ctx, func(ctx context.Context, r lead.Term) { ready <- r; <-ctx.Done() })
+		node.elector.Run(ctx, func(ctx context.Context, term lead.Term) { ready <- term; <-ctx.Done() })
 	}()
 	s.tb.Cleanup(func() { cancel(); <-done })
 	return <-ready
 }
 
 // withTeamLimit keeps a team to so many cores.
-func withTeamLimit(cores float64) func(f *config.Facts) {
-	return func(f *config.Facts) { f.Teams[0].CPUsMax = cores }
+func withTeamLimit(cores float64) func(facts *config.Facts) {
+	return func(facts *config.Facts) { facts.Teams[0].CPUsMax = cores }
 }
 
 // connectWithIsolation links controllers to each other, as their settings would.
 func (s *testCluster) connectWithIsolation(nodes ...*Service) {
 	s.tb.Helper()
-	for _, n := range nodes {
+	for _, node := range nodes {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			s.tb.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(s.tb.Context())
 		done := make(chan struct{})
-		go func() { defer close(done); peer.Serve(ctx, ln, n.answerPeer, n.log) }()
+		go func() { defer close(done); peer.Serve(ctx, ln, node.answerPeer, node.log) }()
 		s.tb.Cleanup(func() { cancel(); <-done })
-		for _, o := range nodes {
-			if o != n {
-				o.attestationLinks[n.cfg.Node], o.relayLinks[n.cfg.Node] = peer.NewLink(ln.Addr().String()), peer.NewLink(ln.Addr().String())
+		for _, other := range nodes {
+			if other != node {
+				other.attestationLinks[node.cfg.Node], other.relayLinks[node.cfg.Node] = peer.NewLink(ln.Addr().String()), peer.NewLink(ln.Addr().String())
 			}
 		}
 	}
-	for _, n := range nodes {
-		n.users.Relay, n.users.Alone = n.relay, n.isolated
+	for _, node := range nodes {
+		node.users.Relay, node.users.Alone = node.relay, node.isolated
 	}
 }
--- a/harness_steps_test.go
+++ b/harness_steps_test.go
@@ -25,19 +25,19 @@
 
 // heartbeat lets a worker report to the leader and execute the answer; and once more
 // when the leader has yet to see that the worker knows its token.
-func heartbeat(t testing.TB, l *leader, w *standin.Worker) {
+func heartbeat(t testing.TB, leader *leader, worker *standin.Worker) {
 	t.Helper()
 	for range 2 {
-		rep := w.Report()
-		ans, ok := l.Heartbeat(&rep)
+		report := worker.Report()
+		response, ok := leader.Heartbeat(&report)
 		if !ok {
-			t.Fatalf("beat of %s not answered", rep.Machine)
+			t.Fatalf("beat of %s not answered", report.Machine)
 		}
-		w.Take(ans)
-		l.mu.Lock()
-		machine := l.fleet.Machine(rep.Machine)
+		worker.Take(response)
+		leader.mu.Lock()
+		machine := leader.fleet.Machine(report.Machine)
 		trusted := machine == nil || machine.Reported
-		l.mu.Unlock()
+		leader.mu.Unlock()
 		if trusted {
 			return
 		}
@@ -45,56 +45,56 @@
 }
 
 // settle runs passes until all direct commands have landed and been taken in.
-func (s *testCluster) settle(l *leader) {
+func (s *testCluster) settle(leader *leader) {
 	s.tb.Helper()
 	for range 4 {
-		l.pass(s.tb.Context())
+		leader.pass(s.tb.Context())
 		for i := 0; ; i++ {
-			l.mu.Lock()
-			n := l.dispatcher.InFlightCount() + l.detector.OpenProbes()
-			l.mu.Unlock()
+			leader.mu.Lock()
+			n := leader.dispatcher.InFlightCount() + leader.detector.OpenProbes()
+			leader.mu.Unlock()
 			if n == 0 {
 				break
 			}
 			if i > 100_000 {
 				s.tb.Fatal("direct commands never landed")
 			}
-			<-l.wakeups // every landing wakes the loop
+			<-leader.wakeups // every landing wakes the loop
 		}
 	}
 }
 
-func (s *testCluster) resync(l *leader) {
+func (s *testCluster) resync(leader *leader) {
 	s.tb.Helper()
-	if _, err := l.resync(s.tb.Context(), 0); err != nil {
+	if _, err := leader.resync(s.tb.Context(), 0); err != nil {
 		s.tb.Fatal(err)
 	}
 }
 
 // runSeconds lets seconds go by, with a heartbeat of every worker and a pass in each.
-func (s *testCluster) runSeconds(l *leader, ws []*standin.Worker, seconds int) {
+func (s *testCluster) runSeconds(leader *leader, workers []*standin.Worker, seconds int) {
 	s.tb.Helper()
 	for range seconds {
 		s.advance(time.Second)
-		for _, w := range ws {
-			heartbeat(s.tb, l, w)
+		for _, worker := range workers {
+			heartbeat(s.tb, leader, worker)
 		}
-		s.settle(l)
+		s.settle(leader)
 	}
 }
 
-func quarantined(l *leader, ws []*standin.Worker) (out []string) {
-	for _, w := range ws {
-		if machine := l.fleet.Machine(w.Beats.Machine); machine.QuarantineReason != "" {
+func quarantined(leader *leader, workers []*standin.Worker) (out []string) {
+	for _, worker := range workers {
+		if machine := leader.fleet.Machine(worker.Beats.Machine); machine.QuarantineReason != "" {
 			out = append(out, machine.Name+" "+string(machine.QuarantineReason))
 		}
 	}
 	return out
 }
 
-func startCount(ws []*standin.Worker, uid string) (n int) {
-	for _, w := range ws {
-		for _, k := range w.Starts() {
+func startCount(workers []*standin.Worker, uid string) (n int) {
+	for _, worker := range workers {
+		for _, k := range worker.Starts() {
 			if strings.HasPrefix(k, uid+"/") {
 				n++
 			}
@@ -103,21 +103,21 @@
 	return n
 }
 
-func (s *testCluster) machineUsable(l *leader, host string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	machine := l.fleet.Machine(host)
-	return machine != nil && planinput.Usable(machine, l.clock.Now())
+func (s *testCluster) machineUsable(leader *leader, host string) bool {
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	machine := leader.fleet.Machine(host)
+	return machine != nil && planinput.Usable(machine, leader.clock.Now())
 }
 
 // deliverReport hands a report to the leader without the worker learning the answer.
-func deliverReport(t *testing.T, l *leader, rep wire.Heartbeat) wire.HeartbeatResponse {
+func deliverReport(t *testing.T, leader *leader, report wire.Heartbeat) wire.HeartbeatResponse {
 	t.Helper()
-	ans, ok := l.Heartbeat(&rep)
+	response, ok := leader.Heartbeat(&report)
 	if !ok {
-		t.Fatalf("beat of %s not answered", rep.Machine)
+		t.Fatalf("beat of %s not answered", report.Machine)
 	}
-	return ans
+	return response
 }
 
 // loseAnswerDuring runs a step of the leader in which a transaction gets no answer, lets
--- a/harness_total_loss_test.go
+++ b/harness_total_loss_test.go
@@ -25,10 +25,10 @@
 	returns map[string]time.Time
 }
 
-func (h *eventLog) record(e standin.Event) {
+func (h *eventLog) record(event standin.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.events = append(h.events, e)
+	h.events = append(h.events, event)
 }
 
 // recordCloud takes in what the cloud was asked for.
@@ -53,11 +53,11 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	within := func(at time.Time) bool { return !at.Before(from) && at.Before(to) }
-	for _, e := range h.events {
-		if e.Kind != standin.EventOrdered || !within(e.At) {
+	for _, event := range h.events {
+		if event.Kind != standin.EventOrdered || !within(event.At) {
 			continue
 		}
-		switch e.Verb {
+		switch event.Verb {
 		case wire.VerbRun:
 			c.Runs++
 		case wire.VerbStop:
@@ -103,34 +103,34 @@
 	ran := map[string]bool{}
 	moved := map[string]bool{} // stopped for a cause
 	on := map[jobOnMachine]int{}
-	for _, e := range h.events {
-		uid, _, _ := strings.Cut(e.Task, "/")
-		within := !e.At.Before(from) && e.At.Before(to)
-		here := jobOnMachine{e.Machine, uid}
+	for _, event := range h.events {
+		uid, _, _ := strings.Cut(event.Task, "/")
+		within := !event.At.Before(from) && event.At.Before(to)
+		here := jobOnMachine{event.Machine, uid}
 		switch {
-		case e.Kind == standin.EventOrdered && e.Verb == wire.VerbStop && e.Live:
-			returned, gone := h.returns[e.Machine]
-			drained := gone && returned.Sub(e.At) < maxDrainTime && e.At.Sub(back) > minKeepTime
-			moved[e.Task] = cancelled(uid) || on[here] > 1 || drained
-			if within && !moved[e.Task] {
-				faults = append(faults, fmt.Sprintf("%s attempt %d on %s is stopped without a cause", e.Task, e.Attempt, e.Machine))
+		case event.Kind == standin.EventOrdered && event.Verb == wire.VerbStop && event.Live:
+			returned, gone := h.returns[event.Machine]
+			drained := gone && returned.Sub(event.At) < maxDrainTime && event.At.Sub(back) > minKeepTime
+			moved[event.Task] = cancelled(uid) || on[here] > 1 || drained
+			if within && !moved[event.Task] {
+				faults = append(faults, fmt.Sprintf("%s attempt %d on %s is stopped without a cause", event.Task, event.Attempt, event.Machine))
 			}
-		case e.Kind == standin.EventEnded:
-			if within && e.Cause == standin.CauseGone && !cancelled(uid) {
-				faults = append(faults, fmt.Sprintf("%s attempt %d is on %s when that is returned", e.Task, e.Attempt, e.Machine))
+		case event.Kind == standin.EventEnded:
+			if within && event.Cause == standin.CauseGone && !cancelled(uid) {
+				faults = append(faults, fmt.Sprintf("%s attempt %d is on %s when that is returned", event.Task, event.Attempt, event.Machine))
 			}
-			if _, over := ended[e.Task]; !over && ran[e.Task] {
+			if _, over := ended[event.Task]; !over && ran[event.Task] {
 				on[here]--
 			}
-			ended[e.Task] = e.Cause
-		case e.Kind == standin.EventStarted:
-			why, over := ended[e.Task]
-			lost := over && (why == standin.CauseLapsed || why == standin.CauseGone || why == wire.CauseStopped && moved[e.Task])
-			if within && ran[e.Task] && !lost {
-				faults = append(faults, fmt.Sprintf("%s attempt %d starts on %s, though its run before was not lost: %q", e.Task, e.Attempt, e.Machine, why))
+			ended[event.Task] = event.Cause
+		case event.Kind == standin.EventStarted:
+			why, over := ended[event.Task]
+			lost := over && (why == standin.CauseLapsed || why == standin.CauseGone || why == wire.CauseStopped && moved[event.Task])
+			if within && ran[event.Task] && !lost {
+				faults = append(faults, fmt.Sprintf("%s attempt %d starts on %s, though its run before was not lost: %q", event.Task, event.Attempt, event.Machine, why))
 			}
-			delete(ended, e.Task)
-			ran[e.Task] = true
+			delete(ended, event.Task)
+			ran[event.Task] = true
 			on[here]++
 		}
 	}
@@ -139,8 +139,8 @@
 
 // lossSubmissions fills most of the machines of a scene: services, arrays that run throughout, a team at
 // its limit, jobs of one task, and jobs that are cancelled right before the loss.
-func lossSubmissions(machines int, lossAt float64) (users []submission) {
-	add := func(from, runs float64, mod func(sp *wire.Spec)) *submission {
+func lossSubmissions(machines int, lossAt float64) (users []scheduledSubmission) {
+	add := func(from, runs float64, mod func(spec *wire.Spec)) *scheduledSubmission {
 		users = append(users, newSubmission(len(users)+1, from, runs, mod))
 		return &users[len(users)-1]
 	}
@@ -148,52 +148,54 @@
 		add(2, 0, asService(machines/2))
 	}
 	for range 4 {
-		add(8, lossAt+40, func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = machines/2, true })
+		add(8, lossAt+40, func(spec *wire.Spec) { spec.Tasks, spec.Preemptible = machines/2, true })
 	}
 	for range 2 {
-		add(9, lossAt+20, func(sp *wire.Spec) { sp.Team, sp.Tasks = "tight", 5 })
+		add(9, lossAt+20, func(spec *wire.Spec) { spec.Team, spec.Tasks = "tight", 5 })
 	}
 	for range machines / 4 {
-		add(10, lossAt+30, func(sp *wire.Spec) { sp.Preemptible = true })
+		add(10, lossAt+30, func(spec *wire.Spec) { spec.Preemptible = true })
 	}
 	for range 3 {
-		u := add(12, lossAt+60, func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = 4, true })
-		u.cancelAfter = seconds(lossAt - 12.5)
+		submission := add(12, lossAt+60, func(spec *wire.Spec) { spec.Tasks, spec.Preemptible = 4, true })
+		submission.cancelAfter = seconds(lossAt - 12.5)
 	}
 	return users
 }
 
 // totalLoss is a scene in which all controllers end at once and some return after a spell.
 type totalLoss struct {
-	lossAtS  float64
-	outageS   float64 // until the first is back
-	returning int     // how many come back; the others stay away
-	timing  workerTiming  // of the workers, if not lossTiming
+	lossAtS   float64
+	outageS   float64      // until the first is back
+	returning int          // how many come back; the others stay away
+	timing    workerTiming // of the workers, if not lossTiming
 }
 
 // lossTiming is that of a usual platform.
 var lossTiming = workerTiming{report: 3 * time.Second, lease: 18 * time.Second, cancel: 43 * time.Second}
 
 // lostAt is when the controllers end: a second after its time, which the first leader has for itself.
-func (x totalLoss) lostAt(w *simulation) time.Time { return w.startedAt.Add(seconds(x.lossAtS + 1)) }
+func (x totalLoss) lostAt(sim *simulation) time.Time {
+	return sim.startedAt.Add(seconds(x.lossAtS + 1))
+}
 
-func (x totalLoss) schedule(machines int, h *eventLog) schedule {
-	s := schedule{seed: 5, duration: seconds(x.lossAtS + x.outageS + 90), firstLeader: 1, maxMachines: 3 * machines, submissions: lossSubmissions(machines, x.lossAtS), onEvent: h.record, timing: lossTiming}
+func (x totalLoss) schedule(machines int, events *eventLog) faultSchedule {
+	schedule := faultSchedule{seed: 5, duration: seconds(x.lossAtS + x.outageS + 90), firstLeader: 1, maxMachines: 3 * machines, submissions: lossSubmissions(machines, x.lossAtS), onEvent: events.record, timing: lossTiming}
 	if x.timing != (workerTiming{}) {
-		s.timing = x.timing
+		schedule.timing = x.timing
 	}
 	for node := range 3 {
 		away := seconds(x.outageS + 0.3*float64(node))
 		if node >= x.returning {
-			away = s.duration - seconds(x.lossAtS) // they are asked at the end
+			away = schedule.duration - seconds(x.lossAtS) // they are asked at the end
 		}
-		s.faults = append(s.faults, fault{kind: controllerKilled, at: seconds(x.lossAtS), duration: away, controller: node})
+		schedule.faults = append(schedule.faults, scheduledFault{kind: controllerKilled, at: seconds(x.lossAtS), duration: away, controller: node})
 	}
-	s.setup = func(w *simulation) {
-		note := w.cloud.Told
-		w.cloud.Told = func(what string) { note(what); h.recordCloud(what) }
+	schedule.setup = func(sim *simulation) {
+		note := sim.cloud.Told
+		sim.cloud.Told = func(what string) { note(what); events.recordCloud(what) }
 	}
-	return s
+	return schedule
 }
 
 // lossMeasurements are what a scene of a total loss measures, from the return of the first controller.
@@ -223,82 +225,82 @@
 }
 
 // playTotalLoss plays a scene and gives the faults that the histories show and the figures.
-func playTotalLoss(t *testing.T, x totalLoss, machines int, lose func(r *recovery.Records)) (broken []string, figures lossMeasurements) {
-	h := &eventLog{}
-	s := x.schedule(machines, h)
-	s.alterRecords = lose
-	figures.Scene = fmt.Sprintf("%d back after %.1f s", x.returning, x.outageS)
-	setup := s.setup
-	s.setup = func(w *simulation) {
-		setup(w)
-		w.wg.Go(func() { w.measureLoss(x, h, &figures) })
+func playTotalLoss(t *testing.T, loss totalLoss, machines int, lose func(r *recovery.Records)) (broken []string, figures lossMeasurements) {
+	events := &eventLog{}
+	schedule := loss.schedule(machines, events)
+	schedule.alterRecords = lose
+	figures.Scene = fmt.Sprintf("%d back after %.1f s", loss.returning, loss.outageS)
+	setup := schedule.setup
+	schedule.setup = func(sim *simulation) {
+		setup(sim)
+		sim.wg.Go(func() { sim.measureLoss(loss, events, &figures) })
 	}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newSimulation(ctx, t, s)
-		w.run()
+		sim := newSimulation(ctx, t, schedule)
+		sim.run()
 		if lose == nil {
-			w.checkAllServed()
+			sim.checkAllServed()
 		}
-		w.shutDown(cancel)
-		lost := x.lostAt(w)
-		broken = append(w.violations, h.violations(lost, lost.Add(seconds(x.outageS)), lost.Add(seconds(x.outageS)+recoveryCheckTime), func(uid string) bool { return w.views[uid].cancelRequested })...)
-		figures.Commands = h.count(lost.Add(seconds(x.outageS)), lost.Add(seconds(x.outageS)+recoveryCheckTime))
+		sim.shutDown(cancel)
+		lost := loss.lostAt(sim)
+		broken = append(sim.violations, events.violations(lost, lost.Add(seconds(loss.outageS)), lost.Add(seconds(loss.outageS)+recoveryCheckTime), func(uid string) bool { return sim.views[uid].cancelRequested })...)
+		figures.Commands = events.count(lost.Add(seconds(loss.outageS)), lost.Add(seconds(loss.outageS)+recoveryCheckTime))
 		if t.Failed() || len(broken) > 0 && lose == nil {
-			t.Logf("history:\n%s", strings.Join(w.history, "\n"))
+			t.Logf("history:\n%s", strings.Join(sim.history, "\n"))
 		}
 	})
 	return broken, figures
 }
 
 // measureLoss follows the recovery from the return of the first controller.
-func (w *simulation) measureLoss(x totalLoss, h *eventLog, f *lossMeasurements) {
-	back := x.lostAt(w).Add(seconds(x.outageS))
+func (w *simulation) measureLoss(loss totalLoss, events *eventLog, measured *lossMeasurements) {
+	back := loss.lostAt(w).Add(seconds(loss.outageS))
 	time.Sleep(time.Until(back))
 	requests, changes := w.state.Requests(), w.state.Puts()
 	const step = 250 * time.Millisecond
-	for w.ctx.Err() == nil && time.Since(back) < 60*time.Second && f.AllGoingS == 0 {
+	for w.ctx.Err() == nil && time.Since(back) < 60*time.Second && measured.AllGoingS == 0 {
 		time.Sleep(step)
 		since := time.Since(back).Seconds()
 		var report recovery.Report
-		if p := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1)); p != nil {
-			if l := p.current.Load(); l != nil {
-				report, _ = l.recoveryReport()
+		if process := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1)); process != nil {
+			if leader := process.current.Load(); leader != nil {
+				report, _ = leader.recoveryReport()
 			}
 		}
 		run, want := w.replicaCounts()
-		f.Progress = append(f.Progress, progressPoint{AtS: since, Awaited: report.Machines.Awaited, Reconciled: report.Machines.Reconciled, Replicas: run})
-		f.Machines = max(f.Machines, report.Machines.Recorded)
+		measured.Progress = append(measured.Progress, progressPoint{AtS: since, Awaited: report.Machines.Awaited, Reconciled: report.Machines.Reconciled, Replicas: run})
+		measured.Machines = max(measured.Machines, report.Machines.Recorded)
 		settled := report.Machines.Reconciled + report.Machines.Gone
-		if n := report.Machines.Recorded; n > 0 && f.MostReconciled == 0 && 10*settled >= 9*n {
-			f.MostReconciled = since
+		if n := report.Machines.Recorded; n > 0 && measured.MostReconciled == 0 && 10*settled >= 9*n {
+			measured.MostReconciled = since
 		}
 		if report.Stage == recovery.StageComplete && report.Machines.Recorded > 0 {
-			if f.AllReconciled == 0 {
-				f.AllReconciled = since
+			if measured.AllReconciled == 0 {
+				measured.AllReconciled = since
 			}
 			if run == want {
-				f.AllGoingS = since
-				f.StateRequests, f.StateChanges = w.state.Requests()-requests, w.state.Puts()-changes
+				measured.AllGoingS = since
+				measured.StateRequests, measured.StateChanges = w.state.Requests()-requests, w.state.Puts()-changes
 			}
 		}
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, e := range h.events {
-		if e.Kind == standin.EventOrdered && e.At.After(back) {
-			f.FirstOrderS = e.At.Sub(back).Seconds()
+	events.mu.Lock()
+	defer events.mu.Unlock()
+	for _, event := range events.events {
+		if event.Kind == standin.EventOrdered && event.At.After(back) {
+			measured.FirstOrderS = event.At.Sub(back).Seconds()
 			break
 		}
 	}
 }
 
 // saveMeasurements adds a scene's figures to the file that -loss.plot names, a line each.
-func saveMeasurements(f lossMeasurements) error {
+func saveMeasurements(measured lossMeasurements) error {
 	if *lossPlot == "" {
 		return nil
 	}
-	raw, err := json.Marshal(f)
+	encoded, err := json.Marshal(measured)
 	if err != nil {
 		return fmt.Errorf("figures: %w", err)
 	}
@@ -307,7 +309,7 @@
 		return fmt.Errorf("figures: %w", err)
 	}
 	defer file.Close()
-	if _, err := file.Write(append(raw, '\n')); err != nil {
+	if _, err := file.Write(append(encoded, '\n')); err != nil {
 		return fmt.Errorf("figures: %w", err)
 	}
 	return nil
--- a/harness_transport_test.go
+++ b/harness_transport_test.go
@@ -26,36 +26,36 @@
 
 // serveRequest lets one controller answer a request, from memory.
 func (w *simulation) serveRequest(ctx context.Context, node, method, path string, body []byte) (int, []byte, error) {
-	p := w.runningProcess(node)
-	if p == nil {
+	process := w.runningProcess(node)
+	if process == nil {
 		return 0, nil, errNoResponse
 	}
-	return w.serveByProcess(ctx, p, method, path, body)
+	return w.serveByProcess(ctx, process, method, path, body)
 }
 
 // serveByProcess lets one process of a controller answer a request, from memory.
-func (w *simulation) serveByProcess(ctx context.Context, p *process, method, path string, body []byte) (int, []byte, error) {
-	if w.runningProcess(p.name) != p {
+func (w *simulation) serveByProcess(ctx context.Context, process *controllerProcess, method, path string, body []byte) (int, []byte, error) {
+	if w.runningProcess(process.name) != process {
 		return 0, nil, errNoResponse
 	}
-	rec := httptest.NewRecorder()
-	p.router.ServeHTTP(rec, httptest.NewRequestWithContext(ctx, method, path, bytes.NewReader(body)))
-	if w.runningProcess(p.name) != p {
+	recorder := httptest.NewRecorder()
+	process.router.ServeHTTP(recorder, httptest.NewRequestWithContext(ctx, method, path, bytes.NewReader(body)))
+	if w.runningProcess(process.name) != process {
 		return 0, nil, errNoResponse // killed as it answered
 	}
-	return rec.Code, rec.Body.Bytes(), nil
+	return recorder.Code, recorder.Body.Bytes(), nil
 }
 
 // exchangeBuffered lets a controller answer a request over a network that can hold
 // messages. A request over an open connection arrives after the hold, though nobody
 // may wait for its answer any more; a connection can't be made meanwhile.
-func (w *simulation) exchangeBuffered(ctx context.Context, open *process, from, node, method, path string, body []byte) (int, []byte, error) {
-	p := open
-	if p == nil {
+func (w *simulation) exchangeBuffered(ctx context.Context, open *controllerProcess, from, node, method, path string, body []byte) (int, []byte, error) {
+	process := open
+	if process == nil {
 		if !w.network.AwaitBoth(ctx, from, node) {
 			return 0, nil, errNoResponse
 		}
-		if p = w.runningProcess(node); p == nil {
+		if process = w.runningProcess(node); process == nil {
 			return 0, nil, errNoResponse
 		}
 	}
@@ -68,13 +68,13 @@
 	w.wg.Go(func() {
 		late := w.network.Held(from, node)
 		w.network.Await(w.ctx, from, node)
-		status, raw, err := w.serveByProcess(w.ctx, p, method, path, body)
+		status, encoded, err := w.serveByProcess(w.ctx, process, method, path, body)
 		if late {
 			w.logf("%s of %s to %s was held: %d", path, from, node, status)
 		}
 		time.Sleep(w.latency(node, from))
 		w.network.Await(w.ctx, node, from)
-		done <- answer{status, raw, err}
+		done <- answer{status, encoded, err}
 	})
 	select {
 	case a := <-done:
@@ -85,21 +85,21 @@
 }
 
 // sendBufferedHeartbeat carries a worker's report over its connection, or a new one.
-func (w *simulation) sendBufferedHeartbeat(ctx context.Context, m *standin.Machine, node string, raw []byte) (int, []byte, error) {
+func (w *simulation) sendBufferedHeartbeat(ctx context.Context, machine *standin.Machine, node string, encoded []byte) (int, []byte, error) {
 	w.mu.Lock()
-	open := w.connections[m]
+	open := w.connections[machine]
 	w.mu.Unlock()
 	if open != nil && (open.name != node || w.runningProcess(node) != open) {
 		open = nil
 	}
-	status, body, err := w.exchangeBuffered(ctx, open, m.Host.UID, node, http.MethodPost, wire.PathHeartbeat, raw)
+	status, body, err := w.exchangeBuffered(ctx, open, machine.Host.UID, node, http.MethodPost, wire.PathHeartbeat, encoded)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.connections, m)
+	delete(w.connections, machine)
 	if err == nil && status == http.StatusOK {
-		for _, p := range w.processes {
-			if p.name == node && !p.stopped {
-				w.connections[m] = p
+		for _, process := range w.processes {
+			if process.name == node && !process.stopped {
+				w.connections[machine] = process
 			}
 		}
 	}
@@ -107,20 +107,20 @@
 }
 
 // sendHeartbeat carries a worker's report to a controller.
-func (w *simulation) sendHeartbeat(ctx context.Context, m *standin.Machine, node string, rep wire.Heartbeat) (int, []byte, error) {
-	raw, err := wire.Marshal(rep)
+func (w *simulation) sendHeartbeat(ctx context.Context, machine *standin.Machine, node string, report wire.Heartbeat) (int, []byte, error) {
+	encoded, err := wire.Marshal(report)
 	if err != nil {
 		return 0, nil, err
 	}
-	if x, ok := w.activeFault(heartbeatCopiesDelayed); ok {
+	if fault, ok := w.activeFault(heartbeatCopiesDelayed); ok {
 		w.wg.Go(func() {
 			select {
-			case <-time.After(x.delay):
+			case <-time.After(fault.delay):
 			case <-w.ctx.Done():
 				return
 			}
-			for _, n := range m.Nodes { // whoever leads then takes it in; its answer finds nobody
-				_, _, _ = w.serveRequest(w.ctx, n, http.MethodPost, wire.PathHeartbeat, raw)
+			for _, n := range machine.Nodes { // whoever leads then takes it in; its answer finds nobody
+				_, _, _ = w.serveRequest(w.ctx, n, http.MethodPost, wire.PathHeartbeat, encoded)
 			}
 		})
 	}
@@ -133,28 +133,28 @@
 					return
 				}
 			}
-			for _, n := range m.Nodes {
-				_, _, _ = w.serveRequest(w.ctx, n, http.MethodPost, wire.PathHeartbeat, raw)
+			for _, n := range machine.Nodes {
+				_, _, _ = w.serveRequest(w.ctx, n, http.MethodPost, wire.PathHeartbeat, encoded)
 			}
 		})
 	}
-	time.Sleep(w.latency(m.Host.UID, node))
+	time.Sleep(w.latency(machine.Host.UID, node))
 	w.mu.Lock()
-	mute := w.unreachableFrom[m]
+	mute := w.unreachableFrom[machine]
 	w.mu.Unlock()
-	if mute || w.network.Cut(m.Host.UID, node) {
+	if mute || w.network.Cut(machine.Host.UID, node) {
 		return 0, nil, errNoResponse
 	}
 	if w.schedule.buffersMessages {
-		status, body, err := w.sendBufferedHeartbeat(ctx, m, node, raw)
-		if m.Deaf() || w.network.Cut(node, m.Host.UID) {
+		status, body, err := w.sendBufferedHeartbeat(ctx, machine, node, encoded)
+		if machine.Deaf() || w.network.Cut(node, machine.Host.UID) {
 			return 0, nil, errNoResponse
 		}
 		return status, body, err
 	}
-	status, body, err := w.serveRequest(ctx, node, http.MethodPost, wire.PathHeartbeat, raw)
-	time.Sleep(w.latency(node, m.Host.UID))
-	if m.Deaf() || w.network.Cut(node, m.Host.UID) {
+	status, body, err := w.serveRequest(ctx, node, http.MethodPost, wire.PathHeartbeat, encoded)
+	time.Sleep(w.latency(node, machine.Host.UID))
+	if machine.Deaf() || w.network.Cut(node, machine.Host.UID) {
 		return 0, nil, errNoResponse
 	}
 	return status, body, err
@@ -164,32 +164,32 @@
 func (w *simulation) stateService(node string) http.Handler {
 	inner := w.state.Handler(node)
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		raw, err := io.ReadAll(r.Body)
+		encoded, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
 		handle := func(ctx context.Context) *httptest.ResponseRecorder {
-			rec := httptest.NewRecorder()
+			recorder := httptest.NewRecorder()
 			q := r.Clone(ctx)
-			q.Body = io.NopCloser(bytes.NewReader(raw))
-			inner.ServeHTTP(rec, q)
-			return rec
+			q.Body = io.NopCloser(bytes.NewReader(encoded))
+			inner.ServeHTTP(recorder, q)
+			return recorder
 		}
 		time.Sleep(w.latency(node, "state"))
-		if x, ok := w.activeFault(stateSlow); ok {
-			time.Sleep(x.delay)
+		if fault, ok := w.activeFault(stateSlow); ok {
+			time.Sleep(fault.delay)
 		}
-		if x, ok := w.activeFault(stateLinksSlow); ok {
-			time.Sleep(x.delay)
-			defer time.Sleep(x.delay)
+		if fault, ok := w.activeFault(stateLinksSlow); ok {
+			time.Sleep(fault.delay)
+			defer time.Sleep(fault.delay)
 		}
 		if r.URL.Path == wire.PathCommit {
-			if x, ok := w.activeFault(transactionsDelayed); ok {
+			if fault, ok := w.activeFault(transactionsDelayed); ok {
 				w.wg.Go(func() {
 					select {
-					case <-time.After(x.delay):
-						rec := handle(w.ctx)
-						w.logf("late transaction of %s: %d", node, rec.Code)
+					case <-time.After(fault.delay):
+						recorder := handle(w.ctx)
+						w.logf("late transaction of %s: %d", node, recorder.Code)
 					case <-w.ctx.Done():
 					}
 				})
@@ -201,9 +201,9 @@
 				panic(http.ErrAbortHandler)
 			}
 		}
-		rec := handle(r.Context())
+		recorder := handle(r.Context())
 		time.Sleep(w.latency("state", node))
-		rw.WriteHeader(rec.Code)
-		_, _ = rw.Write(rec.Body.Bytes())
+		rw.WriteHeader(recorder.Code)
+		_, _ = rw.Write(recorder.Body.Bytes())
 	})
 }
--- a/harness_users_test.go
+++ b/harness_users_test.go
@@ -15,19 +15,19 @@
 func (w *simulation) request(node int, method, path, uid string, body []byte) (int, wire.JobStatus) {
 	name := fmt.Sprintf("node-%d", node%3+1)
 	w.mu.Lock()
-	f := w.views[uid]
-	if f == nil {
-		f = &jobView{}
-		w.views[uid] = f
+	view := w.views[uid]
+	if view == nil {
+		view = &jobView{}
+		w.views[uid] = view
 	}
 	if method == http.MethodPost {
 		if strings.HasSuffix(path, wire.SuffixCancel) {
-			f.cancelRequested = true
+			view.cancelRequested = true
 		} else {
-			f.submitted = true
+			view.submitted = true
 		}
 	}
-	before := *f
+	before := *view
 	w.mu.Unlock()
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
@@ -36,17 +36,17 @@
 		return 0, wire.JobStatus{}
 	}
 	var status int
-	var raw []byte
+	var encoded []byte
 	var err error
 	if w.schedule.buffersMessages {
 		// Half of the requests come over connections that are open already.
-		var open *process
+		var open *controllerProcess
 		if w.latency(uid, name).Microseconds()%2 == 0 {
 			open = w.runningProcess(name)
 		}
-		status, raw, err = w.exchangeBuffered(ctx, open, "user", name, method, path, body)
+		status, encoded, err = w.exchangeBuffered(ctx, open, "user", name, method, path, body)
 	} else {
-		status, raw, err = w.serveRequest(ctx, name, method, path, body)
+		status, encoded, err = w.serveRequest(ctx, name, method, path, body)
 		time.Sleep(w.latency(name, "user"))
 	}
 	if w.network.Cut(name, "user") {
@@ -57,13 +57,13 @@
 	}
 	var v wire.JobStatus
 	if status == http.StatusOK || status == http.StatusCreated {
-		_ = wire.Unmarshal(raw, &v)
+		_ = wire.Unmarshal(encoded, &v)
 	}
 	w.logf("%s %s at %s: %d %s", method, path, name, status, v.Status)
 	w.mu.Lock()
 	all := w.remainingTasks[uid] == 0
-	submitted := f.submitted
-	cancels := f.cancelRequested
+	submitted := view.submitted
+	cancels := view.cancelRequested
 	w.mu.Unlock()
 	switch {
 	case status == http.StatusNotFound && before.accepted:
@@ -83,14 +83,14 @@
 	}
 	if status == http.StatusOK || status == http.StatusCreated {
 		w.mu.Lock()
-		news := !f.accepted || !f.done && v.Status == wire.JobDone || !f.cancelled && v.Status == wire.JobCancelled
-		if !f.accepted {
-			f.lastProgress = time.Now()
+		news := !view.accepted || !view.done && v.Status == wire.JobDone || !view.cancelled && v.Status == wire.JobCancelled
+		if !view.accepted {
+			view.lastProgress = time.Now()
 		}
-		f.accepted = true
-		f.done = f.done || v.Status == wire.JobDone
-		if !f.cancelled && v.Status == wire.JobCancelled {
-			f.cancelled, f.cancelledAt = true, time.Now()
+		view.accepted = true
+		view.done = view.done || v.Status == wire.JobDone
+		if !view.cancelled && v.Status == wire.JobCancelled {
+			view.cancelled, view.cancelledAt = true, time.Now()
 		}
 		w.mu.Unlock()
 		if news {
@@ -108,13 +108,13 @@
 }
 
 // playUser plays one user.
-func (w *simulation) playUser(u submission) {
-	uid := u.spec.UID
-	body := submissionBody(w.t, u.spec, nil)
+func (w *simulation) playUser(submission scheduledSubmission) {
+	uid := submission.spec.UID
+	body := submissionBody(w.t, submission.spec, nil)
 	path := wire.PathJobs + "/" + uid
 	over := w.startedAt.Add(w.schedule.duration + faultFreeTail - 5*time.Second)
 	for n := 0; ; n++ {
-		status, _ := w.request(n+u.firstController+int(w.schedule.seed), http.MethodPost, wire.PathJobs, uid, body)
+		status, _ := w.request(n+submission.firstController+int(w.schedule.seed), http.MethodPost, wire.PathJobs, uid, body)
 		if status == http.StatusCreated || status == http.StatusOK {
 			break
 		}
@@ -124,24 +124,24 @@
 		}
 		time.Sleep(time.Second)
 	}
-	if u.cancelAfter > 0 || u.cancelOnDone || u.cancelOnFault != "" {
+	if submission.cancelAfter > 0 || submission.cancelOnDone || submission.cancelOnFault != "" {
 		w.wg.Go(func() {
 			switch {
-			case u.cancelOnDone:
+			case submission.cancelOnDone:
 				select {
 				case <-w.allTasksDone[uid]:
 				case <-w.ctx.Done():
 					return
 				}
-			case u.cancelOnFault != "":
+			case submission.cancelOnFault != "":
 				for time.Now().Before(over) {
-					if _, ok := w.activeFault(u.cancelOnFault); ok {
+					if _, ok := w.activeFault(submission.cancelOnFault); ok {
 						break
 					}
 					time.Sleep(5 * time.Millisecond)
 				}
 			default:
-				time.Sleep(u.cancelAfter)
+				time.Sleep(submission.cancelAfter)
 			}
 			for n := 0; time.Now().Before(over); n++ {
 				if status, _ := w.request(n, http.MethodPost, path+"/"+wire.SuffixCancel, uid, nil); status == http.StatusOK {
@@ -153,16 +153,16 @@
 	}
 	for n := 0; time.Now().Before(over); n++ {
 		time.Sleep(3 * time.Second)
-		_, v := w.request(n+u.firstController, http.MethodGet, path, uid, nil)
-		if u.stopsPolling {
-			if v.Status == wire.JobDone || v.Status == wire.JobCancelled {
+		_, status := w.request(n+submission.firstController, http.MethodGet, path, uid, nil)
+		if submission.stopsPolling {
+			if status.Status == wire.JobDone || status.Status == wire.JobCancelled {
 				return
 			}
 			continue
 		}
-		if u.resubmits && n%4 == 1 {
+		if submission.resubmits && n%4 == 1 {
 			w.request(n+1, http.MethodPost, wire.PathJobs, uid, body)
-			w.request(n+2, http.MethodPost, wire.PathJobs, uid, submissionBody(w.t, u.spec, func(m map[string]any) { m["cores"] = -1 }))
+			w.request(n+2, http.MethodPost, wire.PathJobs, uid, submissionBody(w.t, submission.spec, func(m map[string]any) { m["cores"] = -1 }))
 		}
 		w.request(n+2, http.MethodGet, wire.PathJobs+"/j-999", "j-999", nil)
 	}
--- a/harness_world_test.go
+++ b/harness_world_test.go
@@ -18,62 +18,62 @@
 // jobView is the most that users were told of a job.
 type jobView struct {
 	submitted, accepted, done, cancelled, cancelRequested bool
-	cancelledAt                            time.Time
-	lastProgress                                  time.Time // when it was accepted, or one of its tasks began last
+	cancelledAt                                           time.Time
+	lastProgress                                          time.Time // when it was accepted, or one of its tasks began last
 }
 
 // simulation is a whole platform on virtual time, and what is seen of it from outside.
 type simulation struct {
-	t     *testing.T
-	schedule     schedule
-	ctx   context.Context
+	t         *testing.T
+	schedule  faultSchedule
+	ctx       context.Context
 	network   *standin.Network
-	state *standin.State
-	cloud *standin.Fleet
+	state     *standin.State
+	cloud     *standin.Fleet
 	startedAt time.Time
-	wg    sync.WaitGroup
+	wg        sync.WaitGroup
 
-	mu      sync.Mutex // guards all below
-	processes   []*process
+	mu              sync.Mutex // guards all below
+	processes       []*controllerProcess
 	processCount    int
-	specs   map[string]wire.Spec
-	views   map[string]*jobView
-	doneTasks    map[string]bool
-	remainingTasks    map[string]int
-	allTasksDone   map[string]chan struct{} // closed when a job's last task is done
-	activeFaults  map[int]fault
-	faultCounts map[string]int // troubles of a kind that go on for one node or machine
-	hangTimes   map[*standin.Machine]time.Duration
-	unreachableFrom   map[*standin.Machine]bool
-	failingMachines  map[*standin.Machine]bool
-	connections   map[*standin.Machine]*process        // whom a worker has a connection to
-	acceptedBy  map[string]map[*standin.Machine]bool // machines that took tasks of a job
-	firstStarts   map[string]time.Time                 // when a task first began
-	lastTeamStarts  map[string]time.Time                 // when a task of a team last began
-	history []string
-	violations  []string
-	reportedLate   map[string]bool // cancelled jobs whose tasks were found too late, told once
+	specs           map[string]wire.Spec
+	views           map[string]*jobView
+	doneTasks       map[string]bool
+	remainingTasks  map[string]int
+	allTasksDone    map[string]chan struct{} // closed when a job's last task is done
+	activeFaults    map[int]scheduledFault
+	faultCounts     map[string]int // troubles of a kind that go on for one node or machine
+	hangTimes       map[*standin.Machine]time.Duration
+	unreachableFrom map[*standin.Machine]bool
+	failingMachines map[*standin.Machine]bool
+	connections     map[*standin.Machine]*controllerProcess // whom a worker has a connection to
+	acceptedBy      map[string]map[*standin.Machine]bool    // machines that took tasks of a job
+	firstStarts     map[string]time.Time                    // when a task first began
+	lastTeamStarts  map[string]time.Time                    // when a task of a team last began
+	history         []string
+	violations      []string
+	reportedLate    map[string]bool // cancelled jobs whose tasks were found too late, told once
 }
 
 // bootMachine plays a rented machine.
-func (w *simulation) bootMachine(h wire.Machine, b wire.MachineType) *standin.Machine {
-	m := &standin.Machine{Host: h, Build: b, Report: w.schedule.timing.report, Lease: w.schedule.timing.lease, Nodes: []string{"node-1", "node-2", "node-3"},
+func (w *simulation) bootMachine(host wire.Machine, b wire.MachineType) *standin.Machine {
+	machine := &standin.Machine{Host: host, Build: b, Report: w.schedule.timing.report, Lease: w.schedule.timing.lease, Nodes: []string{"node-1", "node-2", "node-3"},
 		Beat: w.sendHeartbeat, Ledger: w, Watch: w.schedule.onEvent}
-	m.Held = func() time.Duration {
-		if x, ok := w.activeFault(commandsDelayed); ok {
-			w.logf("command to %s held up for %v", h.UID, x.delay)
-			return x.delay
+	machine.Held = func() time.Duration {
+		if fault, ok := w.activeFault(commandsDelayed); ok {
+			w.logf("command to %s held up for %v", host.UID, fault.delay)
+			return fault.delay
 		}
-		return w.latency("", h.UID)
+		return w.latency("", host.UID)
 	}
-	m.Again = func() []time.Duration {
-		if x, ok := w.activeFault(commandsRepeated); ok {
-			return []time.Duration{10 * time.Millisecond, x.delay / 2, x.delay}
+	machine.Again = func() []time.Duration {
+		if fault, ok := w.activeFault(commandsRepeated); ok {
+			return []time.Duration{10 * time.Millisecond, fault.delay / 2, fault.delay}
 		}
 		return nil
 	}
-	w.network.Place(h.UID, h.Zone)
-	after := time.Second + 400*(w.latency("boot", h.UID)-w.schedule.extraLatency)
+	w.network.Place(host.UID, host.Zone)
+	after := time.Second + 400*(w.latency("boot", host.UID)-w.schedule.extraLatency)
 	if w.schedule.bootTime > 0 {
 		after = w.schedule.bootTime
 	}
@@ -82,13 +82,13 @@
 		if w.ctx.Err() != nil {
 			return
 		}
-		w.logf("%s is up (%s, loaned %v)", h.UID, h.Zone, h.Preemptible)
-		m.Begin(w.ctx)
-		stop := w.network.Serve(h.Endpoint, m)
+		w.logf("%s is up (%s, loaned %v)", host.UID, host.Zone, host.Preemptible)
+		machine.Begin(w.ctx)
+		stop := w.network.Serve(host.Endpoint, machine)
 		defer stop()
-		m.Run()
+		machine.Run()
 	})
-	return m
+	return machine
 }
 
 // controllerZones are the zones of the controllers: each has one, the third without machines.
@@ -98,61 +98,61 @@
 const listLag = 2 * time.Second
 
 // newSimulation sets a whole platform up. It ends with ctx.
-func newSimulation(ctx context.Context, t *testing.T, s schedule) *simulation {
-	if s.timing == (workerTiming{}) {
-		s.timing = defaultTiming
+func newSimulation(ctx context.Context, t *testing.T, schedule faultSchedule) *simulation {
+	if schedule.timing == (workerTiming{}) {
+		schedule.timing = defaultTiming
 	}
-	w := &simulation{t: t, schedule: s, ctx: ctx, network: standin.NewNetwork(), state: standin.NewState(standin.NewSteady()), startedAt: time.Now(),
+	sim := &simulation{t: t, schedule: schedule, ctx: ctx, network: standin.NewNetwork(), state: standin.NewState(standin.NewSteady()), startedAt: time.Now(),
 		specs: map[string]wire.Spec{}, views: map[string]*jobView{}, doneTasks: map[string]bool{}, remainingTasks: map[string]int{},
-		allTasksDone: map[string]chan struct{}{}, activeFaults: map[int]fault{}, faultCounts: map[string]int{}, hangTimes: map[*standin.Machine]time.Duration{},
-		unreachableFrom: map[*standin.Machine]bool{}, failingMachines: map[*standin.Machine]bool{}, connections: map[*standin.Machine]*process{}, acceptedBy: map[string]map[*standin.Machine]bool{}, firstStarts: map[string]time.Time{}, lastTeamStarts: map[string]time.Time{}, reportedLate: map[string]bool{}}
+		allTasksDone: map[string]chan struct{}{}, activeFaults: map[int]scheduledFault{}, faultCounts: map[string]int{}, hangTimes: map[*standin.Machine]time.Duration{},
+		unreachableFrom: map[*standin.Machine]bool{}, failingMachines: map[*standin.Machine]bool{}, connections: map[*standin.Machine]*controllerProcess{}, acceptedBy: map[string]map[*standin.Machine]bool{}, firstStarts: map[string]time.Time{}, lastTeamStarts: map[string]time.Time{}, reportedLate: map[string]bool{}}
 	for i, zone := range controllerZones {
-		w.network.Place(fmt.Sprintf("node-%d", i+1), zone)
+		sim.network.Place(fmt.Sprintf("node-%d", i+1), zone)
 	}
-	w.network.Latency = w.latency
+	sim.network.Latency = sim.latency
 	small := largeMachineType
 	small.SKU, small.Cores, small.RAM, small.HourlyPrice, small.SpotPrice = "s", 4, 16, 0.5, 0.2
 	big := largeMachineType
 	big.BootS, small.BootS = 2, 2
 	big.FetchGBs, small.FetchGBs = 4, 4
 	big.CacheGB, small.CacheGB = 100, 100
-	w.cloud = &standin.Fleet{Builds: []wire.MachineType{big, small}, Most: 12, Boot: w.bootMachine,
-		Told: func(what string) { w.logf("cloud: %s", what) }}
-	if s.maxMachines > 0 {
-		w.cloud.Most = s.maxMachines
-	}
-	if s.listLags {
-		w.cloud.Lag = func() time.Duration {
-			return listLag + listLag*time.Duration(w.latency("list", "").Microseconds()%1000)/1000
+	sim.cloud = &standin.Fleet{Builds: []wire.MachineType{big, small}, Most: 12, Boot: sim.bootMachine,
+		Told: func(what string) { sim.logf("cloud: %s", what) }}
+	if schedule.maxMachines > 0 {
+		sim.cloud.Most = schedule.maxMachines
+	}
+	if schedule.listLags {
+		sim.cloud.Lag = func() time.Duration {
+			return listLag + listLag*time.Duration(sim.latency("list", "").Microseconds()%1000)/1000
 		}
 	}
-	w.cloud.Rental = func() (refused bool, late time.Duration) {
-		_, refused = w.activeFault(rentalsRefused)
-		x, _ := w.activeFault(rentalAnswersDelayed)
-		return refused, x.delay
+	sim.cloud.Rental = func() (refused bool, late time.Duration) {
+		_, refused = sim.activeFault(rentalsRefused)
+		fault, _ := sim.activeFault(rentalAnswersDelayed)
+		return refused, fault.delay
 	}
-	for _, u := range s.submissions {
-		w.specs[u.spec.UID] = u.spec
-		w.remainingTasks[u.spec.UID] = u.spec.Tasks
-		w.allTasksDone[u.spec.UID] = make(chan struct{})
-		w.views[u.spec.UID] = &jobView{}
+	for _, submission := range schedule.submissions {
+		sim.specs[submission.spec.UID] = submission.spec
+		sim.remainingTasks[submission.spec.UID] = submission.spec.Tasks
+		sim.allTasksDone[submission.spec.UID] = make(chan struct{})
+		sim.views[submission.spec.UID] = &jobView{}
 	}
-	w.network.Queues = s.buffersMessages
-	w.cloud.Late = func(path string) time.Duration {
+	sim.network.Queues = schedule.buffersMessages
+	sim.cloud.Late = func(path string) time.Duration {
 		kind := rentalsDelayed
 		if path == wire.PathReturn {
 			kind = returnsDelayed
 		}
-		x, ok := w.activeFault(kind)
+		fault, ok := sim.activeFault(kind)
 		if ok {
-			w.logf("cloud: %s in %v", kind, x.delay)
+			sim.logf("cloud: %s in %v", kind, fault.delay)
 		}
-		return x.delay
+		return fault.delay
 	}
-	if s.setup != nil {
-		s.setup(w)
+	if schedule.setup != nil {
+		schedule.setup(sim)
 	}
-	return w
+	return sim
 }
 
 // run runs the schedule and its quiet tail.
@@ -178,16 +178,16 @@
 		}
 	}
 	w.wg.Go(w.monitor)
-	for i, x := range w.schedule.faults {
+	for i, fault := range w.schedule.faults {
 		w.wg.Go(func() {
-			time.Sleep(x.at)
-			w.injectFault(i, x)
+			time.Sleep(fault.at)
+			w.injectFault(i, fault)
 		})
 	}
-	for _, u := range w.schedule.submissions {
+	for _, submission := range w.schedule.submissions {
 		w.wg.Go(func() {
-			time.Sleep(u.after)
-			w.playUser(u)
+			time.Sleep(submission.after)
+			w.playUser(submission)
 		})
 	}
 	time.Sleep(w.schedule.duration + faultFreeTail)
@@ -195,8 +195,8 @@
 	w.mu.Lock()
 	all := slices.Clone(w.processes)
 	w.mu.Unlock()
-	for _, p := range all {
-		p.stop()
+	for _, process := range all {
+		process.stop()
 	}
 	stopState()
 	stopCloud()
@@ -214,24 +214,24 @@
 
 // playSchedule plays a schedule, and fails for every rule that is broken. After the
 // quiet tail it lets after look at the world, which goes on then.
-func playSchedule(t *testing.T, s schedule, after func(w *simulation)) {
+func playSchedule(t *testing.T, schedule faultSchedule, after func(sim *simulation)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newSimulation(ctx, t, s)
-		w.run()
+		sim := newSimulation(ctx, t, schedule)
+		sim.run()
 		if after != nil {
-			after(w)
+			after(sim)
 		}
-		w.shutDown(cancel)
-		for _, b := range w.violations {
+		sim.shutDown(cancel)
+		for _, b := range sim.violations {
 			t.Error(b)
 		}
 		if !t.Failed() {
 			return
 		}
-		for _, x := range w.schedule.faults {
-			t.Log(x)
+		for _, fault := range sim.schedule.faults {
+			t.Log(fault)
 		}
-		t.Logf("history of seed %d:\n%s", s.seed, strings.Join(w.history, "\n"))
+		t.Logf("history of seed %d:\n%s", schedule.seed, strings.Join(sim.history, "\n"))
 	})
 }
--- a/heartbeat_test.go
+++ b/heartbeat_test.go
@@ -13,20 +13,20 @@
 // where it lies in the body, not copied and not decoded.
 func TestUnchangedReportAllocatesLittle(t *testing.T) {
 	allocs := func(machines, tasks int) float64 {
-		_, l := trustedFleet(t, machines, tasks)
-		raw := encodeReport(t, fleetReport(0, tasks, 1, l.term.Token))
-		tally := uint64(100)
+		_, leader := trustedFleet(t, machines, tasks)
+		encoded := encodeReport(t, fleetReport(0, tasks, 1, leader.term.Token))
+		sequence := uint64(100)
 		heartbeat := func() {
-			tally++
-			setSequence(t, raw, tally)
-			rep, err := wire.DecodeHeartbeat(raw)
+			sequence++
+			setSequence(t, encoded, sequence)
+			report, err := wire.DecodeHeartbeat(encoded)
 			if err != nil {
 				t.Fatal(err)
 			}
-			ans, ok := l.Heartbeat(&rep)
+			response, ok := leader.Heartbeat(&report)
 			// The first list that comes as bytes is new.
-			if !ok || len(ans.Commands) != 0 || rep.Tasks != nil && tally > 101 {
-				t.Fatalf("answered %t with %d orders, %d tasks decoded", ok, len(ans.Commands), len(rep.Tasks))
+			if !ok || len(response.Commands) != 0 || report.Tasks != nil && sequence > 101 {
+				t.Fatalf("answered %t with %d orders, %d tasks decoded", ok, len(response.Commands), len(report.Tasks))
 			}
 		}
 		heartbeat()
@@ -42,48 +42,48 @@
 // A copy of an old report that reaches a new leader first proves nothing, does
 // not make the machine trusted, and moves nothing.
 func TestLateCopyReachesNewLeaderFirst(t *testing.T) {
-	s := newTestCluster(t)
-	a, b := s.node(nil), s.node(nil)
-	ga, stop := s.elect(a)
-	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
-	heartbeat(t, ga, w)
-	old := w.Report() // shows nothing yet
-	s.submit(a, jobSpec("j-1", nil))
-	s.resync(ga)
-	s.settle(ga)
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	oldLeader, stop := cluster.elect(nodeA)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, oldLeader, worker)
+	old := worker.Report() // shows nothing yet
+	cluster.submit(nodeA, jobSpec("j-1", nil))
+	cluster.resync(oldLeader)
+	cluster.settle(oldLeader)
 	stop()
-	gb, _ := s.elect(b)
-	deliverReport(t, gb, old)
-	deliverReport(t, gb, old)
-	if s.machineUsable(gb, "n-1") {
+	newLeader, _ := cluster.elect(nodeB)
+	deliverReport(t, newLeader, old)
+	deliverReport(t, newLeader, old)
+	if cluster.machineUsable(newLeader, "n-1") {
 		t.Fatal("trusted on a copy from before the term")
 	}
-	heartbeat(t, gb, other)
-	s.settle(gb)
+	heartbeat(t, newLeader, other)
+	cluster.settle(newLeader)
 	if len(other.Starts()) != 0 {
 		t.Fatalf("started elsewhere on the word of a late copy: %v", other.Starts())
 	}
-	heartbeat(t, gb, w)
-	s.settle(gb)
-	deliverReport(t, gb, old)
-	s.settle(gb)
-	if len(w.Starts())+len(other.Starts()) != 1 {
-		t.Errorf("starts %v and %v", w.Starts(), other.Starts())
+	heartbeat(t, newLeader, worker)
+	cluster.settle(newLeader)
+	deliverReport(t, newLeader, old)
+	cluster.settle(newLeader)
+	if len(worker.Starts())+len(other.Starts()) != 1 {
+		t.Errorf("starts %v and %v", worker.Starts(), other.Starts())
 	}
 }
 
 // A result in a late copy that the record does not know is nobody's: only the
 // attempt on record can end the task.
 func TestLateCopyBringsNoResult(t *testing.T) {
-	s, n, l, w := clusterWithWorker(t)
-	s.submit(n, jobSpec("j-1", nil))
-	s.resync(l)
-	s.settle(l)
-	copied := w.Report()
+	cluster, node, leader, worker := clusterWithWorker(t)
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	copied := worker.Report()
 	copied.Tasks = []wire.TaskReport{{Task: "j-1/0", Attempt: 7, Status: wire.TaskEnded, Cause: wire.CauseDone}}
-	deliverReport(t, l, copied)
-	s.settle(l)
-	if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status == wire.JobDone {
+	deliverReport(t, leader, copied)
+	cluster.settle(leader)
+	if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
 		t.Error("done by an attempt that was never made")
 	}
 }
@@ -97,81 +97,81 @@
 }
 
 func checkOldReports(t *testing.T, cancel bool) {
-	s := newTestCluster(t)
-	a, b := s.node(withTeamLimit(2)), s.node(withTeamLimit(2))
-	l, stop := s.elect(a)
-	w, other := s.worker("n-1", "x", true), s.worker("n-2", "y", true)
-	heartbeat(t, l, w)
-	copies := []wire.Heartbeat{w.Report()} // nothing there yet
-	s.submit(a, jobSpec("j-1", nil))
-	s.resync(l)
-	s.settle(l)
-	copies = append(copies, w.Report()) // the first attempt, in the first session
-	w.Expire()
-	heartbeat(t, l, w)
-	copies = append(copies, w.Report()) // nothing there, in the second session
-	s.settle(l)
-	if got := w.Starts(); len(got) != 2 {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(withTeamLimit(2)), cluster.node(withTeamLimit(2))
+	leader, stop := cluster.elect(nodeA)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, leader, worker)
+	copies := []wire.Heartbeat{worker.Report()} // nothing there yet
+	cluster.submit(nodeA, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	copies = append(copies, worker.Report()) // the first attempt, in the first session
+	worker.Expire()
+	heartbeat(t, leader, worker)
+	copies = append(copies, worker.Report()) // nothing there, in the second session
+	cluster.settle(leader)
+	if got := worker.Starts(); len(got) != 2 {
 		t.Fatalf("starts %v", got)
 	}
 	stop()
 	if cancel {
-		if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
+		if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
 			t.Fatalf("abort: %d", code)
 		}
 	}
-	s.submit(b, jobSpec("j-2", nil)) // the team's limit keeps it waiting
-	l, _ = s.elect(b)
-	b.current.Store(l)
+	cluster.submit(nodeB, jobSpec("j-2", nil)) // the team's limit keeps it waiting
+	leader, _ = cluster.elect(nodeB)
+	nodeB.current.Store(leader)
 	all := func() {
 		t.Helper()
 		for _, c := range copies {
-			if _, ok := a.Heartbeat(&c); ok {
+			if _, ok := nodeA.Heartbeat(&c); ok {
 				t.Error("answered by a controller that does not lead")
 			}
-			if ans, ok := b.Heartbeat(&c); ok {
-				for _, o := range ans.Commands {
-					if o.Verb == wire.VerbRun && o.Attempt != 2 {
-						t.Errorf("a copy is answered with %+v", o)
+			if response, ok := nodeB.Heartbeat(&c); ok {
+				for _, command := range response.Commands {
+					if command.Verb == wire.VerbRun && command.Attempt != 2 {
+						t.Errorf("a copy is answered with %+v", command)
 					}
 				}
 			}
 		}
-		heartbeat(t, l, other)
-		s.settle(l)
-		if got := append(w.Starts(), other.Starts()...); len(got) != 2 {
+		heartbeat(t, leader, other)
+		cluster.settle(leader)
+		if got := append(worker.Starts(), other.Starts()...); len(got) != 2 {
 			t.Fatalf("started on the word of old reports: %v", got)
 		}
 	}
 	all()
-	if s.machineUsable(l, "n-1") {
+	if cluster.machineUsable(leader, "n-1") {
 		t.Error("trusted on copies from before the term")
 	}
 	all()
 	if cancel {
 		for range 3 {
-			heartbeat(t, l, w)
-			s.settle(l)
-			heartbeat(t, l, other)
+			heartbeat(t, leader, worker)
+			cluster.settle(leader)
+			heartbeat(t, leader, other)
 		}
-		if got := append(w.Live(), other.Live()...); !slices.Equal(got, []string{"j-2/0"}) {
+		if got := append(worker.Live(), other.Live()...); !slices.Equal(got, []string{"j-2/0"}) {
 			t.Errorf("on the machines %v after the worker itself reported", got)
 		}
 		return
 	}
-	heartbeat(t, l, w)
-	s.settle(l)
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
 	slices.Reverse(copies) // the oldest comes last
 	all()
-	l.mu.Lock()
-	if machine := l.fleet.Machine("n-1"); machine.Incarnation != 2 || !machine.Reported || machine.LiveCount() != 1 {
+	leader.mu.Lock()
+	if machine := leader.fleet.Machine("n-1"); machine.Incarnation != 2 || !machine.Reported || machine.LiveCount() != 1 {
 		t.Errorf("after copies came behind newer reports: session %d, trusted %t, %d tasks", machine.Incarnation, machine.Reported, machine.LiveCount())
 	}
-	l.mu.Unlock()
-	if got := w.Live(); !slices.Equal(got, []string{"j-1/0"}) {
+	leader.mu.Unlock()
+	if got := worker.Live(); !slices.Equal(got, []string{"j-1/0"}) {
 		t.Errorf("on the machine %v", got)
 	}
-	if _, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status == wire.JobDone {
+	if _, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
 		t.Error("done on the word of a copy")
 	}
 }
@@ -182,18 +182,18 @@
 func TestSurgeAfterAllControllersEnded(t *testing.T) {
 	const tasks = 4
 	visits := func(machines int) float64 {
-		_, l := adoptedFleet(t, machines, tasks)
-		l.fleet.Examined = 0
-		for tally, token := range []uint64{0, l.term.Token} {
+		_, leader := adoptedFleet(t, machines, tasks)
+		leader.fleet.Examined = 0
+		for tally, token := range []uint64{0, leader.term.Token} {
 			for i := range machines {
-				ans, ok := l.Heartbeat(fleetReport(i, tasks, uint64(tally)+1, token))
-				if !ok || len(ans.Commands) != 0 || ans.Token != l.term.Token {
-					t.Fatalf("machine %d of %d: answered %t, %+v", i, machines, ok, ans)
+				response, ok := leader.Heartbeat(fleetReport(i, tasks, uint64(tally)+1, token))
+				if !ok || len(response.Commands) != 0 || response.Token != leader.term.Token {
+					t.Fatalf("machine %d of %d: answered %t, %+v", i, machines, ok, response)
 				}
 			}
 		}
-		per := float64(l.fleet.Examined) / float64(2*machines)
-		if up := l.fleet.ReportingCount(); up != machines {
+		per := float64(leader.fleet.Examined) / float64(2*machines)
+		if up := leader.fleet.ReportingCount(); up != machines {
 			t.Errorf("%d of %d machines are trusted", up, machines)
 		}
 		return per
--- a/job_load_test.go
+++ b/job_load_test.go
@@ -18,18 +18,18 @@
 // midst, and a change of leaders neither loses a task nor runs one twice.
 func TestHugeBatch(t *testing.T) {
 	run := func(tasks int) (changes, visits float64) {
-		s := newTestCluster(t)
-		a, b := s.node(nil), s.node(nil)
-		l, stop := s.elect(a)
-		var ws []*standin.Worker
+		cluster := newTestCluster(t)
+		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+		leader, stop := cluster.elect(nodeA)
+		var workers []*standin.Worker
 		for i := range 16 {
-			w := s.worker(fmt.Sprintf("n-%02d", i+1), "x", true)
-			heartbeat(t, l, w)
-			ws = append(ws, w)
+			worker := cluster.worker(fmt.Sprintf("n-%02d", i+1), "x", true)
+			heartbeat(t, leader, worker)
+			workers = append(workers, worker)
 		}
-		s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "low", tasks, 0.25, 0.9 }))
-		s.resync(l)
-		before := s.state.Puts()
+		cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Priority, spec.Tasks, spec.Cores, spec.RAM = "low", tasks, 0.25, 0.9 }))
+		cluster.resync(leader)
+		before := cluster.state.Puts()
 		looked, done := 0, 0
 		for round := 0; done < tasks; round++ {
 			if round > 20+tasks/100 {
@@ -37,34 +37,34 @@
 			}
 			if round == 4 {
 				stop()
-				l, _ = s.elect(b)
+				leader, _ = cluster.elect(nodeB)
 			}
 			if round == 6 {
-				s.submit(b, jobSpec("j-2", func(sp *wire.Spec) { sp.Priority, sp.Cores, sp.RAM = "high", 2, 4 }))
-				s.resync(l)
+				cluster.submit(nodeB, jobSpec("j-2", func(spec *wire.Spec) { spec.Priority, spec.Cores, spec.RAM = "high", 2, 4 }))
+				cluster.resync(leader)
 			}
-			l.pass(t.Context())
-			for _, w := range ws {
-				heartbeat(t, l, w) // takes its orders
+			leader.pass(t.Context())
+			for _, worker := range workers {
+				heartbeat(t, leader, worker) // takes its orders
 			}
-			for _, w := range ws {
-				for _, p := range w.Live() {
+			for _, worker := range workers {
+				for _, p := range worker.Live() {
 					if strings.HasPrefix(p, "j-1/") {
-						w.End(p, wire.CauseDone)
+						worker.End(p, wire.CauseDone)
 					}
 				}
-				heartbeat(t, l, w)
+				heartbeat(t, leader, worker)
 			}
-			s.advance(time.Second)
-			l.mu.Lock()
-			done = l.jobs.Get("j-1").Done
-			looked, l.fleet.Examined = looked+l.fleet.Examined, 0
-			l.mu.Unlock()
+			cluster.advance(time.Second)
+			leader.mu.Lock()
+			done = leader.jobs.Get("j-1").Done
+			looked, leader.fleet.Examined = looked+leader.fleet.Examined, 0
+			leader.mu.Unlock()
 		}
-		s.settle(l)
+		cluster.settle(leader)
 		starts := map[string]int{}
-		for _, w := range ws {
-			for _, k := range w.Starts() {
+		for _, worker := range workers {
+			for _, k := range worker.Starts() {
 				starts[k]++
 			}
 		}
@@ -80,10 +80,10 @@
 		if len(starts) < tasks || len(starts) > tasks+600 {
 			t.Errorf("%d attempts of %d tasks", len(starts), tasks)
 		}
-		if _, v, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobDone || v.Done != tasks {
-			t.Errorf("%+v, want done", v)
+		if _, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobDone || status.Done != tasks {
+			t.Errorf("%+v, want done", status)
 		}
-		return float64(s.state.Puts()-before) / float64(tasks), float64(looked) / float64(tasks)
+		return float64(cluster.state.Puts()-before) / float64(tasks), float64(looked) / float64(tasks)
 	}
 	c1, v1 := run(5_000)
 	c2, v2 := run(25_000)
@@ -93,19 +93,19 @@
 }
 
 // retainedCounts is how much a leader and the state service keep.
-func (s *testCluster) retainedCounts(l *leader) map[string]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (s *testCluster) retainedCounts(leader *leader) map[string]int {
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
 	bookings := 0
-	l.fleet.EachMachine(func(machine *fleet.Machine) { bookings += machine.AllocationCount() })
+	leader.fleet.EachMachine(func(machine *fleet.Machine) { bookings += machine.AllocationCount() })
 	rows := 0
 	for _, k := range s.state.Keys(store.PrefixShared) {
-		var rec store.SharedRecord
-		s.state.Value(k, &rec)
-		rows += len(rec.Rows)
+		var record store.SharedRecord
+		s.state.Value(k, &record)
+		rows += len(record.Rows)
 	}
-	left := l.writer.Backlog()
-	return map[string]int{"jobs": l.jobs.Len(), "dirty": left.Dirty, "pending results": left.PendingResults, "queue": l.jobs.WaitingLen(), "stale shared records": left.StaleShared, "final moves": left.FinalMoves,
+	left := leader.writer.Backlog()
+	return map[string]int{"jobs": leader.jobs.Len(), "dirty": left.Dirty, "pending results": left.PendingResults, "queue": leader.jobs.WaitingLen(), "stale shared records": left.StaleShared, "final moves": left.FinalMoves,
 		"bookings": bookings, "unfinished jobs": len(s.state.Keys(store.PrefixJob)), "shared records": len(s.state.Keys(store.PrefixShared)),
 		"rows": rows, "records": len(s.state.Keys(store.PrefixAttempts))}
 }
@@ -115,14 +115,14 @@
 // the jobs that are there, and nothing is left of those that are over.
 func TestSwarmWithCancelsLeavesNothing(t *testing.T) {
 	const perSecond, lasts = 4, 150
-	s := newTestCluster(t)
-	nodes := []*Service{s.node(nil), s.node(nil)}
-	l, stop := s.elect(nodes[0])
-	var ws []*standin.Worker
+	cluster := newTestCluster(t)
+	nodes := []*Service{cluster.node(nil), cluster.node(nil)}
+	leader, stop := cluster.elect(nodes[0])
+	var workers []*standin.Worker
 	for i := range 3 {
-		w := s.worker(fmt.Sprintf("n-%d", i+1), "x", true)
-		heartbeat(t, l, w)
-		ws = append(ws, w)
+		worker := cluster.worker(fmt.Sprintf("n-%d", i+1), "x", true)
+		heartbeat(t, leader, worker)
+		workers = append(workers, worker)
 	}
 	uid := func(k int) string { return fmt.Sprintf("j-%d", k) }
 	cancelled := map[string]bool{}
@@ -131,39 +131,39 @@
 	second := func(at int, submit bool) {
 		if submit {
 			for k := at * perSecond; k < (at+1)*perSecond; k++ {
-				s.submit(nodes[k%2], jobSpec(uid(k), func(sp *wire.Spec) { sp.Cores, sp.RAM = 0.5, 0.5 }))
+				cluster.submit(nodes[k%2], jobSpec(uid(k), func(spec *wire.Spec) { spec.Cores, spec.RAM = 0.5, 0.5 }))
 			}
 		}
 		// One of each four is cancelled: at once, or up to three seconds later, some after their end.
 		if k := (at-at%4)*perSecond + at%4; submit {
-			if _, v, _ := s.ask(nodes[at%2], http.MethodPost, wire.PathJobs+"/"+uid(k)+"/"+wire.SuffixCancel, nil); v.Status == wire.JobCancelled {
+			if _, status, _ := cluster.ask(nodes[at%2], http.MethodPost, wire.PathJobs+"/"+uid(k)+"/"+wire.SuffixCancel, nil); status.Status == wire.JobCancelled {
 				cancelled[uid(k)] = true
 			}
 		}
-		s.resync(l)
-		s.settle(l)
-		for i, w := range ws {
-			for n, p := range w.Live() {
+		cluster.resync(leader)
+		cluster.settle(leader)
+		for i, worker := range workers {
+			for n, p := range worker.Live() {
 				if (n+i+at)%3 == 0 {
-					w.End(p, wire.CauseDone)
+					worker.End(p, wire.CauseDone)
 				}
 			}
-			heartbeat(t, l, w)
+			heartbeat(t, leader, worker)
 		}
-		s.ask(nodes[at%2], http.MethodGet, wire.PathJobs+"/"+uid(max(0, 4*at-8)), nil)
-		s.settle(l)
-		s.advance(time.Second)
+		cluster.ask(nodes[at%2], http.MethodGet, wire.PathJobs+"/"+uid(max(0, 4*at-8)), nil)
+		cluster.settle(leader)
+		cluster.advance(time.Second)
 	}
 	for at := range lasts {
 		if at == 40 {
 			stop()
-			l, stop = s.elect(nodes[1])
+			leader, stop = cluster.elect(nodes[1])
 		}
 		second(at, true)
 		if at == 95 {
 			half, most = most, map[string]int{}
 		}
-		for what, n := range s.retainedCounts(l) {
+		for what, n := range cluster.retainedCounts(leader) {
 			most[what] = max(most[what], n)
 		}
 	}
@@ -177,19 +177,19 @@
 	}
 	// The last of all are cancelled as they run: no other job's end takes their rows along.
 	for k := perSecond * lasts; k < perSecond*lasts+3; k++ {
-		s.submit(nodes[0], jobSpec(uid(k), nil))
+		cluster.submit(nodes[0], jobSpec(uid(k), nil))
 	}
-	s.resync(l)
-	s.settle(l)
+	cluster.resync(leader)
+	cluster.settle(leader)
 	for k := perSecond * lasts; k < perSecond*lasts+3; k++ {
-		if _, v, _ := s.ask(nodes[0], http.MethodPost, wire.PathJobs+"/"+uid(k)+"/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
-			t.Errorf("abort: %+v", v)
+		if _, status, _ := cluster.ask(nodes[0], http.MethodPost, wire.PathJobs+"/"+uid(k)+"/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
+			t.Errorf("abort: %+v", status)
 		}
 	}
 	for at := range 90 {
 		second(lasts+at, false)
 	}
-	for what, n := range s.retainedCounts(l) {
+	for what, n := range cluster.retainedCounts(leader) {
 		if n > 0 && !(what == "shared records" && n <= 1) {
 			t.Errorf("%d %s left after all jobs are over", n, what)
 		}
@@ -202,13 +202,13 @@
 		if cancelled[uid(k)] {
 			want = wire.JobCancelled
 		}
-		if _, v, _ := s.ask(nodes[k%2], http.MethodGet, wire.PathJobs+"/"+uid(k), nil); v.Status != want {
-			t.Fatalf("%s: %+v, want %s", uid(k), v, want)
+		if _, status, _ := cluster.ask(nodes[k%2], http.MethodGet, wire.PathJobs+"/"+uid(k), nil); status.Status != want {
+			t.Fatalf("%s: %+v, want %s", uid(k), status, want)
 		}
 	}
 	seen := map[string]bool{}
-	for _, w := range ws {
-		for _, k := range w.Starts() {
+	for _, worker := range workers {
+		for _, k := range worker.Starts() {
 			if seen[k] {
 				t.Errorf("%s started twice", k)
 			}
--- a/loopback_loss_test.go
+++ b/loopback_loss_test.go
@@ -33,56 +33,56 @@
 // loopbackLoss is a platform of real controllers that all end.
 type loopbackLoss struct {
 	*loopback
-	events     *eventLog
-	jobs  [][]submission // of each scene
-	permanentJobs []submission   // run throughout
+	events        *eventLog
+	jobs          [][]scheduledSubmission // of each scene
+	permanentJobs []scheduledSubmission   // run throughout
 }
 
 // oneTaskPerMachine makes a job's tasks take a machine each.
-func oneTaskPerMachine(mod func(sp *wire.Spec)) func(sp *wire.Spec) {
-	return func(sp *wire.Spec) { mod(sp); sp.Cores, sp.RAM = 4, 8 }
+func oneTaskPerMachine(mod func(spec *wire.Spec)) func(spec *wire.Spec) {
+	return func(spec *wire.Spec) { mod(spec); spec.Cores, spec.RAM = 4, 8 }
 }
 
 func newLoopbackLoss(ctx context.Context, t *testing.T, workers int) *loopbackLoss {
 	l := &loopbackLoss{events: &eventLog{}}
-	s := schedule{maxMachines: 2 * workers, timing: lossTiming, onEvent: l.events.record, limits: map[string]float64{"free": 0, "tight": tightLimit}, guarantees: map[string]float64{}}
-	add := func(to *[]submission, runs float64, mod func(sp *wire.Spec)) {
-		u := newSubmission(len(s.submissions)+1, 0, runs, mod)
-		s.submissions = append(s.submissions, u)
-		*to = append(*to, u)
+	schedule := faultSchedule{maxMachines: 2 * workers, timing: lossTiming, onEvent: l.events.record, limits: map[string]float64{"free": 0, "tight": tightLimit}, guarantees: map[string]float64{}}
+	add := func(to *[]scheduledSubmission, runs float64, mod func(spec *wire.Spec)) {
+		submission := newSubmission(len(schedule.submissions)+1, 0, runs, mod)
+		schedule.submissions = append(schedule.submissions, submission)
+		*to = append(*to, submission)
 	}
 	for range 5 {
 		add(&l.permanentJobs, 0, oneTaskPerMachine(asService(workers/8)))
 	}
-	add(&l.permanentJobs, 0, func(sp *wire.Spec) { asService(4)(sp); sp.Team = "tight" })
+	add(&l.permanentJobs, 0, func(spec *wire.Spec) { asService(4)(spec); spec.Team = "tight" })
 	for range loopbackLosses {
-		var jobs []submission
+		var jobs []scheduledSubmission
 		for range 2 {
-			add(&jobs, 100, oneTaskPerMachine(func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = workers/8, true }))
+			add(&jobs, 100, oneTaskPerMachine(func(spec *wire.Spec) { spec.Tasks, spec.Preemptible = workers/8, true }))
 		}
 		for range 12 {
-			add(&jobs, 90, func(sp *wire.Spec) { sp.Preemptible = true })
+			add(&jobs, 90, func(spec *wire.Spec) { spec.Preemptible = true })
 		}
 		for range 3 { // cancelled right before the loss
-			add(&jobs, 300, func(sp *wire.Spec) { sp.Tasks, sp.Preemptible = 4, true })
+			add(&jobs, 300, func(spec *wire.Spec) { spec.Tasks, spec.Preemptible = 4, true })
 		}
 		l.jobs = append(l.jobs, jobs)
 	}
-	s.setup = func(w *simulation) { w.cloud.Told = l.events.recordCloud }
-	l.loopback = newLoopback(ctx, t, s)
+	schedule.setup = func(sim *simulation) { sim.cloud.Told = l.events.recordCloud }
+	l.loopback = newLoopback(ctx, t, schedule)
 	l.rentSmallMachinesOnly()
 	return l
 }
 
 // submitAll submits jobs until all are accepted.
-func (l *loopbackLoss) submitAll(ctx context.Context, jobs []submission) {
-	for _, u := range jobs {
-		raw := submissionBody(l.t, u.spec, nil)
+func (l *loopbackLoss) submitAll(ctx context.Context, jobs []scheduledSubmission) {
+	for _, submission := range jobs {
+		encoded := submissionBody(l.t, submission.spec, nil)
 		for n := 0; ctx.Err() == nil; n++ {
-			status, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathJobs, raw)
+			status, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathJobs, encoded)
 			if err == nil && (status == http.StatusCreated || status == http.StatusOK) {
 				l.mu.Lock()
-				l.views[u.spec.UID].accepted, l.views[u.spec.UID].lastProgress = true, time.Now()
+				l.views[submission.spec.UID].accepted, l.views[submission.spec.UID].lastProgress = true, time.Now()
 				l.mu.Unlock()
 				break
 			}
@@ -109,10 +109,10 @@
 }
 
 // running counts the tasks of jobs that are on machines, and all that they have.
-func (l *loopbackLoss) taskCounts(jobs []submission) (run, want int) {
-	for _, u := range jobs {
-		want += u.spec.Tasks
-		for _, n := range l.tasksByZone(u.spec.UID) {
+func (l *loopbackLoss) taskCounts(jobs []scheduledSubmission) (run, want int) {
+	for _, submission := range jobs {
+		want += submission.spec.Tasks
+		for _, n := range l.tasksByZone(submission.spec.UID) {
 			run += n
 		}
 	}
@@ -121,11 +121,11 @@
 
 // peakMemory is the most that a process has held, in MB.
 func peakMemory(pid int) float64 {
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	encoded, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
 	}
-	for _, line := range strings.Split(string(raw), "\n") {
+	for _, line := range strings.Split(string(encoded), "\n") {
 		if fields := strings.Fields(line); len(fields) > 1 && fields[0] == "VmHWM:" {
 			kb, _ := strconv.ParseFloat(fields[1], 64)
 			return kb / 1024
@@ -135,82 +135,82 @@
 }
 
 // recoveryReport asks each controller that is up for the leader's recovery, as operators do.
-func (l *loopbackLoss) recoveryReport(ctx context.Context, up int) (r recovery.Report, known bool) {
+func (l *loopbackLoss) recoveryReport(ctx context.Context, up int) (report recovery.Report, known bool) {
 	for _, name := range l.names[:up] {
-		if r, err := operator.Recovery(ctx, l.operatorAddresses[name]); err == nil && r.Fresh {
-			return r, true
+		if report, err := operator.Recovery(ctx, l.operatorAddresses[name]); err == nil && report.Fresh {
+			return report, true
 		}
 	}
-	return r, false
+	return report, false
 }
 
 // play plays one loss and gives its figures and faults.
-func (l *loopbackLoss) play(ctx context.Context, x totalLoss, jobs []submission) (f lossMeasurements, faults []string, memory float64) {
-	f.Scene = fmt.Sprintf("%d back after %.1f s", x.returning, x.outageS)
+func (l *loopbackLoss) play(ctx context.Context, loss totalLoss, jobs []scheduledSubmission) (measured lossMeasurements, faults []string, memory float64) {
+	measured.Scene = fmt.Sprintf("%d back after %.1f s", loss.returning, loss.outageS)
 	steady := jobs[:len(jobs)-3]
 	l.submitAll(ctx, jobs)
 	for deadline := time.Now().Add(90 * time.Second); ; time.Sleep(200 * time.Millisecond) {
-		run, want := l.taskCounts(append(append([]submission{}, l.permanentJobs...), jobs...))
+		run, want := l.taskCounts(append(append([]scheduledSubmission{}, l.permanentJobs...), jobs...))
 		if run == want {
 			break
 		}
 		if time.Now().After(deadline) {
-			return f, []string{fmt.Sprintf("%s: %d of %d tasks run before the loss", f.Scene, run, want)}, 0
+			return measured, []string{fmt.Sprintf("%s: %d of %d tasks run before the loss", measured.Scene, run, want)}, 0
 		}
 	}
-	for _, u := range jobs[len(jobs)-3:] {
-		l.cancelJob(ctx, u.spec.UID)
+	for _, submission := range jobs[len(jobs)-3:] {
+		l.cancelJob(ctx, submission.spec.UID)
 	}
 	for _, name := range l.names {
 		l.signal(name, syscall.SIGKILL)
 	}
 	lost := time.Now()
-	time.Sleep(seconds(x.outageS))
+	time.Sleep(seconds(loss.outageS))
 	back := time.Now()
 	requests, changes := l.state.Requests(), l.state.Puts()
-	for _, name := range l.names[:x.returning] {
+	for _, name := range l.names[:loss.returning] {
 		l.start(name)
 	}
 	for time.Since(back) < recoveryCheckTime {
 		time.Sleep(100 * time.Millisecond)
 		since := time.Since(back).Seconds()
-		r, known := l.recoveryReport(ctx, x.returning)
-		run, want := l.taskCounts(append(append([]submission{}, l.permanentJobs...), steady...))
-		f.Progress = append(f.Progress, progressPoint{AtS: since, Awaited: r.Machines.Awaited, Reconciled: r.Machines.Reconciled, Replicas: run})
-		f.Machines = max(f.Machines, r.Machines.Recorded)
-		settled := r.Machines.Reconciled + r.Machines.Gone
-		if n := r.Machines.Recorded; known && n > 0 && f.MostReconciled == 0 && 10*settled >= 9*n {
-			f.MostReconciled = since
+		report, known := l.recoveryReport(ctx, loss.returning)
+		run, want := l.taskCounts(append(append([]scheduledSubmission{}, l.permanentJobs...), steady...))
+		measured.Progress = append(measured.Progress, progressPoint{AtS: since, Awaited: report.Machines.Awaited, Reconciled: report.Machines.Reconciled, Replicas: run})
+		measured.Machines = max(measured.Machines, report.Machines.Recorded)
+		settled := report.Machines.Reconciled + report.Machines.Gone
+		if n := report.Machines.Recorded; known && n > 0 && measured.MostReconciled == 0 && 10*settled >= 9*n {
+			measured.MostReconciled = since
 		}
-		if known && r.Stage == recovery.StageComplete && f.AllReconciled == 0 {
-			f.AllReconciled = since
+		if known && report.Stage == recovery.StageComplete && measured.AllReconciled == 0 {
+			measured.AllReconciled = since
 		}
 		// A release without the report tells nothing where leases outlast the spell.
-		settledAll := f.AllReconciled > 0 || !known && x.outageS > lossTiming.lease.Seconds()
-		if settledAll && run == want && f.AllGoingS == 0 {
-			f.AllGoingS = since
-			f.StateRequests, f.StateChanges = l.state.Requests()-requests, l.state.Puts()-changes
+		settledAll := measured.AllReconciled > 0 || !known && loss.outageS > lossTiming.lease.Seconds()
+		if settledAll && run == want && measured.AllGoingS == 0 {
+			measured.AllGoingS = since
+			measured.StateRequests, measured.StateChanges = l.state.Requests()-requests, l.state.Puts()-changes
 		}
 	}
 	l.events.mu.Lock()
-	for _, e := range l.events.events {
-		if e.Kind == standin.EventOrdered && e.At.After(back) {
-			f.FirstOrderS = e.At.Sub(back).Seconds()
+	for _, event := range l.events.events {
+		if event.Kind == standin.EventOrdered && event.At.After(back) {
+			measured.FirstOrderS = event.At.Sub(back).Seconds()
 			break
 		}
 	}
 	l.events.mu.Unlock()
-	f.Commands = l.events.count(back, back.Add(recoveryCheckTime))
+	measured.Commands = l.events.count(back, back.Add(recoveryCheckTime))
 	faults = l.events.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return l.views[uid].cancelRequested })
 	l.processMutex.Lock()
-	for _, name := range l.names[:x.returning] {
+	for _, name := range l.names[:loss.returning] {
 		memory = max(memory, peakMemory(l.commands[name].Process.Pid))
 	}
 	l.processMutex.Unlock()
-	for _, name := range l.names[x.returning:] {
+	for _, name := range l.names[loss.returning:] {
 		l.start(name)
 	}
-	return f, faults, memory
+	return measured, faults, memory
 }
 
 // TestLoopbackLoss kills all real controllers on loopback, with hundreds of stand-in workers and
@@ -223,19 +223,19 @@
 	l := newLoopbackLoss(ctx, t, *lossWorkers)
 	time.Sleep(3 * time.Second)
 	l.submitAll(ctx, l.permanentJobs)
-	for i, x := range loopbackLosses[:*lossPlays] {
-		f, faults, memory := l.play(ctx, x, l.jobs[i])
-		t.Logf("%v, peak %.0f MB", f, memory)
+	for i, loss := range loopbackLosses[:*lossPlays] {
+		measured, faults, memory := l.play(ctx, loss, l.jobs[i])
+		t.Logf("%v, peak %.0f MB", measured, memory)
 		for _, fault := range faults {
-			t.Errorf("%s: %s", f.Scene, fault)
+			t.Errorf("%s: %s", measured.Scene, fault)
 		}
-		f.Scene = "real processes, " + f.Scene
-		if err := saveMeasurements(f); err != nil {
+		measured.Scene = "real processes, " + measured.Scene
+		if err := saveMeasurements(measured); err != nil {
 			t.Error(err)
 		}
-		for _, u := range l.jobs[i][len(l.jobs[i])-3:] {
-			if run, _ := l.taskCounts([]submission{u}); run > 0 && time.Since(l.views[u.spec.UID].cancelledAt) > lossTiming.cancel {
-				t.Errorf("%s: %s is cancelled, and %d tasks run", f.Scene, u.spec.UID, run)
+		for _, submission := range l.jobs[i][len(l.jobs[i])-3:] {
+			if run, _ := l.taskCounts([]scheduledSubmission{submission}); run > 0 && time.Since(l.views[submission.spec.UID].cancelledAt) > lossTiming.cancel {
+				t.Errorf("%s: %s is cancelled, and %d tasks run", measured.Scene, submission.spec.UID, run)
 			}
 		}
 	}
--- a/loopback_quota_test.go
+++ b/loopback_quota_test.go
@@ -35,16 +35,18 @@
 }
 
 // loopbackSchedule is the teams and all jobs that they may submit.
-func loopbackSchedule() schedule {
-	s := schedule{maxMachines: 8, limits: map[string]float64{"flood": 0, "orders": 12, "ledger": 6, "batch": 0},
+func loopbackSchedule() faultSchedule {
+	schedule := faultSchedule{maxMachines: 8, limits: map[string]float64{"flood": 0, "orders": 12, "ledger": 6, "batch": 0},
 		guarantees: map[string]float64{"orders": 8, "batch": 4}, timing: workerTiming{report: 2 * time.Second, lease: 10 * time.Second, cancel: 25 * time.Second}}
 	for team, n := range map[string]int{"flood": loopbackJobs, "orders": loopbackJobs / 10, "ledger": loopbackJobs / 10, "batch": loopbackJobs / 10} {
 		for range n {
-			u := newSubmission(len(s.submissions)+1, 0, 1.5, func(sp *wire.Spec) { sp.Team, sp.Priority, sp.Cores, sp.Preemptible = team, "standard", 1, true })
-			s.submissions = append(s.submissions, u)
+			submission := newSubmission(len(schedule.submissions)+1, 0, 1.5, func(spec *wire.Spec) {
+				spec.Team, spec.Priority, spec.Cores, spec.Preemptible = team, "standard", 1, true
+			})
+			schedule.submissions = append(schedule.submissions, submission)
 		}
 	}
-	return s
+	return schedule
 }
 
 // submitLoop submits a team's jobs one after another until ctx ends, with a pause between them and a
@@ -52,10 +54,10 @@
 func (l *loopback) submitLoop(ctx context.Context, jobs <-chan string, pause, refused time.Duration, figures *teamMeasurements) {
 	for uid := range jobs {
 		spec, _ := l.Job(uid)
-		raw := submissionBody(l.t, spec, nil)
+		encoded := submissionBody(l.t, spec, nil)
 		for ctx.Err() == nil {
 			began := time.Now()
-			status, _, err := l.send(ctx, l.names[rand.IntN(len(l.names))], wire.PathJobs, raw)
+			status, _, err := l.send(ctx, l.names[rand.IntN(len(l.names))], wire.PathJobs, encoded)
 			took := time.Since(began)
 			if err != nil {
 				status = 0
@@ -135,9 +137,9 @@
 		figures := &teamMeasurements{statuses: map[int]int{}, latency: hdr.New(1, 60_000_000, 3)}
 		all[team] = figures
 		jobs := make(chan string, loopbackJobs)
-		for _, u := range l.schedule.submissions {
-			if u.spec.Team == team {
-				jobs <- u.spec.UID
+		for _, submission := range l.schedule.submissions {
+			if submission.spec.Team == team {
+				jobs <- submission.spec.UID
 			}
 		}
 		close(jobs)
