--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -16,24 +16,24 @@
 
 // A transaction whose answer was lost is settled by its nonce, not done twice.
 func TestLostCommitAnswer(t *testing.T) {
-	s, n, l, w := clusterWithWorker(t)
-	s.submit(n, jobSpec("j-1", nil))
-	s.resync(l)
-	s.state.LoseAnswers(1)
+	cluster, node, leader, worker := clusterWithWorker(t)
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	cluster.state.LoseAnswers(1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() {
 		// The repeat waits on the clock, as does the elector.
-		for s.clock.BlockUntilContext(ctx, 2) == nil {
-			s.clock.Advance(100 * time.Millisecond)
-			if len(w.Starts()) > 0 {
+		for cluster.clock.BlockUntilContext(ctx, 2) == nil {
+			cluster.clock.Advance(100 * time.Millisecond)
+			if len(worker.Starts()) > 0 {
 				return
 			}
 		}
 	}()
-	s.settle(l)
+	cluster.settle(leader)
 	cancel()
-	if got := w.Starts(); len(got) != 1 {
+	if got := worker.Starts(); len(got) != 1 {
 		t.Fatalf("starts: %v", got)
 	}
 }
@@ -42,62 +42,62 @@
 // other nodes read what they wrote: what they have told stays true, and nothing is
 // started, recorded or moved twice when the leader finds out.
 func TestLostAnswersOfTheLeaderWhileOthersRead(t *testing.T) {
-	s := newTestCluster(t)
-	a, b := s.node(nil), s.node(nil)
-	l, _ := s.elect(a)
-	w := s.worker("n-1", "x", true)
-	heartbeat(t, l, w)
-	s.submit(b, jobSpec("j-1", nil))
-	s.submit(b, jobSpec("j-2", func(sp *wire.Spec) { sp.Tasks = 2 }))
-	s.submit(b, jobSpec("j-3", nil))
-	s.resync(l)
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	leader, _ := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
+	cluster.submit(nodeB, jobSpec("j-1", nil))
+	cluster.submit(nodeB, jobSpec("j-2", func(spec *wire.Spec) { spec.Tasks = 2 }))
+	cluster.submit(nodeB, jobSpec("j-3", nil))
+	cluster.resync(leader)
 	is := func(uid string, allowed ...string) {
 		t.Helper()
-		for _, n := range []*Service{a, b} {
-			_, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil)
-			s.checkAnswers(uid, []string{v.Status}, allowed...)
+		for _, node := range []*Service{nodeA, nodeB} {
+			_, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil)
+			cluster.checkAnswers(uid, []string{status.Status}, allowed...)
 		}
 	}
 	// Placements: a user cancels one of the jobs before the leader knows that its attempt is recorded.
-	s.loseAnswerDuring(func() { s.settle(l) }, func() {
-		if len(w.Starts()) != 0 {
-			t.Errorf("started before the leader knows that it is recorded: %v", w.Starts())
+	cluster.loseAnswerDuring(func() { cluster.settle(leader) }, func() {
+		if len(worker.Starts()) != 0 {
+			t.Errorf("started before the leader knows that it is recorded: %v", worker.Starts())
 		}
-		if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
-			t.Errorf("abort: %d %+v", code, v)
+		if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+			t.Errorf("abort: %d %+v", code, status)
 		}
 	})
-	s.resync(l)
-	s.settle(l)
+	cluster.resync(leader)
+	cluster.settle(leader)
 	is("j-3", wire.JobCancelled)
-	if got := w.Live(); !slices.Equal(got, []string{"j-1/0", "j-2/0", "j-2/1"}) {
+	if got := worker.Live(); !slices.Equal(got, []string{"j-1/0", "j-2/0", "j-2/1"}) {
 		t.Errorf("on the machine %v", got)
 	}
 	// The end of both jobs: done is told by the one that reads it, and stays done.
-	w.End("j-1/0", wire.CauseDone)
-	w.End("j-2/0", wire.CauseDone)
-	w.End("j-2/1", wire.CauseDone)
-	heartbeat(t, l, w)
-	s.loseAnswerDuring(func() { l.pass(t.Context()) }, func() {
+	worker.End("j-1/0", wire.CauseDone)
+	worker.End("j-2/0", wire.CauseDone)
+	worker.End("j-2/1", wire.CauseDone)
+	heartbeat(t, leader, worker)
+	cluster.loseAnswerDuring(func() { leader.pass(t.Context()) }, func() {
 		for _, uid := range []string{"j-1", "j-2"} {
 			is(uid, wire.JobDone)
-			_, v, _ := s.ask(b, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
-			s.checkAnswers("abort after the end", []string{v.Status}, wire.JobDone)
+			_, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
+			cluster.checkAnswers("abort after the end", []string{status.Status}, wire.JobDone)
 		}
 	})
-	c := s.node(nil) // remembers nothing
-	s.settle(l)
-	for _, n := range []*Service{a, b, c} {
+	nodeC := cluster.node(nil) // remembers nothing
+	cluster.settle(leader)
+	for _, node := range []*Service{nodeA, nodeB, nodeC} {
 		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-2": wire.JobDone, "j-3": wire.JobCancelled} {
-			if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); v.Status != want {
-				t.Errorf("%s: %+v, want %s", uid, v, want)
+			if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != want {
+				t.Errorf("%s: %+v, want %s", uid, status, want)
 			}
 		}
 	}
-	if left := s.state.Keys(store.PrefixJob); len(left) != 0 {
+	if left := cluster.state.Keys(store.PrefixJob); len(left) != 0 {
 		t.Errorf("jobs that have not moved: %v", left)
 	}
-	if got := w.Starts(); len(got) > 4 || startCount([]*standin.Worker{w}, "j-2") != 2 || startCount([]*standin.Worker{w}, "j-1") != 1 {
+	if got := worker.Starts(); len(got) > 4 || startCount([]*standin.Worker{worker}, "j-2") != 2 || startCount([]*standin.Worker{worker}, "j-1") != 1 {
 		t.Errorf("starts %v", got)
 	}
 }
@@ -108,31 +108,31 @@
 // leader then finds out, and nothing is recorded again, moved again or kept.
 func TestEveryLostAnswerOfTheLeader(t *testing.T) {
 	life := func(pieces int, lossy bool) (puts int) {
-		s := newTestCluster(t)
-		a, b := s.node(nil), s.node(nil)
-		l, _ := s.elect(a)
-		w := s.worker("n-1", "x", true)
-		heartbeat(t, l, w)
+		cluster := newTestCluster(t)
+		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+		leader, _ := cluster.elect(nodeA)
+		worker := cluster.worker("n-1", "x", true)
+		heartbeat(t, leader, worker)
 		uids := []string{"j-1", "j-2"}
 		for _, uid := range uids {
-			s.submit(a, jobSpec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 1 }))
+			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 1 }))
 		}
-		s.resync(l)
-		before := s.state.Puts()
+		cluster.resync(leader)
+		before := cluster.state.Puts()
 		now := wire.JobQueued
 		drain := func() {
 			for range 9 {
-				l.mu.Lock()
-				wr := l.buildTransaction()
-				l.mu.Unlock()
-				if wr == nil {
+				leader.mu.Lock()
+				transaction := leader.buildTransaction()
+				leader.mu.Unlock()
+				if transaction == nil {
 					return
 				}
-				if len(wr.Finished()) > 0 {
+				if len(transaction.Finished()) > 0 {
 					now = wire.JobDone
 				}
 				record := func() {
-					if !l.commit(t.Context(), wr) {
+					if !leader.commit(t.Context(), transaction) {
 						t.Fatal("the term is over")
 					}
 				}
@@ -140,47 +140,47 @@
 					record()
 					continue
 				}
-				s.loseAnswerDuring(record, func() {
-					for _, n := range []*Service{b, s.node(nil)} {
+				cluster.loseAnswerDuring(record, func() {
+					for _, node := range []*Service{nodeB, cluster.node(nil)} {
 						for _, uid := range uids {
-							if _, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/"+uid, nil); v.Status != now {
-								t.Errorf("%s: %+v, want %s", uid, v, now)
+							if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != now {
+								t.Errorf("%s: %+v, want %s", uid, status, now)
 							}
 						}
 					}
 				})
 			}
 		}
-		l.mu.Lock()
-		l.runPlan(l.clock.Now())
-		l.mu.Unlock()
+		leader.mu.Lock()
+		leader.runPlan(leader.clock.Now())
+		leader.mu.Unlock()
 		drain()
-		s.settle(l)
-		if got := len(w.Live()); got != 2*pieces {
+		cluster.settle(leader)
+		if got := len(worker.Live()); got != 2*pieces {
 			t.Fatalf("%d tasks run", got)
 		}
-		for _, p := range w.Live() {
-			w.End(p, wire.CauseDone)
+		for _, p := range worker.Live() {
+			worker.End(p, wire.CauseDone)
 		}
-		heartbeat(t, l, w)
+		heartbeat(t, leader, worker)
 		drain()
 		for _, uid := range uids {
-			if code, v, _ := s.ask(b, http.MethodPost, wire.PathJobs, jobSpec(uid, nil)); code != http.StatusOK || v.Status != wire.JobDone {
-				t.Errorf("%s submitted again: %d %+v", uid, code, v)
+			if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs, jobSpec(uid, nil)); code != http.StatusOK || status.Status != wire.JobDone {
+				t.Errorf("%s submitted again: %d %+v", uid, code, status)
 			}
 		}
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if left := l.writer.Backlog(); left.FinalMoves+l.jobs.Len()+left.Dirty+left.StaleShared != 0 {
-			t.Errorf("%d tasks a job: %+v and %d jobs are left", pieces, left, l.jobs.Len())
+		leader.mu.Lock()
+		defer leader.mu.Unlock()
+		if left := leader.writer.Backlog(); left.FinalMoves+leader.jobs.Len()+left.Dirty+left.StaleShared != 0 {
+			t.Errorf("%d tasks a job: %+v and %d jobs are left", pieces, left, leader.jobs.Len())
 		}
-		if left := s.state.Keys(store.PrefixJob); len(left) != 0 {
+		if left := cluster.state.Keys(store.PrefixJob); len(left) != 0 {
 			t.Errorf("jobs that have not moved: %v", left)
 		}
-		if got := len(w.Starts()); got != 2*pieces {
+		if got := len(worker.Starts()); got != 2*pieces {
 			t.Errorf("%d starts of %d tasks", got, 2*pieces)
 		}
-		return s.state.Puts() - before
+		return cluster.state.Puts() - before
 	}
 	for _, pieces := range []int{1, 2} {
 		// Deletions of what a finished job leaves carry no stamp of their own: the repeat deletes nothing.
@@ -196,77 +196,77 @@
 // told or written since changes by the late one.
 func TestLeadersTransactionsCarriedOutLate(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
-		s, n, l, w := clusterWithWorker(t)
+		cluster, node, leader, worker := clusterWithWorker(t)
 		uids := []string{"j-1", "j-2", "j-3"}
 		for _, uid := range uids {
-			s.submit(n, jobSpec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores = pieces, 1 }))
+			cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 1 }))
 		}
-		s.resync(l)
+		cluster.resync(leader)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
-			for s.clock.BlockUntilContext(ctx, 2) == nil {
-				s.clock.Advance(100 * time.Millisecond)
+			for cluster.clock.BlockUntilContext(ctx, 2) == nil {
+				cluster.clock.Advance(100 * time.Millisecond)
 			}
 		}()
 		late := 0
 		drain := func() {
 			for range 12 {
-				l.mu.Lock()
-				wr := l.buildTransaction()
-				l.mu.Unlock()
-				if wr == nil {
+				leader.mu.Lock()
+				transaction := leader.buildTransaction()
+				leader.mu.Unlock()
+				if transaction == nil {
 					return
 				}
-				s.state.DelayNext()
-				if late++; !l.commit(t.Context(), wr) {
+				cluster.state.DelayNext()
+				if late++; !leader.commit(t.Context(), transaction) {
 					t.Fatal("the term is over")
 				}
 			}
 		}
-		l.mu.Lock()
-		l.runPlan(l.clock.Now())
-		l.mu.Unlock()
+		leader.mu.Lock()
+		leader.runPlan(leader.clock.Now())
+		leader.mu.Unlock()
 		drain()
-		s.settle(l)
-		w.End("j-1/0", wire.CauseDone)
-		w.End("j-1/1", wire.CauseDone)
-		w.End("j-2/0", wire.CauseError)
-		if _, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
-			t.Fatalf("abort: %+v", v)
+		cluster.settle(leader)
+		worker.End("j-1/0", wire.CauseDone)
+		worker.End("j-1/1", wire.CauseDone)
+		worker.End("j-2/0", wire.CauseError)
+		if _, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
+			t.Fatalf("abort: %+v", status)
 		}
-		heartbeat(t, l, w)
-		s.resync(l)
+		heartbeat(t, leader, worker)
+		cluster.resync(leader)
 		drain()
 		// One that is recorded twice alone: its first record must not come back over the second.
-		s.submit(n, jobSpec("j-4", func(sp *wire.Spec) { sp.Tasks, sp.Cores = 2, 0.5 }))
-		s.resync(l)
-		l.mu.Lock()
-		l.runPlan(l.clock.Now())
-		l.mu.Unlock()
+		cluster.submit(node, jobSpec("j-4", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 0.5 }))
+		cluster.resync(leader)
+		leader.mu.Lock()
+		leader.runPlan(leader.clock.Now())
+		leader.mu.Unlock()
 		drain()
-		s.settle(l)
-		w.End("j-4/0", wire.CauseDone)
-		heartbeat(t, l, w)
-		l.mu.Lock()
-		l.writer.MarkDirty("j-4") // need not wait for others' results
-		l.mu.Unlock()
+		cluster.settle(leader)
+		worker.End("j-4/0", wire.CauseDone)
+		heartbeat(t, leader, worker)
+		leader.mu.Lock()
+		leader.writer.MarkDirty("j-4") // need not wait for others' results
+		leader.mu.Unlock()
 		drain()
 		cancel()
-		s.settle(l)
-		keys, puts := s.state.Keys(""), s.state.Puts()
-		if got := s.state.Late(); got != late || late < 3 {
+		cluster.settle(leader)
+		keys, puts := cluster.state.Keys(""), cluster.state.Puts()
+		if got := cluster.state.Late(); got != late || late < 3 {
 			t.Fatalf("%d transactions are late, want %d", got, late)
 		}
-		s.state.Deliver()
-		if after := s.state.Keys(""); !slices.Equal(keys, after) {
+		cluster.state.Deliver()
+		if after := cluster.state.Keys(""); !slices.Equal(keys, after) {
 			t.Errorf("%d tasks a job: late transactions turn %v into %v", pieces, keys, after)
 		}
-		if got := s.state.Puts() - puts; got != 0 {
+		if got := cluster.state.Puts() - puts; got != 0 {
 			t.Errorf("%d tasks a job: %d changes were made late", pieces, got)
 		}
 		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-3": wire.JobCancelled} {
-			if _, v, _ := s.ask(s.node(nil), http.MethodGet, wire.PathJobs+"/"+uid, nil); v.Status != want {
-				t.Errorf("%s: %+v, want %s", uid, v, want)
+			if _, status, _ := cluster.ask(cluster.node(nil), http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != want {
+				t.Errorf("%s: %+v, want %s", uid, status, want)
 			}
 		}
 	}
@@ -275,19 +275,19 @@
 // Every transaction may be applied by the store, answered, and arrive again:
 // nothing that users were told, and nobody's lead, changes by it.
 func TestRepeatedTransactionsChangeNothing(t *testing.T) {
-	s, n, l, w := clusterWithWorker(t)
-	s.submit(n, jobSpec("j-1", nil))
-	s.submit(n, jobSpec("j-2", nil))
-	s.submit(n, jobSpec("j-3", nil))
-	s.resync(l)
-	s.settle(l)
-	w.End("j-1/0", wire.CauseDone)
-	heartbeat(t, l, w)
-	s.settle(l)
-	if code, _, _ := s.ask(n, "POST", wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != 200 {
+	cluster, node, leader, worker := clusterWithWorker(t)
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.submit(node, jobSpec("j-2", nil))
+	cluster.submit(node, jobSpec("j-3", nil))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	worker.End("j-1/0", wire.CauseDone)
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
+	if code, _, _ := cluster.ask(node, "POST", wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
-	if _, err := n.elector.RaiseToken(t.Context()); err != nil {
+	if _, err := node.elector.RaiseToken(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	type told struct {
@@ -296,25 +296,25 @@
 		lead   uint64
 	}
 	look := func() (is told) {
-		is.keys = s.state.Keys("")
+		is.keys = cluster.state.Keys("")
 		for _, uid := range []string{"j-1", "j-2", "j-3"} {
-			_, v, _ := s.ask(n, "GET", wire.PathJobs+"/"+uid, nil)
-			is.status = append(is.status, v.Status)
+			_, status, _ := cluster.ask(node, "GET", wire.PathJobs+"/"+uid, nil)
+			is.status = append(is.status, status.Status)
 		}
-		var rec store.TokenRecord
-		s.state.Value(store.KeyToken, &rec)
-		is.lead = rec.Token
+		var record store.TokenRecord
+		cluster.state.Value(store.KeyToken, &record)
+		is.lead = record.Token
 		return is
 	}
 	before := look()
-	s.state.Repeat()
+	cluster.state.Repeat()
 	if diff := cmp.Diff(before, look(), cmp.AllowUnexported(told{})); diff != "" {
 		t.Error(diff)
 	}
-	if code, v, _ := s.ask(n, "POST", wire.PathJobs, jobSpec("j-2", nil)); code != 200 || v.Status != wire.JobCancelled {
-		t.Errorf("a submission that comes again after the abort: %d %+v", code, v)
+	if code, status, _ := cluster.ask(node, "POST", wire.PathJobs, jobSpec("j-2", nil)); code != 200 || status.Status != wire.JobCancelled {
+		t.Errorf("a submission that comes again after the abort: %d %+v", code, status)
 	}
-	if _, ok := n.elector.MayAnswerHeartbeats(); !ok {
+	if _, ok := node.elector.MayAnswerHeartbeats(); !ok {
 		t.Error("the lead was lost")
 	}
 }
--- a/mass_loss_test.go
+++ b/mass_loss_test.go
@@ -18,43 +18,43 @@
 func TestMassLoss(t *testing.T) {
 	const tasks = 4
 	visits := func(machines, lost int) int {
-		s, l := adoptedFleet(t, machines, tasks)
-		s.advance(10 * time.Second)
+		cluster, leader := adoptedFleet(t, machines, tasks)
+		cluster.advance(10 * time.Second)
 		for i := range machines - lost {
-			l.Heartbeat(fleetReport(i, tasks, 1, 0))
-			l.Heartbeat(fleetReport(i, tasks, 2, l.term.Token))
+			leader.Heartbeat(fleetReport(i, tasks, 1, 0))
+			leader.Heartbeat(fleetReport(i, tasks, 2, leader.term.Token))
 		}
-		s.advance(14 * time.Second)
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		now := l.clock.Now()
-		l.fleet.Examined = 0
-		news := l.fleet.ExpireLeases(now)
+		cluster.advance(14 * time.Second)
+		leader.mu.Lock()
+		defer leader.mu.Unlock()
+		now := leader.clock.Now()
+		leader.fleet.Examined = 0
+		news := leader.fleet.ExpireLeases(now)
 		if len(news) != lost*tasks {
 			t.Fatalf("%d of %d machines lost: %d tasks gone, want %d", lost, machines, len(news), lost*tasks)
 		}
-		looked := l.fleet.Examined
-		l.applyEvents(news, now)
-		for job := range l.jobs.All() {
-			l.writer.MarkDirty(job.UID)
+		looked := leader.fleet.Examined
+		leader.applyEvents(news, now)
+		for job := range leader.jobs.All() {
+			leader.writer.MarkDirty(job.UID)
 		}
 		last := wire.PriorityCritical
-		for tx := l.buildTransaction(); tx != nil; tx = l.buildTransaction() {
-			if n := len(tx.Txn.Operations); n > l.cfg.Facts.State.TxnOps {
+		for transaction := leader.buildTransaction(); transaction != nil; transaction = leader.buildTransaction() {
+			if n := len(transaction.Txn.Operations); n > leader.cfg.Facts.State.TxnOps {
 				t.Fatalf("%d changes in a transaction", n)
 			}
-			for _, operation := range tx.Txn.Operations {
+			for _, operation := range transaction.Txn.Operations {
 				uid, _, ok := store.ParseChunkKey(operation.Set)
 				if !ok {
 					t.Fatalf("%q is written for tasks that are gone", operation.Set)
 				}
-				job := l.jobs.Get(uid)
+				job := leader.jobs.Get(uid)
 				if job.Priority > last {
 					t.Errorf("%s is recorded after work of lower priority", uid)
 				}
 				last = job.Priority
 			}
-			l.writer.Applied(tx, 1, now, l.fleet.MarkDurable)
+			leader.writer.Applied(transaction, 1, now, leader.fleet.MarkDurable)
 		}
 		return looked
 	}
--- a/peer_messages_test.go
+++ b/peer_messages_test.go
@@ -19,16 +19,16 @@
 // What comes between controllers cut short, too large, of unknown form or with
 // nonsense in it ends its own connection at most: the others are served as before.
 func TestBadPeerMessagesEndTheirConnectionOnly(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(nil)
-	s.submit(n, jobSpec("j-1", nil))
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	cluster.submit(node, jobSpec("j-1", nil))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); peer.Serve(ctx, ln, n.answerPeer, n.log) }()
+	go func() { defer close(done); peer.Serve(ctx, ln, node.answerPeer, node.log) }()
 	t.Cleanup(func() { cancel(); <-done })
 	l := peer.NewLink(ln.Addr().String())
 	asked := func(after string) {
@@ -48,7 +48,7 @@
 	whole := encode(peer.Ask{Method: http.MethodGet, Path: wire.PathJobs + "/j-1"})
 	huge := encode(peer.Ask{Method: http.MethodPost, Path: wire.PathJobs, Body: bytes.Repeat([]byte{1}, 100<<10)})
 	asked("nothing")
-	for name, raw := range map[string][]byte{
+	for name, encoded := range map[string][]byte{
 		"cut short": whole[:len(whole)-4], "cut in its type": whole[:9], "too large": huge, "a length without end": bytes.Repeat([]byte{0xff}, 64),
 		"a huge length": {0xfc, 0x7f, 0xff, 0xff, 0xff, 1, 2, 3}, "of unknown form": encode(struct{ Attest, Counts map[string]int }{map[string]int{"a": 1}, nil}),
 		"another type": encode("hello"), "text": []byte("GET / HTTP/1.1\r\n\r\n"),
@@ -58,7 +58,7 @@
 			t.Fatal(err)
 		}
 		_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
-		_, _ = conn.Write(raw)
+		_, _ = conn.Write(encoded)
 		_ = conn.(*net.TCPConn).CloseWrite()
 		if got, err := io.ReadAll(conn); err != nil && !errors.Is(err, syscall.ECONNRESET) || len(got) != 0 {
 			t.Errorf("%s: answered with %d bytes, %v; want its end", name, len(got), err)
--- a/placement_test.go
+++ b/placement_test.go
@@ -16,24 +16,24 @@
 
 // The zone cap counts tasks whose machine has not been heard of.
 func TestZoneCapWithUnknownMachine(t *testing.T) {
-	s := newTestCluster(t)
-	a, b := s.node(nil), s.node(nil)
-	ga, stop := s.elect(a)
-	w := s.worker("n-1", "x", false)
-	heartbeat(t, ga, w)
-	s.submit(a, jobSpec("j-1", func(sp *wire.Spec) {
-		sp.Kind, sp.Priority, sp.Preemptible, sp.Spread, sp.Tasks = wire.KindService, "critical", false, true, 2
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	oldLeader, stop := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", false)
+	heartbeat(t, oldLeader, worker)
+	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) {
+		spec.Kind, spec.Priority, spec.Preemptible, spec.Spread, spec.Tasks = wire.KindService, "critical", false, true, 2
 	}))
-	s.resync(ga)
-	s.settle(ga)
-	if got := w.Live(); len(got) != 1 {
+	cluster.resync(oldLeader)
+	cluster.settle(oldLeader)
+	if got := worker.Live(); len(got) != 1 {
 		t.Fatalf("at most one of two in a zone: %v", got)
 	}
 	stop()
-	gb, _ := s.elect(b)
-	other := s.worker("n-2", "x", false)
-	heartbeat(t, gb, other)
-	s.settle(gb)
+	newLeader, _ := cluster.elect(nodeB)
+	other := cluster.worker("n-2", "x", false)
+	heartbeat(t, newLeader, other)
+	cluster.settle(newLeader)
 	if got := other.Starts(); len(got) != 0 {
 		t.Fatalf("second replica in the zone: %v", got)
 	}
@@ -41,12 +41,12 @@
 
 // A long job whose own deadline is far must not wait for longer than its class may.
 func TestSlackFollowsAims(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(func(f *config.Facts) {
-		f.Objectives = []config.Objective{{Kind: "finished", Class: "lane", WithinS: 180}, {Kind: "wait", Class: "lane", WithinS: 120},
+	cluster := newTestCluster(t)
+	node := cluster.node(func(facts *config.Facts) {
+		facts.Objectives = []config.Objective{{Kind: "finished", Class: "lane", WithinS: 180}, {Kind: "wait", Class: "lane", WithinS: 120},
 			{Kind: "wait", Class: "lane", WithinS: 3}}
 	})
-	l, _ := s.elect(n)
+	leader, _ := cluster.elect(node)
 	due := func(d float64) *float64 { return &d }
 	for _, tt := range []struct {
 		class  string
@@ -61,10 +61,10 @@
 		{"other", due(310), 100, 210 * clock.Second},
 		{"other", nil, 100, jobs.UnlimitedSlack},
 	} {
-		record := store.JobRecord{Spec: jobSpec("j-1", func(sp *wire.Spec) {
-			sp.Priority, sp.Class, sp.DeadlineS, sp.ExpectedS = "standard", tt.class, tt.due, tt.expect
+		record := store.JobRecord{Spec: jobSpec("j-1", func(spec *wire.Spec) {
+			spec.Priority, spec.Class, spec.DeadlineS, spec.ExpectedS = "standard", tt.class, tt.due, tt.expect
 		})}
-		job := jobs.New(record, 1, &l.cfg.Facts, 0)
+		job := jobs.New(record, 1, &leader.cfg.Facts, 0)
 		if got := job.Slack(0); got != tt.want {
 			t.Errorf("%s due %v, expected to run %v s: slack %v, want %v", tt.class, tt.due, tt.expect, got, tt.want)
 		}
@@ -75,43 +75,43 @@
 // job with a zone of its own. Nothing of the array starts in another zone while some
 // of it may go on in its own, and all of it once nothing can; the bound job never does.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(nil)
-	l, _ := s.elect(n)
-	here := []*standin.Worker{s.worker("n-1", "x", true), s.worker("n-2", "x", true), s.worker("n-3", "x", true)}
-	there := []*standin.Worker{s.worker("n-4", "y", true), s.worker("n-5", "y", true)}
-	for _, w := range here {
-		heartbeat(t, l, w)
-	}
-	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.Zone = 2, 4, "x" }))
-	s.submit(n, jobSpec("j-2", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.SameZone = 4, 4, true }))
-	s.resync(l)
-	s.settle(l)
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	leader, _ := cluster.elect(node)
+	here := []*standin.Worker{cluster.worker("n-1", "x", true), cluster.worker("n-2", "x", true), cluster.worker("n-3", "x", true)}
+	there := []*standin.Worker{cluster.worker("n-4", "y", true), cluster.worker("n-5", "y", true)}
+	for _, worker := range here {
+		heartbeat(t, leader, worker)
+	}
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.Zone = 2, 4, "x" }))
+	cluster.submit(node, jobSpec("j-2", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.SameZone = 4, 4, true }))
+	cluster.resync(leader)
+	cluster.settle(leader)
 	if startCount(here, "j-1") != 2 || startCount(here, "j-2") != 4 {
 		t.Fatalf("started %v, %v and %v", here[0].Starts(), here[1].Starts(), here[2].Starts())
 	}
 	// One with some of the array is gone, and the zone has no room for that.
-	lost := slices.IndexFunc(here, func(w *standin.Worker) bool { return startCount([]*standin.Worker{w}, "j-2") > 0 })
-	l.returnMachines(t.Context(), []string{here[lost].Beats.Machine})
-	for _, w := range here {
-		w.Unreachable(true)
+	lost := slices.IndexFunc(here, func(worker *standin.Worker) bool { return startCount([]*standin.Worker{worker}, "j-2") > 0 })
+	leader.returnMachines(t.Context(), []string{here[lost].Beats.Machine})
+	for _, worker := range here {
+		worker.Unreachable(true)
 	}
 	for range 6 {
-		for _, w := range there {
-			heartbeat(t, l, w)
+		for _, worker := range there {
+			heartbeat(t, leader, worker)
 		}
-		s.settle(l)
-		s.advance(3 * time.Second)
+		cluster.settle(leader)
+		cluster.advance(3 * time.Second)
 		if got := startCount(there, "j-1") + startCount(there, "j-2"); got != 0 {
 			t.Fatalf("%d started in another zone while the array may go on in its own", got)
 		}
 	}
 	for range 3 {
-		s.advance(3 * time.Second)
-		for _, w := range there {
-			heartbeat(t, l, w)
+		cluster.advance(3 * time.Second)
+		for _, worker := range there {
+			heartbeat(t, leader, worker)
 		}
-		s.settle(l)
+		cluster.settle(leader)
 	}
 	if got := startCount(there, "j-1"); got != 0 {
 		t.Errorf("%d of a job run in a zone that it does not allow", got)
@@ -124,39 +124,39 @@
 // A job that waits long begins although work of higher priority keeps coming: its
 // first task goes first, and room is kept for it.
 func TestLargeJobBeginsUnderLastingOverload(t *testing.T) {
-	s, n, l, w := clusterWithWorker(t) // 8 cores
+	cluster, node, leader, worker := clusterWithWorker(t) // 8 cores
 	uid := 100
 	next := func() string {
 		uid++
 		return "j-" + string(rune('0'+uid/100)) + string(rune('0'+uid/10%10)) + string(rune('0'+uid%10))
 	}
 	small := func() {
-		s.submit(n, jobSpec(next(), func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.Team = "high", 1, 4, "team" }))
+		cluster.submit(node, jobSpec(next(), func(spec *wire.Spec) { spec.Priority, spec.Tasks, spec.Cores, spec.Team = "high", 1, 4, "team" }))
 	}
 	for range 6 {
 		small()
 	}
-	s.resync(l)
-	s.settle(l)
-	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 3, 8, 20 }))
-	s.resync(l)
+	cluster.resync(leader)
+	cluster.settle(leader)
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 3, 8, 20 }))
+	cluster.resync(leader)
 	began := 0
 	for at := 0; at < 240; at += 4 {
-		s.advance(4 * time.Second)
+		cluster.advance(4 * time.Second)
 		// One of the two small tasks ends each time, and another job comes.
-		if live := w.Live(); len(live) > 0 {
+		if live := worker.Live(); len(live) > 0 {
 			if live[0][:4] == "j-1/" {
 				began = at
 				break
 			}
-			w.End(live[0], wire.CauseDone)
+			worker.End(live[0], wire.CauseDone)
 			small()
 		}
-		heartbeat(t, l, w)
-		s.resync(l)
-		s.settle(l)
-		heartbeat(t, l, w)
-		s.settle(l)
+		heartbeat(t, leader, worker)
+		cluster.resync(leader)
+		cluster.settle(leader)
+		heartbeat(t, leader, worker)
+		cluster.settle(leader)
 	}
 	if began == 0 {
 		t.Error("the large job did not begin within four minutes")
@@ -166,27 +166,27 @@
 // The lowest priority's starts follow the controller's share of a processor, however
 // much room there is; work of higher priority does not wait for them.
 func TestLowWorkIsPaced(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(func(f *config.Facts) { f.Limits.CoreShare = 0.1 })
-	l, _ := s.elect(n)
-	var ws []*standin.Worker
+	cluster := newTestCluster(t)
+	node := cluster.node(func(facts *config.Facts) { facts.Limits.CoreShare = 0.1 })
+	leader, _ := cluster.elect(node)
+	var workers []*standin.Worker
 	for i := range 16 {
-		w := s.worker(fmt.Sprintf("n-%02d", i+1), "x", true)
-		heartbeat(t, l, w)
-		ws = append(ws, w)
+		worker := cluster.worker(fmt.Sprintf("n-%02d", i+1), "x", true)
+		heartbeat(t, leader, worker)
+		workers = append(workers, worker)
 	}
-	s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "low", 5000, 0.05, 0.1 }))
-	s.submit(n, jobSpec("j-2", func(sp *wire.Spec) { sp.Priority, sp.Tasks, sp.Cores, sp.RAM = "standard", 300, 0.05, 0.1 }))
-	s.resync(l)
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Priority, spec.Tasks, spec.Cores, spec.RAM = "low", 5000, 0.05, 0.1 }))
+	cluster.submit(node, jobSpec("j-2", func(spec *wire.Spec) { spec.Priority, spec.Tasks, spec.Cores, spec.RAM = "standard", 300, 0.05, 0.1 }))
+	cluster.resync(leader)
 	placed := func(uid string) int {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.jobs.Get(uid).PruneWaiting()
-		return len(l.jobs.Get(uid).Tasks) - len(l.jobs.Get(uid).Waiting)
+		leader.mu.Lock()
+		defer leader.mu.Unlock()
+		leader.jobs.Get(uid).PruneWaiting()
+		return len(leader.jobs.Get(uid).Tasks) - len(leader.jobs.Get(uid).Waiting)
 	}
-	s.runSeconds(l, ws, 1)
+	cluster.runSeconds(leader, workers, 1)
 	first := placed("j-1")
-	s.runSeconds(l, ws, 4)
+	cluster.runSeconds(leader, workers, 4)
 	if got := placed("j-1") - first; got < 450 || got > 750 {
 		t.Errorf("%d tasks of the lowest priority began in 4 s, want 150 a second", got)
 	}
--- a/process_pause_test.go
+++ b/process_pause_test.go
@@ -14,51 +14,51 @@
 // computed before and is about to send is checked against the lease at the last
 // step, so that nothing of it goes out after.
 func TestNothingOfBeforeGoesOutAfterStandingStill(t *testing.T) {
-	s, n, l, w := clusterWithWorker(t)
-	s.submit(n, jobSpec("j-1", nil))
-	s.resync(l)
-	l.mu.Lock()
-	now := l.clock.Now()
-	l.runPlan(now)
-	write := l.buildTransaction()
-	l.mu.Unlock()
-	if !l.commit(t.Context(), write) {
+	cluster, node, leader, worker := clusterWithWorker(t)
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	leader.mu.Lock()
+	now := leader.clock.Now()
+	leader.runPlan(now)
+	transaction := leader.buildTransaction()
+	leader.mu.Unlock()
+	if !leader.commit(t.Context(), transaction) {
 		t.Fatal("placement not recorded")
 	}
-	l.mu.Lock()
-	command := l.fleet.PrepareCommand(l.fleet.Machine("n-1"), now, 1, fleet.AllCommands)
-	l.mu.Unlock()
+	leader.mu.Lock()
+	command := leader.fleet.PrepareCommand(leader.fleet.Machine("n-1"), now, 1, fleet.AllCommands)
+	leader.mu.Unlock()
 	if command == nil || len(command.Commands) != 1 {
 		t.Fatalf("no command is about to be sent: %+v", command)
 	}
-	rep := w.Report()
-	s.disconnect(n) // nothing of this node's renewals gets through any more
-	s.clock.Advance(32 * time.Second)
+	report := worker.Report()
+	cluster.disconnect(node) // nothing of this node's renewals gets through any more
+	cluster.clock.Advance(32 * time.Second)
 
-	l.sendCommand(t.Context(), command)
-	if got := w.Starts(); len(got) != 0 {
+	leader.sendCommand(t.Context(), command)
+	if got := worker.Starts(); len(got) != 0 {
 		t.Errorf("a direct command of before was sent: %v", got)
 	}
-	l.returnMachines(t.Context(), []string{"n-1"})
-	if got := s.cloud.Returns(); len(got) != 0 {
+	leader.returnMachines(t.Context(), []string{"n-1"})
+	if got := cluster.cloud.Returns(); len(got) != 0 {
 		t.Errorf("a machine was returned on what was known before: %v", got)
 	}
-	l.rentMachines(t.Context(), cloud.Rental{MachineType: "b", Zone: "x", Count: 3})
-	if got := s.cloud.Asked(); len(got) != 0 {
+	leader.rentMachines(t.Context(), cloud.Rental{MachineType: "b", Zone: "x", Count: 3})
+	if got := cluster.cloud.Asked(); len(got) != 0 {
 		t.Errorf("machines were rented on what was known before: %v", got)
 	}
-	if _, ok := l.Heartbeat(&rep); ok {
+	if _, ok := leader.Heartbeat(&report); ok {
 		t.Error("a heartbeat was answered")
 	}
-	if l.fleet.Machine("n-1").NotAcknowledging() {
+	if leader.fleet.Machine("n-1").NotAcknowledging() {
 		t.Error("a command that was not sent counts as a sign of deafness")
 	}
 	// The successor counts the recorded attempt as possible, though it was never sent.
-	b := s.node(nil)
-	gb, _ := s.elect(b)
-	gb.mu.Lock()
-	defer gb.mu.Unlock()
-	if pc := gb.jobs.Get("j-1").Tasks[0]; pc.Allocation == nil || pc.Allocation.Machine.Name != "n-1" {
+	nodeB := cluster.node(nil)
+	newLeader, _ := cluster.elect(nodeB)
+	newLeader.mu.Lock()
+	defer newLeader.mu.Unlock()
+	if pc := newLeader.jobs.Get("j-1").Tasks[0]; pc.Allocation == nil || pc.Allocation.Machine.Name != "n-1" {
 		t.Error("the successor does not count an attempt that may have been sent")
 	}
 }
@@ -67,48 +67,48 @@
 // for all) has heard nobody meanwhile. That is its own silence, not the machines':
 // nothing is given up, and the lead is kept.
 func TestStandingStillIsNoSilence(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(nil)
-	l, _ := s.elect(n)
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	leader, _ := cluster.elect(node)
 	hosts := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 	var first *standin.Worker
 	for i, h := range hosts {
-		w := s.worker(h, []string{"x", "y"}[i%2], i > 2)
-		heartbeat(t, l, w)
+		worker := cluster.worker(h, []string{"x", "y"}[i%2], i > 2)
+		heartbeat(t, leader, worker)
 		if first == nil {
-			first = w
+			first = worker
 		}
 	}
 	for _, h := range hosts {
-		l.mu.Lock()
-		l.fleet.Machine(h).CloudStatus = wire.MachineRunning
-		l.mu.Unlock()
+		leader.mu.Lock()
+		leader.fleet.Machine(h).CloudStatus = wire.MachineRunning
+		leader.mu.Unlock()
 	}
-	l.checkPause()
-	s.advance(50 * time.Second)
-	l.checkPause()
-	l.autoscale(t.Context())
-	l.pass(t.Context())
-	if got := s.cloud.Returns(); len(got) != 0 {
+	leader.checkPause()
+	cluster.advance(50 * time.Second)
+	leader.checkPause()
+	leader.autoscale(t.Context())
+	leader.pass(t.Context())
+	if got := cluster.cloud.Returns(); len(got) != 0 {
 		t.Errorf("returned on waking: %v", got)
 	}
 	for _, h := range hosts {
-		if l.fleet.Machine(h).Returning {
+		if leader.fleet.Machine(h).Returning {
 			t.Errorf("%s is to be returned", h)
 		}
 	}
-	if _, ok := n.elector.MayAnswerHeartbeats(); !ok {
+	if _, ok := node.elector.MayAnswerHeartbeats(); !ok {
 		t.Error("gave the lead up on waking")
 	}
 	// From then on silence counts as ever, while one is heard.
 	for range 50 {
-		s.advance(time.Second)
-		s.resync(l) // no watch runs here, and a leader that reads nothing gives up
-		l.checkPause()
-		heartbeat(t, l, first)
+		cluster.advance(time.Second)
+		cluster.resync(leader) // no watch runs here, and a leader that reads nothing gives up
+		leader.checkPause()
+		heartbeat(t, leader, first)
 	}
-	l.autoscale(t.Context())
-	if len(s.cloud.Returns()) == 0 {
+	leader.autoscale(t.Context())
+	if len(cluster.cloud.Returns()) == 0 {
 		t.Error("silence after waking is not counted")
 	}
 }
--- a/quota_guarantees_test.go
+++ b/quota_guarantees_test.go
@@ -53,15 +53,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := randomTeamSchedule(1)
-			s.newLedger = func(teams map[string]quota.Limits) *quota.Ledger {
+			schedule := randomTeamSchedule(1)
+			schedule.newLedger = func(teams map[string]quota.Limits) *quota.Ledger {
 				stripped := map[string]quota.Limits{}
 				for team, limits := range teams {
 					stripped[team] = tt.strip(limits)
 				}
 				return quota.NewLedger(stripped)
 			}
-			if broken, watch := playTeamSchedule(t, s); !tt.found(broken, watch) {
+			if broken, watch := playTeamSchedule(t, schedule); !tt.found(broken, watch) {
 				t.Errorf("nothing is found: %v, %v", broken, watch.longestUnserved)
 			}
 		})
@@ -71,26 +71,26 @@
 // Three controllers accept jobs for a team's last free room in the same instant. All are
 // accepted, one runs, and the others follow one by one.
 func TestLastRoomAcceptedByThreeControllers(t *testing.T) {
-	s := schedule{seed: 3, duration: seconds(60), firstLeader: 1}
+	schedule := faultSchedule{seed: 3, duration: seconds(60), firstLeader: 1}
 	for i := range 3 {
-		u := newSubmission(i+1, 20, 10, func(sp *wire.Spec) { sp.Team, sp.Cores = "tight", 4 })
-		u.firstController = i
-		s.submissions = append(s.submissions, u)
+		submission := newSubmission(i+1, 20, 10, func(spec *wire.Spec) { spec.Team, spec.Cores = "tight", 4 })
+		submission.firstController = i
+		schedule.submissions = append(schedule.submissions, submission)
 	}
-	s.setup = func(w *simulation) {
-		w.runAt(25, func() {
-			if got := w.teamCores("tight"); got != 4 {
+	schedule.setup = func(sim *simulation) {
+		sim.runAt(25, func() {
+			if got := sim.teamCores("tight"); got != 4 {
 				t.Errorf("the team uses %v, want the 4 that fit its limit of %v", got, tightLimit)
 			}
-			for _, u := range w.schedule.submissions {
-				w.mu.Lock()
-				accepted := w.views[u.spec.UID].accepted
-				w.mu.Unlock()
+			for _, submission := range sim.schedule.submissions {
+				sim.mu.Lock()
+				accepted := sim.views[submission.spec.UID].accepted
+				sim.mu.Unlock()
 				if !accepted {
-					t.Errorf("%s is not accepted", u.spec.UID)
+					t.Errorf("%s is not accepted", submission.spec.UID)
 				}
 			}
 		})
 	}
-	playSchedule(t, s, func(w *simulation) { w.checkAllServed() })
+	playSchedule(t, schedule, func(sim *simulation) { sim.checkAllServed() })
 }
--- a/quota_test.go
+++ b/quota_test.go
@@ -16,27 +16,27 @@
 // A limit that is smaller than one task: its submission is refused for good; a job that
 // was accepted under a higher limit waits and stays known, and no machine is rented for it.
 func TestLimitSmallerThanOneTask(t *testing.T) {
-	s := newTestCluster(t)
-	a, b := s.node(withTeamLimit(4)), s.node(withTeamLimit(1))
-	_, stop := s.elect(a)
-	s.submit(a, jobSpec("j-1", func(sp *wire.Spec) { sp.Preemptible = false }))
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(1))
+	_, stop := cluster.elect(nodeA)
+	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Preemptible = false }))
 	stop()
-	gb, _ := s.elect(b)
-	b.current.Store(gb)
-	if code, _, _ := s.ask(b, http.MethodPost, wire.PathJobs, jobSpec("j-2", nil)); code != http.StatusUnprocessableEntity {
+	newLeader, _ := cluster.elect(nodeB)
+	nodeB.current.Store(newLeader)
+	if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs, jobSpec("j-2", nil)); code != http.StatusUnprocessableEntity {
 		t.Errorf("a task of 2 cores under a limit of 1: status %d, want 422", code)
 	}
-	if code, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK || v.Status != wire.JobQueued {
-		t.Errorf("the accepted job: %d %+v", code, v)
+	if code, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK || status.Status != wire.JobQueued {
+		t.Errorf("the accepted job: %d %+v", code, status)
 	}
-	gb.mu.Lock()
-	view := gb.scalingView(gb.clock.Now())
-	need, bound := gb.autoscaler.Demand(view), gb.autoscaler.ConstrainedWork(view, nil)
-	gb.mu.Unlock()
+	newLeader.mu.Lock()
+	view := newLeader.scalingView(newLeader.clock.Now())
+	need, bound := newLeader.autoscaler.Demand(view), newLeader.autoscaler.ConstrainedWork(view, nil)
+	newLeader.mu.Unlock()
 	if need.OnDemand.Cores > 0 || need.Preemptible.Cores > 0 || len(bound) > 0 {
 		t.Errorf("machines are wanted for what may not run: %+v, %+v", need, bound)
 	}
-	reports, ok := gb.teamReports()
+	reports, ok := newLeader.teamReports()
 	if !ok || teamNamed(t, quota.Report{Teams: reports}, "team").Waiting.Reasons[quota.ReasonLimit] != 1 {
 		t.Errorf("reports %+v", reports)
 	}
@@ -45,46 +45,46 @@
 // Ends of attempts that are reported late, twice, or of an earlier attempt free nothing
 // of the present one's room.
 func TestLateEndsFreeNothing(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(withTeamLimit(2))
-	l, w, _ := leadWithJob(t, n, s, 2)
-	running := w.Live()
+	cluster := newTestCluster(t)
+	node := cluster.node(withTeamLimit(2))
+	leader, worker, _ := leadWithJob(t, node, cluster, 2)
+	running := worker.Live()
 	if len(running) != 1 {
 		t.Fatalf("one task of 2 cores under a limit of 2: %v", running)
 	}
-	w.End(running[0], wire.CauseDone)
-	late := w.Report() // of the first task's end
+	worker.End(running[0], wire.CauseDone)
+	late := worker.Report() // of the first task's end
 	for range 3 {
-		heartbeat(t, l, w)
-		s.settle(l)
+		heartbeat(t, leader, worker)
+		cluster.settle(leader)
 	}
-	if got := w.Live(); len(got) != 1 || got[0] == running[0] {
+	if got := worker.Live(); len(got) != 1 || got[0] == running[0] {
 		t.Fatalf("after the first task's end: %v", got)
 	}
 	used := func() float64 {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		return l.quota.Usage("team").Total.Cores.Decimal()
+		leader.mu.Lock()
+		defer leader.mu.Unlock()
+		return leader.quota.Usage("team").Total.Cores.Decimal()
 	}
 	for range 2 {
-		if _, ok := l.Heartbeat(&late); !ok {
+		if _, ok := leader.Heartbeat(&late); !ok {
 			t.Fatal("not answered")
 		}
 		if got := used(); got != 2 {
 			t.Errorf("after a late copy: %v in use, want 2", got)
 		}
 	}
-	s.settle(l)
-	if got := w.Starts(); len(got) != 2 {
+	cluster.settle(leader)
+	if got := worker.Starts(); len(got) != 2 {
 		t.Errorf("starts %v, want each task once", got)
 	}
 }
 
 // Bad input gets what the protocol says and leaves the ledger alone.
 func TestBadSubmissionsLeaveTheLedgerAlone(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(withTeamLimit(4))
-	l, _ := s.elect(n)
+	cluster := newTestCluster(t)
+	node := cluster.node(withTeamLimit(4))
+	leader, _ := cluster.elect(node)
 	for name, tt := range map[string]struct {
 		mod  func(m map[string]any)
 		want int
@@ -103,17 +103,17 @@
 		"negative GPUs":      {func(m map[string]any) { m["accelerators"] = -1.0 }, http.StatusBadRequest},
 		"service over limit": {func(m map[string]any) { m["shape"], m["pieces"] = wire.KindService, 3 }, http.StatusUnprocessableEntity},
 	} {
-		if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, submissionBody(t, jobSpec("j-1", nil), tt.mod)); code != tt.want {
+		if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs, submissionBody(t, jobSpec("j-1", nil), tt.mod)); code != tt.want {
 			t.Errorf("%s: status %d, want %d", name, code, tt.want)
 		}
 	}
-	s.resync(l)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if use := l.quota.Usage("team"); use.Total != (quota.Amount{}) || l.jobs.Len() > 0 || len(s.state.Keys(store.PrefixJob)) > 0 {
-		t.Errorf("%+v in use, %d jobs", use, l.jobs.Len())
+	cluster.resync(leader)
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	if use := leader.quota.Usage("team"); use.Total != (quota.Amount{}) || leader.jobs.Len() > 0 || len(cluster.state.Keys(store.PrefixJob)) > 0 {
+		t.Errorf("%+v in use, %d jobs", use, leader.jobs.Len())
 	}
-	if got := fmt.Sprint(l.quota.Teams()); got != "[team]" {
+	if got := fmt.Sprint(leader.quota.Teams()); got != "[team]" {
 		t.Errorf("teams %s", got)
 	}
 }
@@ -121,33 +121,33 @@
 // Work within a team's guarantee takes the place of what another team runs beyond its
 // own, whatever the priorities, and what it took the place of does not take it back.
 func TestGuaranteeIsGivenBack(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(func(f *config.Facts) {
-		f.Teams = append(f.Teams, config.Team{Name: "owner", CPUs: 2})
+	cluster := newTestCluster(t)
+	node := cluster.node(func(facts *config.Facts) {
+		facts.Teams = append(facts.Teams, config.Team{Name: "owner", CPUs: 2})
 	})
-	l, w, _ := leadWithJob(t, n, s, 8)
-	if got := w.Live(); len(got) != 4 {
+	leader, worker, _ := leadWithJob(t, node, cluster, 8)
+	if got := worker.Live(); len(got) != 4 {
 		t.Fatalf("four tasks of 2 cores on 8: %v", got)
 	}
 	for i := range 3 {
-		s.submit(n, jobSpec(fmt.Sprintf("j-%d", i+2), func(sp *wire.Spec) { sp.Team, sp.Priority, sp.Cores = "owner", "low", 1 }))
+		cluster.submit(node, jobSpec(fmt.Sprintf("j-%d", i+2), func(spec *wire.Spec) { spec.Team, spec.Priority, spec.Cores = "owner", "low", 1 }))
 	}
-	s.resync(l)
+	cluster.resync(leader)
 	for range 6 {
-		s.settle(l)
-		heartbeat(t, l, w)
-		s.advance(time.Second)
+		cluster.settle(leader)
+		heartbeat(t, leader, worker)
+		cluster.advance(time.Second)
 	}
 	own := 0
-	for _, task := range w.Live() {
+	for _, task := range worker.Live() {
 		if !strings.HasPrefix(task, "j-1/") {
 			own++
 		}
 	}
-	if len(w.Live()) != 5 || own != 2 {
-		t.Errorf("%v run, want two of the guaranteed team's", w.Live())
+	if len(worker.Live()) != 5 || own != 2 {
+		t.Errorf("%v run, want two of the guaranteed team's", worker.Live())
 	}
-	if starts := len(w.Starts()); starts != 4+2 {
+	if starts := len(worker.Starts()); starts != 4+2 {
 		t.Errorf("%d starts, want 6: nothing is pushed to and fro", starts)
 	}
 }
--- a/random_schedules_test.go
+++ b/random_schedules_test.go
@@ -18,7 +18,7 @@
 	furtherCount  = flag.Uint64("further", 100, "how many random schedules with further troubles are played")
 	heldCount     = flag.Uint64("held", 40, "how many random schedules are played whose messages are held, too")
 	oneWayCount   = flag.Uint64("oneway", 30, "how many random schedules are played whose messages are held in one direction only")
-	firstSeed  = flag.Uint64("meeting", 0, "the seed of the first random schedule")
+	firstSeed     = flag.Uint64("meeting", 0, "the seed of the first random schedule")
 )
 
 // Whole services play random schedules of troubles against stand-ins on virtual
@@ -26,15 +26,19 @@
 func TestRandomMeetings(t *testing.T) { playRandomSchedules(t, *scheduleCount, randomSchedule) }
 
 // The same with the further troubles.
-func TestRandomFurtherMeetings(t *testing.T) { playRandomSchedules(t, *furtherCount, randomFurtherSchedule) }
+func TestRandomFurtherMeetings(t *testing.T) {
+	playRandomSchedules(t, *furtherCount, randomFurtherSchedule)
+}
 
 // The same again with messages that are held and delivered late.
 func TestRandomHeldMeetings(t *testing.T) { playRandomSchedules(t, *heldCount, randomHeldSchedule) }
 
 // The same with each hold in one direction only.
-func TestRandomOneWayMeetings(t *testing.T) { playRandomSchedules(t, *oneWayCount, randomOneWaySchedule) }
+func TestRandomOneWayMeetings(t *testing.T) {
+	playRandomSchedules(t, *oneWayCount, randomOneWaySchedule)
+}
 
-func playRandomSchedules(t *testing.T, seeds uint64, draw func(seed uint64) schedule) {
+func playRandomSchedules(t *testing.T, seeds uint64, draw func(seed uint64) faultSchedule) {
 	for seed := *firstSeed; seed < *firstSeed+seeds; seed++ {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
@@ -47,57 +51,57 @@
 func TestQuietMeeting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := randomSchedule(1)
-		s.faults = nil
-		for i := range s.submissions {
-			s.submissions[i].cancelOnFault, s.submissions[i].cancelAfter, s.submissions[i].cancelOnDone = "", 0, false
+		schedule := randomSchedule(1)
+		schedule.faults = nil
+		for i := range schedule.submissions {
+			schedule.submissions[i].cancelOnFault, schedule.submissions[i].cancelAfter, schedule.submissions[i].cancelOnDone = "", 0, false
 		}
-		w := newSimulation(ctx, t, s)
-		w.run()
-		for _, u := range s.submissions {
-			if u.spec.Kind == wire.KindBatch && !w.views[u.spec.UID].done {
-				t.Errorf("%s is not done", u.spec.UID)
+		sim := newSimulation(ctx, t, schedule)
+		sim.run()
+		for _, submission := range schedule.submissions {
+			if submission.spec.Kind == wire.KindBatch && !sim.views[submission.spec.UID].done {
+				t.Errorf("%s is not done", submission.spec.UID)
 			}
 		}
-		w.shutDown(cancel)
-		for _, b := range w.violations {
+		sim.shutDown(cancel)
+		for _, b := range sim.violations {
 			t.Error(b)
 		}
 		if t.Failed() {
-			t.Log(strings.Join(w.history, "\n"))
+			t.Log(strings.Join(sim.history, "\n"))
 		}
 	})
 }
 
 // A job that comes while nothing is rented gets a machine where it may run.
 func TestJobGetsAMachineWhereItMayRun(t *testing.T) {
-	bound := map[string]func(sp *wire.Spec){
+	bound := map[string]func(spec *wire.Spec){
 		"anywhere": func(*wire.Spec) {},
-		"zone x":   func(sp *wire.Spec) { sp.Zone = "x" },
-		"zone y":   func(sp *wire.Spec) { sp.Zone = "y" },
-		"type b":   func(sp *wire.Spec) { sp.MachineTypes = []string{"b"} },
-		"type s":   func(sp *wire.Spec) { sp.MachineTypes = []string{"s"} },
+		"zone x":   func(spec *wire.Spec) { spec.Zone = "x" },
+		"zone y":   func(spec *wire.Spec) { spec.Zone = "y" },
+		"type b":   func(spec *wire.Spec) { spec.MachineTypes = []string{"b"} },
+		"type s":   func(spec *wire.Spec) { spec.MachineTypes = []string{"s"} },
 	}
 	for name, mod := range bound {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				s := schedule{seed: 1, duration: 30 * time.Second}
-				s.submissions = []submission{{after: time.Second, runTime: 5 * time.Second, spec: jobSpec("j-1", func(sp *wire.Spec) {
-					sp.Team, sp.Cores, sp.ExpectedS = "free", 1, 5
-					mod(sp)
+				schedule := faultSchedule{seed: 1, duration: 30 * time.Second}
+				schedule.submissions = []scheduledSubmission{{after: time.Second, runTime: 5 * time.Second, spec: jobSpec("j-1", func(spec *wire.Spec) {
+					spec.Team, spec.Cores, spec.ExpectedS = "free", 1, 5
+					mod(spec)
 				})}}
-				w := newSimulation(ctx, t, s)
-				w.run()
-				if left := w.unplacedTasks(true); len(left) > 0 {
-					t.Errorf("after %v: %v", s.duration+faultFreeTail, left)
+				sim := newSimulation(ctx, t, schedule)
+				sim.run()
+				if left := sim.unplacedTasks(true); len(left) > 0 {
+					t.Errorf("after %v: %v", schedule.duration+faultFreeTail, left)
 				}
-				w.shutDown(cancel)
-				for _, b := range w.violations {
+				sim.shutDown(cancel)
+				for _, b := range sim.violations {
 					t.Error(b)
 				}
 				if t.Failed() {
-					t.Log(strings.Join(w.history, "\n"))
+					t.Log(strings.Join(sim.history, "\n"))
 				}
 			})
 		})
--- a/recording_test.go
+++ b/recording_test.go
@@ -16,25 +16,25 @@
 // each other, and placements of a job go in one change.
 func TestPutsFollowRecords(t *testing.T) {
 	puts := func(tasks int) (placed, ended int) {
-		s, n, l, w := clusterWithWorker(t)
-		s.submit(n, jobSpec("j-1", func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = tasks, 0.05, 0.1 }))
-		s.resync(l)
-		before := s.state.Puts()
-		s.settle(l)
-		placed = s.state.Puts() - before
-		if len(w.Live()) != tasks {
-			t.Fatalf("%d of %d tasks run", len(w.Live()), tasks)
+		cluster, node, leader, worker := clusterWithWorker(t)
+		cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = tasks, 0.05, 0.1 }))
+		cluster.resync(leader)
+		before := cluster.state.Puts()
+		cluster.settle(leader)
+		placed = cluster.state.Puts() - before
+		if len(worker.Live()) != tasks {
+			t.Fatalf("%d of %d tasks run", len(worker.Live()), tasks)
 		}
-		before = s.state.Puts()
+		before = cluster.state.Puts()
 		for i := range tasks - 1 {
-			w.End(fmt.Sprintf("j-1/%d", i), wire.CauseDone)
-			heartbeat(t, l, w)
-			s.settle(l)
+			worker.End(fmt.Sprintf("j-1/%d", i), wire.CauseDone)
+			heartbeat(t, leader, worker)
+			cluster.settle(leader)
 		}
-		s.advance(3 * time.Second)
-		heartbeat(t, l, w)
-		s.settle(l)
-		return placed, s.state.Puts() - before
+		cluster.advance(3 * time.Second)
+		heartbeat(t, leader, worker)
+		cluster.settle(leader)
+		return placed, cluster.state.Puts() - before
 	}
 	fewPlaced, fewEnded := puts(6)
 	manyPlaced, manyEnded := puts(110)
@@ -48,52 +48,52 @@
 // of leaders in the middle neither loses one nor runs one twice.
 func TestSwarmSharesRecords(t *testing.T) {
 	puts := func(jobs int) float64 {
-		s := newTestCluster(t)
-		a, b := s.node(nil), s.node(nil)
-		l, stop := s.elect(a)
-		var ws []*standin.Worker
+		cluster := newTestCluster(t)
+		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+		l, stop := cluster.elect(nodeA)
+		var workers []*standin.Worker
 		for i := range 4 {
-			w := s.worker(fmt.Sprintf("n-%d", i+1), "x", true)
-			heartbeat(t, l, w)
-			ws = append(ws, w)
+			worker := cluster.worker(fmt.Sprintf("n-%d", i+1), "x", true)
+			heartbeat(t, l, worker)
+			workers = append(workers, worker)
 		}
 		uid := func(k int) string { return fmt.Sprintf("j-%d", k) }
 		for k := range jobs {
-			s.submit(a, jobSpec(uid(k), func(sp *wire.Spec) { sp.Cores, sp.RAM = 0.25, 0.5 }))
+			cluster.submit(nodeA, jobSpec(uid(k), func(spec *wire.Spec) { spec.Cores, spec.RAM = 0.25, 0.5 }))
 		}
-		accepted := s.state.Puts()
-		s.resync(l)
+		accepted := cluster.state.Puts()
+		cluster.resync(l)
 		ended := map[string]bool{}
-		work := func(l *leader, rounds int) {
+		work := func(leader *leader, rounds int) {
 			for range rounds {
-				s.settle(l)
-				for _, w := range ws {
-					for _, p := range w.Live() {
-						w.End(p, wire.CauseDone)
+				cluster.settle(leader)
+				for _, worker := range workers {
+					for _, p := range worker.Live() {
+						worker.End(p, wire.CauseDone)
 						ended[p] = true
 					}
-					heartbeat(t, l, w)
+					heartbeat(t, leader, worker)
 				}
-				s.advance(time.Second)
+				cluster.advance(time.Second)
 			}
 		}
 		work(l, 1)
-		s.settle(l)
+		cluster.settle(l)
 		stop()
-		l, _ = s.elect(b)
+		l, _ = cluster.elect(nodeB)
 		work(l, 12)
-		s.settle(l)
+		cluster.settle(l)
 		for k := range jobs {
-			if _, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/"+uid(k), nil); v.Status != wire.JobDone {
-				t.Fatalf("%s of %d: %+v, want done", uid(k), jobs, v)
+			if _, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/"+uid(k), nil); status.Status != wire.JobDone {
+				t.Fatalf("%s of %d: %+v, want done", uid(k), jobs, status)
 			}
-			if code, v, _ := s.ask(a, http.MethodPost, wire.PathJobs, jobSpec(uid(k), nil)); code != http.StatusOK || v.Status != wire.JobDone {
-				t.Fatalf("%s submitted again: %d %+v", uid(k), code, v)
+			if code, status, _ := cluster.ask(nodeA, http.MethodPost, wire.PathJobs, jobSpec(uid(k), nil)); code != http.StatusOK || status.Status != wire.JobDone {
+				t.Fatalf("%s submitted again: %d %+v", uid(k), code, status)
 			}
 		}
 		seen := map[string]bool{}
-		for _, w := range ws {
-			for _, k := range w.Starts() {
+		for _, worker := range workers {
+			for _, k := range worker.Starts() {
 				if seen[k] {
 					t.Errorf("%s started twice", k)
 				}
@@ -105,13 +105,13 @@
 		}
 		// With changes to spare all of them move to their final place, and the
 		// shared records go.
-		if left := s.state.Keys(store.PrefixJob); len(left) != 0 {
+		if left := cluster.state.Keys(store.PrefixJob); len(left) != 0 {
 			t.Errorf("%d jobs have not moved", len(left))
 		}
-		if left := s.state.Keys(store.PrefixShared); len(left) > 1 {
+		if left := cluster.state.Keys(store.PrefixShared); len(left) > 1 {
 			t.Errorf("shared records left: %v", left)
 		}
-		return float64(s.state.Puts()-accepted) / float64(jobs)
+		return float64(cluster.state.Puts()-accepted) / float64(jobs)
 	}
 	// One for the end, two for the move, and a share of the attempts'.
 	small, large := puts(120), puts(480)
@@ -124,53 +124,53 @@
 // that the state service takes: one that does not is refused for ever, and
 // everything behind it waits. If one is refused all the same, the rest goes on.
 func TestTransactionsKeepTheLimits(t *testing.T) {
-	s, n, l, ws := clusterWithWorkers(t, 16)
+	cluster, node, leader, workers := clusterWithWorkers(t, 16)
 	uids := []string{}
 	for k := range 60 {
 		uid := fmt.Sprintf("j-1%03d", k)
 		uids = append(uids, uid)
-		s.submit(n, jobSpec(uid, func(sp *wire.Spec) { sp.Tasks, sp.Cores, sp.RAM = 2, 0.1, 0.1 }))
+		cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 2, 0.1, 0.1 }))
 	}
-	s.resync(l)
-	s.runSeconds(l, ws, 2)
+	cluster.resync(leader)
+	cluster.runSeconds(leader, workers, 2)
 	for k := range 150 {
-		s.submit(n, jobSpec(fmt.Sprintf("j-2%03d", k), func(sp *wire.Spec) { sp.Cores, sp.RAM = 0.1, 0.1 }))
+		cluster.submit(node, jobSpec(fmt.Sprintf("j-2%03d", k), func(spec *wire.Spec) { spec.Cores, spec.RAM = 0.1, 0.1 }))
 	}
-	s.resync(l)
-	l.mu.Lock()
+	cluster.resync(leader)
+	leader.mu.Lock()
 	for _, uid := range uids {
-		l.writer.MarkDirty(uid) // recorded already with others' results
+		leader.writer.MarkDirty(uid) // recorded already with others' results
 	}
-	l.mu.Unlock()
-	s.runSeconds(l, ws, 3)
-	for _, w := range ws {
-		for _, p := range w.Live() {
-			w.End(p, wire.CauseDone)
+	leader.mu.Unlock()
+	cluster.runSeconds(leader, workers, 3)
+	for _, worker := range workers {
+		for _, p := range worker.Live() {
+			worker.End(p, wire.CauseDone)
 		}
 	}
 	for k := range 30 {
-		s.ask(n, http.MethodPost, fmt.Sprintf("%s/j-2%03d/%s", wire.PathJobs, k, wire.SuffixCancel), nil)
+		cluster.ask(node, http.MethodPost, fmt.Sprintf("%s/j-2%03d/%s", wire.PathJobs, k, wire.SuffixCancel), nil)
 	}
-	s.resync(l)
-	s.runSeconds(l, ws, 12)
-	if got := s.state.TooMany(); got != 0 {
+	cluster.resync(leader)
+	cluster.runSeconds(leader, workers, 12)
+	if got := cluster.state.TooMany(); got != 0 {
 		t.Errorf("%d transactions were refused for their size", got)
 	}
-	if got := s.state.Keys(store.PrefixJob); len(got) != 0 {
+	if got := cluster.state.Keys(store.PrefixJob); len(got) != 0 {
 		t.Errorf("%d jobs are not over", len(got))
 	}
 	// One that is refused does not keep the others up.
-	s.submit(n, jobSpec("j-3", nil))
-	s.resync(l)
-	tx := &statewriter.Transaction{}
+	cluster.submit(node, jobSpec("j-3", nil))
+	cluster.resync(leader)
+	transaction := &statewriter.Transaction{}
 	for k := range 30 {
-		tx.Txn.Operations = append(tx.Txn.Operations, wire.Operation{Delete: fmt.Sprintf("p/x/%05d", k)})
+		transaction.Txn.Operations = append(transaction.Txn.Operations, wire.Operation{Delete: fmt.Sprintf("p/x/%05d", k)})
 	}
-	if !l.commit(t.Context(), tx) {
+	if !leader.commit(t.Context(), transaction) {
 		t.Fatal("a refused transaction ends the term")
 	}
-	s.runSeconds(l, ws, 2)
-	if startCount(ws, "j-3") != 1 {
+	cluster.runSeconds(leader, workers, 2)
+	if startCount(workers, "j-3") != 1 {
 		t.Error("nothing begins after a transaction was refused")
 	}
 }
--- a/team_reports_test.go
+++ b/team_reports_test.go
@@ -16,30 +16,30 @@
 )
 
 // teamNamed is the report of one team.
-func teamNamed(t *testing.T, r quota.Report, name string) quota.TeamReport {
+func teamNamed(t *testing.T, report quota.Report, name string) quota.TeamReport {
 	t.Helper()
-	for _, team := range r.Teams {
+	for _, team := range report.Teams {
 		if team.Team == name {
 			return team
 		}
 	}
-	t.Fatalf("no team %q in %+v", name, r)
+	t.Fatalf("no team %q in %+v", name, report)
 	return quota.TeamReport{}
 }
 
 // The report follows a team's work from waiting at its limit to its proof of absence.
 func TestTeamsReport(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(func(f *config.Facts) { f.Teams[0].CPUsMax, f.Teams[0].CPUs = 4, 2 })
-	l, w, _ := leadWithJob(t, n, s, 4)
-	n.current.Store(l)
+	cluster := newTestCluster(t)
+	node := cluster.node(func(facts *config.Facts) { facts.Teams[0].CPUsMax, facts.Teams[0].CPUs = 4, 2 })
+	leader, worker, _ := leadWithJob(t, node, cluster, 4)
+	node.current.Store(leader)
 	look := func() quota.TeamReport {
 		t.Helper()
-		r, err := n.Teams(t.Context())
-		if err != nil || !r.Fresh || r.Leader != n.cfg.Node {
-			t.Fatalf("%+v, %v", r, err)
+		report, err := node.Teams(t.Context())
+		if err != nil || !report.Fresh || report.Leader != node.cfg.Node {
+			t.Fatalf("%+v, %v", report, err)
 		}
-		return teamNamed(t, r, "team")
+		return teamNamed(t, report, "team")
 	}
 	want := quota.TeamReport{Team: "team", Tasks: quota.TasksReport{Running: 2},
 		Cores:   quota.ResourceReport{Limit: 4, Guarantee: 2, InUse: 4, Running: 4},
@@ -47,18 +47,18 @@
 	if diff := cmp.Diff(want, look()); diff != "" {
 		t.Errorf("at its limit: %s", diff)
 	}
-	w.Unreachable(true) // direct commands don't arrive
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != http.StatusOK {
+	worker.Unreachable(true) // direct commands don't arrive
+	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
-	s.resync(l)
+	cluster.resync(leader)
 	want.Tasks, want.Waiting = quota.TasksReport{Stopping: 2}, quota.WaitingReport{}
 	want.Cores.Running, want.Cores.Stopping = 0, 4
 	if diff := cmp.Diff(want, look()); diff != "" {
 		t.Errorf("cancelled, and not proved gone: %s", diff)
 	}
-	heartbeat(t, l, w) // is told to stop
-	heartbeat(t, l, w) // shows that it has
+	heartbeat(t, leader, worker) // is told to stop
+	heartbeat(t, leader, worker) // shows that it has
 	want.Tasks, want.Cores = quota.TasksReport{}, quota.ResourceReport{Limit: 4, Guarantee: 2}
 	if diff := cmp.Diff(want, look()); diff != "" {
 		t.Errorf("proved gone: %s", diff)
@@ -67,81 +67,81 @@
 
 // askTeams asks a controller of a world for the teams' use as an operator does.
 func (w *simulation) askTeams(node int) (quota.Report, error) {
-	p := w.runningProcess(fmt.Sprintf("node-%d", node+1))
-	if p == nil {
+	process := w.runningProcess(fmt.Sprintf("node-%d", node+1))
+	if process == nil {
 		return quota.Report{}, errNoResponse
 	}
 	server := httptest.NewRecorder()
-	p.operators().ServeHTTP(server, httptest.NewRequestWithContext(w.ctx, http.MethodGet, operator.PathTeams, nil))
+	process.operators().ServeHTTP(server, httptest.NewRequestWithContext(w.ctx, http.MethodGet, operator.PathTeams, nil))
 	if server.Code != http.StatusOK {
 		return quota.Report{}, fmt.Errorf("status %d", server.Code)
 	}
-	return p.Teams(w.ctx)
+	return process.Teams(w.ctx)
 }
 
 // Every controller tells what the leader's ledger holds; when nobody leads, what it saw
 // last, and how old that is. One that never heard a leader says so.
 func TestTeamsFromEveryController(t *testing.T) {
-	s := schedule{seed: 1, duration: seconds(60), firstLeader: 1, limits: map[string]float64{}}
-	s.submissions = []submission{newSubmission(1, 2, 0, func(sp *wire.Spec) { asService(2)(sp); sp.Team = "tight" })}
-	s.faults = []fault{
+	schedule := faultSchedule{seed: 1, duration: seconds(60), firstLeader: 1, limits: map[string]float64{}}
+	schedule.submissions = []scheduledSubmission{newSubmission(1, 2, 0, func(spec *wire.Spec) { asService(2)(spec); spec.Team = "tight" })}
+	schedule.faults = []scheduledFault{
 		{kind: stateRefusesAll, at: seconds(30), duration: seconds(25)},
 		{kind: controllerKilled, at: seconds(31), duration: seconds(20), controller: 3},
 	}
-	s.setup = func(w *simulation) {
-		w.runAt(25, func() {
+	schedule.setup = func(sim *simulation) {
+		sim.runAt(25, func() {
 			for node := range 3 {
-				r, err := w.askTeams(node)
-				if err != nil || !r.Fresh || r.Leader != "node-1" {
-					t.Errorf("node %d: %+v, %v", node+1, r, err)
+				report, err := sim.askTeams(node)
+				if err != nil || !report.Fresh || report.Leader != "node-1" {
+					t.Errorf("node %d: %+v, %v", node+1, report, err)
 					continue
 				}
-				if got := teamNamed(t, r, "tight"); got.Cores.Running != 2 || got.Cores.Limit != tightLimit {
+				if got := teamNamed(t, report, "tight"); got.Cores.Running != 2 || got.Cores.Limit != tightLimit {
 					t.Errorf("node %d shows %+v", node+1, got)
 				}
 			}
 		})
-		w.runAt(50, func() {
-			r, err := w.askTeams(1)
-			if err != nil || r.Fresh || r.AgeS < 24 || r.Leader != "node-1" {
-				t.Errorf("while nobody leads: %+v, %v", r, err)
+		sim.runAt(50, func() {
+			report, err := sim.askTeams(1)
+			if err != nil || report.Fresh || report.AgeS < 24 || report.Leader != "node-1" {
+				t.Errorf("while nobody leads: %+v, %v", report, err)
 			}
-			if got := teamNamed(t, r, "tight"); got.Cores.Running != 2 {
+			if got := teamNamed(t, report, "tight"); got.Cores.Running != 2 {
 				t.Errorf("while nobody leads: %+v", got)
 			}
 		})
-		w.runAt(52, func() {
-			if r, err := w.askTeams(0); err == nil {
-				t.Errorf("a controller that has just started, while nobody leads: %+v", r)
+		sim.runAt(52, func() {
+			if report, err := sim.askTeams(0); err == nil {
+				t.Errorf("a controller that has just started, while nobody leads: %+v", report)
 			}
 		})
-		w.runAt(100, func() {
+		sim.runAt(100, func() {
 			for node := range 3 {
-				if r, err := w.askTeams(node); err != nil || !r.Fresh || r.AgeS != 0 || r.Node != fmt.Sprintf("node-%d", node+1) {
-					t.Errorf("node %d when all is well again: %+v, %v", node+1, r, err)
+				if report, err := sim.askTeams(node); err != nil || !report.Fresh || report.AgeS != 0 || report.Node != fmt.Sprintf("node-%d", node+1) {
+					t.Errorf("node %d when all is well again: %+v, %v", node+1, report, err)
 				}
 			}
 		})
 	}
-	playSchedule(t, s, nil)
+	playSchedule(t, schedule, nil)
 }
 
 // A thousand teams take several messages between controllers.
 func TestTeamsComeInPages(t *testing.T) {
-	s := newTestCluster(t)
-	many := func(f *config.Facts) {
+	cluster := newTestCluster(t)
+	many := func(facts *config.Facts) {
 		for i := range 1000 {
-			f.Teams = append(f.Teams, config.Team{Name: fmt.Sprintf("team-%04d", i), CPUsMax: float64(i + 1)})
+			facts.Teams = append(facts.Teams, config.Team{Name: fmt.Sprintf("team-%04d", i), CPUsMax: float64(i + 1)})
 		}
 	}
-	a, b := s.node(many), s.node(many)
-	s.connect(a, b)
-	link := a.relayLinks[b.cfg.Node]
+	nodeA, nodeB := cluster.node(many), cluster.node(many)
+	cluster.connect(nodeA, nodeB)
+	link := nodeA.relayLinks[nodeB.cfg.Node]
 	if teams, err := readTeams(t.Context(), link); !errors.Is(err, errNoLeader) {
 		t.Fatalf("of one that does not lead: %d teams, %v", len(teams), err)
 	}
-	l, _ := s.elect(b)
-	b.current.Store(l)
+	leader, _ := cluster.elect(nodeB)
+	nodeB.current.Store(leader)
 	teams, err := readTeams(t.Context(), link)
 	if err != nil || len(teams) != 1001 {
 		t.Fatalf("%d teams, %v", len(teams), err)
--- a/total_loss_test.go
+++ b/total_loss_test.go
@@ -27,23 +27,23 @@
 func TestTotalLoss(t *testing.T) {
 	for _, spell := range []float64{0.4, 6, 25, 50} {
 		for returns := 1; returns <= 3; returns++ {
-			x := totalLoss{lossAtS: 40, outageS: spell, returning: returns}
+			loss := totalLoss{lossAtS: 40, outageS: spell, returning: returns}
 			t.Run(fmt.Sprintf("spell=%v,returns=%d", spell, returns), func(t *testing.T) {
 				t.Parallel()
-				broken, f := playTotalLoss(t, x, *lossMachines, nil)
+				broken, measured := playTotalLoss(t, loss, *lossMachines, nil)
 				for _, b := range broken {
 					t.Error(b)
 				}
 				// Workers whose leases lasted need nothing: no starts, no machines. (With controllers that
 				// stay down some workers try those first, until their leases are over.)
-				if spell < 1 && returns == 3 && (f.Commands.Runs > 0 || f.Commands.Halts > 0 || f.Commands.Rentals > 0) {
-					t.Errorf("%+v, want no starts, stops and rentals", f.Commands)
+				if spell < 1 && returns == 3 && (measured.Commands.Runs > 0 || measured.Commands.Halts > 0 || measured.Commands.Rentals > 0) {
+					t.Errorf("%+v, want no starts, stops and rentals", measured.Commands)
 				}
-				if f.AllGoingS == 0 || f.AllGoingS > allGoingWithin {
-					t.Errorf("all goes on %.2f s after the first return, want within %v s", f.AllGoingS, allGoingWithin)
+				if measured.AllGoingS == 0 || measured.AllGoingS > allGoingWithin {
+					t.Errorf("all goes on %.2f s after the first return, want within %v s", measured.AllGoingS, allGoingWithin)
 				}
-				t.Log(f)
-				if err := saveMeasurements(f); err != nil {
+				t.Log(measured)
+				if err := saveMeasurements(measured); err != nil {
 					t.Error(err)
 				}
 			})
@@ -57,14 +57,14 @@
 	for _, spell := range []float64{6, 14, 32} {
 		t.Run(fmt.Sprintf("spell=%v", spell), func(t *testing.T) {
 			t.Parallel()
-			broken, f := playTotalLoss(t, totalLoss{lossAtS: 40, outageS: spell, returning: 1, timing: defaultTiming}, 20, nil)
+			broken, measured := playTotalLoss(t, totalLoss{lossAtS: 40, outageS: spell, returning: 1, timing: defaultTiming}, 20, nil)
 			for _, b := range broken {
 				t.Error(b)
 			}
-			if f.AllGoingS == 0 || f.AllGoingS > allGoingWithin {
-				t.Errorf("all goes on %.2f s after the return, want within %v s", f.AllGoingS, allGoingWithin)
+			if measured.AllGoingS == 0 || measured.AllGoingS > allGoingWithin {
+				t.Errorf("all goes on %.2f s after the return, want within %v s", measured.AllGoingS, allGoingWithin)
 			}
-			t.Log(f)
+			t.Log(measured)
 		})
 	}
 }
@@ -107,21 +107,21 @@
 	for request := 1; request <= crashPoints; request++ {
 		t.Run(fmt.Sprintf("request=%d", request), func(t *testing.T) {
 			t.Parallel()
-			x := totalLoss{lossAtS: 30, outageS: 1, returning: 3}
-			h := &eventLog{}
-			s := x.schedule(12, h)
-			setup := s.setup
-			s.setup = func(w *simulation) {
-				setup(w)
-				w.crashLeaders(x.lostAt(w).Add(seconds(x.outageS)), request, 2)
+			loss := totalLoss{lossAtS: 30, outageS: 1, returning: 3}
+			events := &eventLog{}
+			schedule := loss.schedule(12, events)
+			setup := schedule.setup
+			schedule.setup = func(sim *simulation) {
+				setup(sim)
+				sim.crashLeaders(loss.lostAt(sim).Add(seconds(loss.outageS)), request, 2)
 			}
-			var w *simulation
-			playSchedule(t, s, func(played *simulation) {
-				w = played
-				w.checkAllServed()
+			var sim *simulation
+			playSchedule(t, schedule, func(played *simulation) {
+				sim = played
+				sim.checkAllServed()
 			})
-			lost := x.lostAt(w)
-			for _, f := range h.violations(lost, lost.Add(seconds(x.outageS)), lost.Add(seconds(x.outageS)+recoveryCheckTime), func(uid string) bool { return w.views[uid].cancelRequested }) {
+			lost := loss.lostAt(sim)
+			for _, f := range events.violations(lost, lost.Add(seconds(loss.outageS)), lost.Add(seconds(loss.outageS)+recoveryCheckTime), func(uid string) bool { return sim.views[uid].cancelRequested }) {
 				t.Error(f)
 			}
 		})
--- a/user_requests_test.go
+++ b/user_requests_test.go
@@ -14,10 +14,10 @@
 )
 
 func TestAnswersToUsers(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(func(f *config.Facts) { f.Teams = append(f.Teams, config.Team{Name: "small", CPUsMax: 3}) })
+	cluster := newTestCluster(t)
+	node := cluster.node(func(facts *config.Facts) { facts.Teams = append(facts.Teams, config.Team{Name: "small", CPUsMax: 3}) })
 	good := jobSpec("j-1", nil)
-	s.submit(n, good)
+	cluster.submit(node, good)
 	edit := func(mod func(m map[string]any)) []byte {
 		return submissionBody(t, good, func(m map[string]any) { m["uid"] = "j-2"; mod(m) })
 	}
@@ -49,57 +49,57 @@
 		{"unknown field", edit(func(m map[string]any) { m["uid"], m["new"] = "j-4", []int{1} }), 201},
 	}
 	for _, tt := range tests {
-		if got, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, tt.body); got != tt.want {
+		if got, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs, tt.body); got != tt.want {
 			t.Errorf("%s: status %d, want %d", tt.name, got, tt.want)
 		}
 	}
 	for path, want := range map[string]int{"/j-1": 200, "/j-999": 404, "/nonsense": 404} {
-		if got, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+path, nil); got != want {
+		if got, _, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+path, nil); got != want {
 			t.Errorf("GET %s: status %d, want %d", path, got, want)
 		}
 	}
-	if got, _, _ := s.ask(n, http.MethodDelete, wire.PathJobs+"/j-1", nil); got != 405 {
+	if got, _, _ := cluster.ask(node, http.MethodDelete, wire.PathJobs+"/j-1", nil); got != 405 {
 		t.Errorf("wrong method: status %d", got)
 	}
 	// A store that can't be read is 503 with a time to come back, never 404.
-	s.state.Refuse("", true)
+	cluster.state.Refuse("", true)
 	for _, q := range []struct{ method, path string }{{"GET", "/j-999"}, {"GET", "/j-1"}, {"POST", "/j-1/abort"}} {
-		got, _, h := s.ask(n, q.method, wire.PathJobs+q.path, nil)
+		got, _, h := cluster.ask(node, q.method, wire.PathJobs+q.path, nil)
 		if got != 503 || h.Get("Retry-After") == "" {
 			t.Errorf("%s %s in an outage: status %d, Retry-After %q", q.method, q.path, got, h.Get("Retry-After"))
 		}
 	}
-	if got, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, edit(func(m map[string]any) { m["uid"] = "j-9" })); got != 503 {
+	if got, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs, edit(func(m map[string]any) { m["uid"] = "j-9" })); got != 503 {
 		t.Errorf("submit in an outage: status %d", got)
 	}
 }
 
 // A node that the state service refuses alone serves users through another.
 func TestRefusedNodeRelays(t *testing.T) {
-	s := newTestCluster(t)
-	a, b := s.node(nil), s.node(nil)
-	s.connect(a, b)
-	s.elect(b)
-	s.submit(a, jobSpec("j-1", nil))
-	s.state.Refuse(a.cfg.Node, true)
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster.connect(nodeA, nodeB)
+	cluster.elect(nodeB)
+	cluster.submit(nodeA, jobSpec("j-1", nil))
+	cluster.state.Refuse(nodeA.cfg.Node, true)
 	for range 2 { // the first refusals show that it is not a single one
-		s.ask(a, http.MethodGet, wire.PathJobs+"/j-1", nil)
+		cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil)
 	}
-	if code, v, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || v.UID != "j-1" {
-		t.Errorf("query: %d %+v", code, v)
+	if code, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || status.UID != "j-1" {
+		t.Errorf("query: %d %+v", code, status)
 	}
-	if code, _, _ := s.ask(a, http.MethodPost, wire.PathJobs, jobSpec("j-2", nil)); code != 201 {
+	if code, _, _ := cluster.ask(nodeA, http.MethodPost, wire.PathJobs, jobSpec("j-2", nil)); code != 201 {
 		t.Errorf("submit: %d", code)
 	}
-	if code, _, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-3", nil); code != 404 {
+	if code, _, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-3", nil); code != 404 {
 		t.Errorf("unknown job: %d", code)
 	}
-	if code, v, _ := s.ask(a, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || v.Status != wire.JobCancelled {
-		t.Errorf("abort: %d %+v", code, v)
+	if code, status, _ := cluster.ask(nodeA, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || status.Status != wire.JobCancelled {
+		t.Errorf("abort: %d %+v", code, status)
 	}
 	// In an outage nobody can serve: the answer is 503, at once.
-	s.state.Refuse("", true)
-	if code, _, h := s.ask(a, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 503 || h.Get("Retry-After") == "" {
+	cluster.state.Refuse("", true)
+	if code, _, h := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("in an outage: %d %v", code, h)
 	}
 }
@@ -107,28 +107,28 @@
 // A node judges jobs by the machine types of now: an old catalogue will do for a
 // moment in which nobody tells it the new one, and no longer.
 func TestOldCatalogueAcceptsNothing(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(nil)
-	s.submit(n, jobSpec("j-1", nil))
-	s.cloud.Trouble = true
-	s.clock.Advance(100 * time.Second)
-	s.submit(n, jobSpec("j-2", nil))
-	s.clock.Advance(30 * time.Second)
-	if code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec("j-3", nil)); code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.cloud.Trouble = true
+	cluster.clock.Advance(100 * time.Second)
+	cluster.submit(node, jobSpec("j-2", nil))
+	cluster.clock.Advance(30 * time.Second)
+	if code, _, head := cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec("j-3", nil)); code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
 		t.Errorf("judged by an old catalogue: %d, Retry-After %q", code, head.Get("Retry-After"))
 	}
 	// A node that has just started and knows no types at all.
-	if code, _, _ := s.ask(s.node(nil), http.MethodPost, wire.PathJobs, jobSpec("j-4", nil)); code != http.StatusServiceUnavailable {
+	if code, _, _ := cluster.ask(cluster.node(nil), http.MethodPost, wire.PathJobs, jobSpec("j-4", nil)); code != http.StatusServiceUnavailable {
 		t.Errorf("judged by no catalogue: %d", code)
 	}
-	s.cloud.Trouble = false
+	cluster.cloud.Trouble = false
 	small := largeMachineType
 	small.Cores = 1
-	s.cloud.Builds = []wire.MachineType{small}
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec("j-5", nil)); code != http.StatusUnprocessableEntity {
+	cluster.cloud.Builds = []wire.MachineType{small}
+	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec("j-5", nil)); code != http.StatusUnprocessableEntity {
 		t.Errorf("a job that fits no machine of now: %d", code)
 	}
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec("j-1", nil)); code != http.StatusOK {
+	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec("j-1", nil)); code != http.StatusOK {
 		t.Errorf("a known job: %d", code)
 	}
 }
@@ -136,24 +136,24 @@
 // A node answers no poll from what it knew before the poll came: what another
 // node has told since must not be taken back.
 func TestPollsAreNeverOlderThanAnswersGiven(t *testing.T) {
-	s := newTestCluster(t)
-	a, b := s.node(nil), s.node(nil)
-	s.submit(a, jobSpec("j-1", nil))
-	for _, n := range []*Service{a, b} {
-		if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || v.Status != wire.JobQueued {
-			t.Fatalf("%d %+v", code, v)
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster.submit(nodeA, jobSpec("j-1", nil))
+	for _, node := range []*Service{nodeA, nodeB} {
+		if code, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || status.Status != wire.JobQueued {
+			t.Fatalf("%d %+v", code, status)
 		}
 	}
-	if code, _, _ := s.ask(a, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
+	if code, _, _ := cluster.ask(nodeA, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
-	if _, v, _ := s.ask(b, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobCancelled {
-		t.Errorf("the other node still says %q", v.Status)
+	if _, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobCancelled {
+		t.Errorf("the other node still says %q", status.Status)
 	}
-	s.submit(b, jobSpec("j-2", nil))
-	s.state.Forget() // the history of changes is gone: all is read again
-	if code, v, _ := s.ask(a, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 200 || v.Status != wire.JobQueued {
-		t.Errorf("after the history was gone: %d %+v", code, v)
+	cluster.submit(nodeB, jobSpec("j-2", nil))
+	cluster.state.Forget() // the history of changes is gone: all is read again
+	if code, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 200 || status.Status != wire.JobQueued {
+		t.Errorf("after the history was gone: %d %+v", code, status)
 	}
 }
 
@@ -164,44 +164,44 @@
 func TestAskedEverywhereRightAfterAnAnswer(t *testing.T) {
 	for _, tr := range transactionFaults {
 		t.Run(tr.name, func(t *testing.T) {
-			s := newTestCluster(t)
-			nodes := []*Service{s.node(nil), s.node(nil), s.node(nil)}
-			l, _ := s.elect(nodes[0])
-			w := s.worker("n-1", "x", true)
-			heartbeat(t, l, w)
+			cluster := newTestCluster(t)
+			nodes := []*Service{cluster.node(nil), cluster.node(nil), cluster.node(nil)}
+			leader, _ := cluster.elect(nodes[0])
+			worker := cluster.worker("n-1", "x", true)
+			heartbeat(t, leader, worker)
 			// Every node knows the time before, so that it could answer from it.
-			for _, n := range nodes {
-				if code, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusNotFound {
+			for _, node := range nodes {
+				if code, _, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusNotFound {
 					t.Fatalf("not submitted yet: %d", code)
 				}
 			}
 			for _, uid := range []string{"j-1", "j-2"} {
-				tr.set(s.state)
-				if code, _ := s.askUntilAnswered(nodes[1:], http.MethodPost, wire.PathJobs, jobSpec(uid, nil)); code != http.StatusCreated && code != http.StatusOK {
+				tr.set(cluster.state)
+				if code, _ := cluster.askUntilAnswered(nodes[1:], http.MethodPost, wire.PathJobs, jobSpec(uid, nil)); code != http.StatusCreated && code != http.StatusOK {
 					t.Fatalf("submit: %d", code)
 				}
-				s.checkAnswers("accepted", s.askEverywhere(nodes, uid, false), wire.JobQueued, wire.JobRunning, "503")
+				cluster.checkAnswers("accepted", cluster.askEverywhere(nodes, uid, false), wire.JobQueued, wire.JobRunning, "503")
 			}
-			s.resync(l)
-			s.settle(l)
-			tr.set(s.state)
-			if _, v := s.askUntilAnswered(nodes[1:], http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); v.Status != wire.JobCancelled {
-				t.Fatalf("abort: %+v", v)
+			cluster.resync(leader)
+			cluster.settle(leader)
+			tr.set(cluster.state)
+			if _, status := cluster.askUntilAnswered(nodes[1:], http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
+				t.Fatalf("abort: %+v", status)
 			}
-			s.checkAnswers("cancelled", s.askEverywhere(nodes, "j-2", true), wire.JobCancelled, "503")
-			s.resync(l)
-			w.End("j-1/0", wire.CauseDone)
-			heartbeat(t, l, w)
-			s.settle(l)
-			if _, v := s.askUntilAnswered(nodes, http.MethodGet, wire.PathJobs+"/j-1", nil); v.Status != wire.JobDone {
-				t.Fatalf("ended: %+v", v)
+			cluster.checkAnswers("cancelled", cluster.askEverywhere(nodes, "j-2", true), wire.JobCancelled, "503")
+			cluster.resync(leader)
+			worker.End("j-1/0", wire.CauseDone)
+			heartbeat(t, leader, worker)
+			cluster.settle(leader)
+			if _, status := cluster.askUntilAnswered(nodes, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobDone {
+				t.Fatalf("ended: %+v", status)
 			}
-			s.checkAnswers("done", s.askEverywhere(nodes, "j-1", true), wire.JobDone, "503")
-			s.state.Deliver()
-			s.state.Repeat()
-			s.checkAnswers("cancelled, after late transactions", s.askEverywhere(nodes, "j-2", true), wire.JobCancelled)
-			s.checkAnswers("done, after late transactions", s.askEverywhere(nodes, "j-1", true), wire.JobDone)
-			for _, k := range s.state.Keys(store.PrefixJob) {
+			cluster.checkAnswers("done", cluster.askEverywhere(nodes, "j-1", true), wire.JobDone, "503")
+			cluster.state.Deliver()
+			cluster.state.Repeat()
+			cluster.checkAnswers("cancelled, after late transactions", cluster.askEverywhere(nodes, "j-2", true), wire.JobCancelled)
+			cluster.checkAnswers("done, after late transactions", cluster.askEverywhere(nodes, "j-1", true), wire.JobDone)
+			for _, k := range cluster.state.Keys(store.PrefixJob) {
 				if k == store.JobKey("j-2") {
 					t.Error("the cancelled job is among the unfinished ones again")
 				}
@@ -214,15 +214,15 @@
 // at once and told when to come back, the lowest priority first; what is known
 // already stays known, and cancels go through.
 func TestSwarmIsRefusedAtOnce(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(nil)
-	_, _ = s.elect(n)
-	small := n.cfg.Facts.State
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	_, _ = cluster.elect(node)
+	small := node.cfg.Facts.State
 	small.WriteRPS = 12
-	n.users.Store = store.New(n.cfg.Outside.State, small, 5)
+	node.users.Store = store.New(node.cfg.Outside.State, small, 5)
 	refused, accepted := 0, 0
 	for k := range 40 {
-		code, _, head := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec(fmt.Sprintf("j-%d", k), func(sp *wire.Spec) { sp.Priority = "low" }))
+		code, _, head := cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec(fmt.Sprintf("j-%d", k), func(spec *wire.Spec) { spec.Priority = "low" }))
 		switch code {
 		case http.StatusCreated:
 			accepted++
@@ -238,31 +238,31 @@
 	if accepted < 4 || refused < 20 {
 		t.Errorf("%d accepted, %d refused", accepted, refused)
 	}
-	if code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec("j-100", func(sp *wire.Spec) { sp.Priority = "critical" })); code != http.StatusCreated {
+	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec("j-100", func(spec *wire.Spec) { spec.Priority = "critical" })); code != http.StatusCreated {
 		t.Errorf("a critical job: %d, want 201", code)
 	}
-	if code, v, _ := s.ask(n, http.MethodPost, wire.PathJobs+"/j-0/"+wire.SuffixCancel, nil); code != http.StatusOK || v.Status != wire.JobCancelled {
-		t.Errorf("abort: %d %+v", code, v)
+	if code, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-0/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+		t.Errorf("abort: %d %+v", code, status)
 	}
 }
 
 // A storm of questions about jobs that nobody submitted: what can't be looked up
 // is refused at once, and jobs that run are answered for as ever.
 func TestStormOfUnknownJobs(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(nil)
-	_, _ = s.elect(n)
-	s.submit(n, jobSpec("j-1", nil))
-	if code, _, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK {
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	_, _ = cluster.elect(node)
+	cluster.submit(node, jobSpec("j-1", nil))
+	if code, _, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK {
 		t.Fatalf("poll: %d", code)
 	}
-	small := n.cfg.Facts.State
+	small := node.cfg.Facts.State
 	small.RPS = 20
-	n.users.Store = store.New(n.cfg.Outside.State, small, 5)
+	node.users.Store = store.New(node.cfg.Outside.State, small, 5)
 	codes := make(chan int)
 	for k := range 100 {
 		go func() {
-			code, _, _ := s.ask(n, http.MethodGet, fmt.Sprintf("%s/j-9%d", wire.PathJobs, k), nil)
+			code, _, _ := cluster.ask(node, http.MethodGet, fmt.Sprintf("%s/j-9%d", wire.PathJobs, k), nil)
 			codes <- code
 		}()
 	}
@@ -273,24 +273,24 @@
 	if got[http.StatusNotFound] == 0 || got[http.StatusServiceUnavailable] < 60 || len(got) != 2 {
 		t.Errorf("answers by status: %v", got)
 	}
-	if code, v, _ := s.ask(n, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK || v.Status != wire.JobQueued {
-		t.Errorf("a job that runs, in the storm: %d %+v", code, v)
+	if code, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK || status.Status != wire.JobQueued {
+		t.Errorf("a job that runs, in the storm: %d %+v", code, status)
 	}
 }
 
 // Submissions that share a transaction share neither a refusal nor a conflict:
 // what is known hears so, what the store does not take fails alone.
 func TestSubmissionsOfABatchAreJudgedAlone(t *testing.T) {
-	s := newTestCluster(t)
-	n := s.node(nil)
-	_, _ = s.elect(n)
-	s.submit(n, jobSpec("j-1", nil))
-	release := s.state.Stall() // those that come meanwhile share the next transaction
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	_, _ = cluster.elect(node)
+	cluster.submit(node, jobSpec("j-1", nil))
+	release := cluster.state.Stall() // those that come meanwhile share the next transaction
 	codes := make(chan int)
 	const jobs = 12
 	for k := range jobs {
 		go func() {
-			code, _, _ := s.ask(n, http.MethodPost, wire.PathJobs, jobSpec(fmt.Sprintf("j-%d", k), nil))
+			code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec(fmt.Sprintf("j-%d", k), nil))
 			codes <- code
 		}()
 	}
