--- a/autoscaling_test.go
+++ b/autoscaling_test.go
@@ -50,7 +50,7 @@
 
 // A machine that stays away while others come is replaced and returned long
 // before the whole of the patience with it.
-func TestOneMachineThatNeverComes(t *testing.T) {
+func TestMachineThatNeverBootsIsReplaced(t *testing.T) {
 	cluster, leader := bootingFleet(t, 10, 30*time.Second)
 	leader.markUp(1, 9)
 	if out, up := overdueCounts(leader); out != 0 || up != 0 {
@@ -69,7 +69,7 @@
 
 // When all come late, neither a second fleet is rented on top nor all are
 // returned and rented anew; when new ones come in time again, the rest goes.
-func TestAllMachinesComeLate(t *testing.T) {
+func TestSlowBootsRentNoSecondFleet(t *testing.T) {
 	cluster, leader := bootingFleet(t, 20, 60*time.Second)
 	if out, up := overdueCounts(leader); out == 0 || out > 6 || up != 0 {
 		t.Errorf("all late: %d counted out, %d given up, want a part and none", out, up)
@@ -90,7 +90,7 @@
 
 // A machine may report before the rental is answered and before any list shows
 // it: it counts once, and nothing is rented in its stead.
-func TestMachineUpAtOnce(t *testing.T) {
+func TestHeartbeatBeforeRentalResponseCountsOnce(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
@@ -123,7 +123,7 @@
 
 // A leader that hears no worker any more is cut off itself: it rents no second
 // fleet before it gives the lead up.
-func TestNothingIsRentedByALeaderThatHearsNobody(t *testing.T) {
+func TestIsolatedLeaderRentsNothing(t *testing.T) {
 	for _, machines := range []int{3, 14} {
 		cluster, node, leader, workers := clusterWithWorkers(t, machines)
 		cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) {
@@ -147,7 +147,7 @@
 }
 
 // A rental whose answer was lost is repeated under its own name and rents nothing more.
-func TestLostRentalAnswer(t *testing.T) {
+func TestLostRentalResponseIsRetriedIdempotently(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
@@ -173,7 +173,7 @@
 }
 
 // With no work at all, the machines that were held for more are given back.
-func TestNoWorkGivesMachinesBack(t *testing.T) {
+func TestScaleInWhenIdle(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
@@ -201,7 +201,7 @@
 }
 
 // Machines that have not had the time to find the new leader are neither replaced nor returned.
-func TestMachinesThatAreYetToReportAreNotReplaced(t *testing.T) {
+func TestUnreconciledMachinesAreNotReplaced(t *testing.T) {
 	const replicas = 12
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
--- a/cancellation_outage_test.go
+++ b/cancellation_outage_test.go
@@ -21,7 +21,7 @@
 // controller confirms a cancel, then it is down for all. The leader goes on
 // answering heartbeats on the others' word, which must carry the cancel: the task is
 // stopped by the answer to a heartbeat, without any hold, and no other is.
-func TestAttestationCarriesCancels(t *testing.T) {
+func TestAttestationCarriesCancellations(t *testing.T) {
 	cluster, nodes, leader, worker := connectedCluster(t)
 	dropCancelHints(nodes[1])
 	cluster.state.Refuse(nodes[0].cfg.Node, true)
@@ -57,7 +57,7 @@
 // A controller that can't name every cancel since the leader last knew does not
 // attest: it began since, it has forgotten some, or they fit no message. Then
 // heartbeats go unanswered when the lease ends, and the leases do the rest.
-func TestWhoCannotVouchDoesNotAttest(t *testing.T) {
+func TestNoAttestationWithoutCompleteCancellations(t *testing.T) {
 	tests := map[string]func(cluster *testCluster, node *Service) *Service{
 		"began since": func(cluster *testCluster, node *Service) *Service {
 			cluster.submit(node, jobSpec("j-7", nil))
@@ -116,7 +116,7 @@
 
 // A cancel counts as told whether this node made it, passed it on, read it, or
 // does not know yet what became of it.
-func TestEveryCancelToldIsRemembered(t *testing.T) {
+func TestConfirmedCancellationsAreRemembered(t *testing.T) {
 	cluster, nodes, leader, _ := connectedCluster(t)
 	since := leader.syncedRevision()
 	named := func(node *Service) []string {
@@ -157,7 +157,7 @@
 // A cancel made elsewhere is told to the leader at once, over the link between
 // controllers: its task is stopped directly before any change could be read.
 // Lost, repeated or untrue, the hint harms nothing.
-func TestHintStopsAtOnce(t *testing.T) {
+func TestCancellationHintStopsTask(t *testing.T) {
 	cluster, nodes, leader, worker := connectedCluster(t)
 	nodes[1].elector = nodes[0].elector // knows who leads
 	cluster.state.Refuse(nodes[0].cfg.Node, true)
@@ -193,7 +193,7 @@
 
 // After a spell in which changes may have been missed, no run goes out before
 // they have been read, not even one that was recorded before the spell.
-func TestNoRunOnOldKnowledge(t *testing.T) {
+func TestNoRunCommandsOnStaleState(t *testing.T) {
 	spells := map[string]func(cluster *testCluster, node *Service, leader *leader){
 		"refused alone": func(cluster *testCluster, node *Service, _ *leader) {
 			cluster.state.Refuse(node.cfg.Node, true)
@@ -261,7 +261,7 @@
 
 // A cancel that the leader knows, of a task whose machine could not be told, stops
 // it also when the machine reports only in an outage that all attest.
-func TestKnownCancelStopsInAnOutage(t *testing.T) {
+func TestKnownCancellationStopsTaskInOutage(t *testing.T) {
 	cluster, nodes, leader, worker := connectedCluster(t)
 	worker.Unreachable(true)
 	cluster.cancelJob(nodes[1], "j-1")
--- a/cancellation_test.go
+++ b/cancellation_test.go
@@ -18,7 +18,7 @@
 )
 
 // A cancel accepted elsewhere, unseen by the leader, still keeps it from placing.
-func TestCancelWinsOverPlacement(t *testing.T) {
+func TestCancellationPrecedesPlacement(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	leader, _ := cluster.elect(nodeA)
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestCancelStopsRunningTasks(t *testing.T) {
+func TestCancellationStopsRunningTasks(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
@@ -61,7 +61,7 @@
 // Several users' requests meet while the state service is slow: one submits, others
 // repeat it at other nodes and cancel at once. Whoever is told that the job is
 // cancelled is told nothing else from then on, and it never runs.
-func TestCancelledAtOnceWhileAnswersAreSlow(t *testing.T) {
+func TestImmediateCancellationWithSlowState(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodes := []*Service{cluster.node(nil), cluster.node(nil), cluster.node(nil)}
 	leader, _ := cluster.elect(nodes[0])
@@ -101,7 +101,7 @@
 
 // A cancel meets the end of a job's last task: whichever is recorded first is what
 // every node says from then on, and the other comes to nothing.
-func TestCancelMeetsTheEndOfTheLastTask(t *testing.T) {
+func TestCancellationRacesCompletion(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
 		for _, first := range []string{"cancel", "end", "end between the cancel's reading and writing"} {
 			cluster := newTestCluster(t)
@@ -160,7 +160,7 @@
 // before the successor reads the records, after any of its reads, or between those
 // and its first watch. Its task is stopped in each case, its room is free after that
 // and not before, and what else the successor found goes on.
-func TestCancelWhileWorkChangesHands(t *testing.T) {
+func TestCancellationDuringFailover(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
 		for _, moment := range []string{"before", "starts=j", "starts=p", "starts=s", "catalog", "demand", "watch"} {
 			t.Run(fmt.Sprintf("%d tasks, %s", pieces, moment), func(t *testing.T) {
@@ -250,7 +250,7 @@
 // workers and users reach it. Another takes over and cancels a job. The old one tells
 // users nothing and answers no worker once another can act, a command of it that was
 // under way is void, and the task is stopped by the new leader.
-func TestCutLeaderWhileJobsAreCancelledThroughTheNewOne(t *testing.T) {
+func TestCancellationThroughNewLeaderWhileOldIsPartitioned(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	nodeA.attestationLinks["node-2"], nodeA.relayLinks["node-2"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
@@ -301,7 +301,7 @@
 
 // A cancelled job's attempt stays on record until nothing of it can be anywhere,
 // whichever jobs share the record, and under the next leader too.
-func TestCancelInASharedRecord(t *testing.T) {
+func TestCancellationInSharedRecord(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	leader, stop := cluster.elect(nodeA)
--- a/commands_test.go
+++ b/commands_test.go
@@ -11,7 +11,7 @@
 
 // A run sent directly may arrive minutes after it was given up. The task must
 // not be started elsewhere, nor its room given away, before that is ruled out.
-func TestLateDirectRunAfterCancelOfMachine(t *testing.T) {
+func TestDelayedRunCommandKeepsTaskReserved(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	other := cluster.worker("n-2", "y", true)
 	worker.KeepNext()
@@ -55,7 +55,7 @@
 }
 
 // A forget must not go out while a copy of the run may: the worker would start it again.
-func TestNoForgetWhileCopyIsOut(t *testing.T) {
+func TestNoForgetWhileRunCommandIsInFlight(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	worker.KeepNext()
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -95,7 +95,7 @@
 // A worker can't open connections to any controller, while direct commands reach it.
 // They do not renew its lease: it gets nothing new beyond that, what it holds is
 // started elsewhere only then, and a cancel still stops a task there at once.
-func TestMuteWorkerThatDirectCommandsReach(t *testing.T) {
+func TestDirectCommandsDoNotRenewLease(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	other := cluster.worker("n-2", "y", true)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Cores = 4 }))
--- a/concurrent_failures_test.go
+++ b/concurrent_failures_test.go
@@ -21,7 +21,7 @@
 // A zone with workers and a controller is cut off for much longer than the lease,
 // with the leader inside or outside of it, and users cancel through the others.
 // What ran in the zone is dropped by then, runs elsewhere, and nothing runs twice.
-func TestZoneCutLongerThanTheLease(t *testing.T) {
+func TestZonePartitionBeyondLease(t *testing.T) {
 	for _, leads := range []int{1, 2} {
 		t.Run(fmt.Sprintf("node %d leads", leads), func(t *testing.T) {
 			schedule := faultSchedule{seed: 1, duration: seconds(70), firstLeader: leads}
@@ -69,7 +69,7 @@
 // minutes all the same, as does every other. Urgent work alone would find room, so it
 // begins soon, however much has waited long beside it: that goes first with one task
 // a job, not with so many that they fill all room.
-func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
+func TestOverloadWithSlowLinks(t *testing.T) {
 	schedule := faultSchedule{seed: 2, duration: seconds(300), maxMachines: 3, extraLatency: seconds(0.15)}
 	schedule.submissions = append(schedule.submissions, newSubmission(1, 10, 20, func(spec *wire.Spec) {
 		spec.Tasks, spec.Cores, spec.RAM, spec.Priority, spec.MachineTypes = 20, 8, 16, "low", []string{"b"}
@@ -112,7 +112,7 @@
 // The state service refuses the leader alone, users cancel through the others, and
 // then it is out for all for longer than cancel_s. Inside the outage the others
 // start anew, which know nothing of the cancels, then the leader, and again.
-func TestLeadersChangeInsideAnOutage(t *testing.T) {
+func TestFailoversDuringStateOutage(t *testing.T) {
 	schedule := faultSchedule{seed: 3, duration: seconds(100), firstLeader: 2}
 	kill := func(node int, when float64) scheduledFault {
 		return scheduledFault{kind: controllerKilled, at: seconds(when), duration: seconds(0.6), controller: node}
@@ -145,7 +145,7 @@
 // Two teams are at their limits while their jobs are cancelled, whose machines
 // hang or are cut off, and leaders change. What may still run counts for its team
 // until it is proved gone; the work that waits then takes its place.
-func TestTeamsAtTheirLimitsWhileLeadersChange(t *testing.T) {
+func TestTeamLimitsDuringFailovers(t *testing.T) {
 	limits := map[string]float64{"tight": tightLimit, "narrow": 4}
 	schedule := faultSchedule{seed: 4, duration: seconds(80), limits: map[string]float64{"narrow": 4}, firstLeader: 1}
 	for i, when := range []float64{25.6, 29, 36, 47} {
@@ -208,7 +208,7 @@
 // The leader ends a moment after its request for machines was carried out without
 // an answer, and they are up within two seconds. No later request bears its name,
 // the work runs, and no machine stays that nobody uses.
-func TestRentalWithoutAnswerWhileTheLeaderEnds(t *testing.T) {
+func TestFailoverDuringUnansweredRental(t *testing.T) {
 	schedule := faultSchedule{seed: 5, duration: seconds(40), bootTime: seconds(1.2), listLags: true}
 	schedule.submissions = []scheduledSubmission{newSubmission(1, 10, 25, func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.MachineTypes = 6, 4, []string{"b"} }),
 		newSubmission(2, 10, 0, asService(2)), newSubmission(3, 14, 0, asService(6)), newSubmission(4, 18, 0, asService(6)), newSubmission(5, 24, 0, asService(6))}
@@ -259,7 +259,7 @@
 // their way. The job is cancelled meanwhile and its team's next one waits, since the
 // runs do arrive in the end. Held the other way, the runs arrive at once and nothing
 // of them is heard; and what the state service answers the leader may wait, too.
-func TestMessagesHeldOneWay(t *testing.T) {
+func TestAsymmetricMessageDelay(t *testing.T) {
 	const from, until = 24.0, 31.0
 	for _, tt := range []struct {
 		name  string
@@ -331,7 +331,7 @@
 // Jobs of one task each come faster than the machines work them off, so that each
 // has waited long when it begins. Urgent work that comes beside them begins soon all
 // the same, and none of them waits for ever.
-func TestOneTaskJobsThatWaitLongHoldUpNoUrgentWork(t *testing.T) {
+func TestStarvedSingleTaskJobsDoNotDelayUrgentWork(t *testing.T) {
 	schedule := faultSchedule{seed: 7, duration: seconds(150), maxMachines: 2}
 	for n := range 90 {
 		schedule.submissions = append(schedule.submissions, newSubmission(1+n, 1+0.8*float64(n), float64(10+n*7%30), func(spec *wire.Spec) {
--- a/damaged_records_test.go
+++ b/damaged_records_test.go
@@ -14,7 +14,7 @@
 )
 
 // A job whose record can't be decoded stays known and its tasks run on; the others are served.
-func TestJobWithADamagedRecord(t *testing.T) {
+func TestDamagedJobRecord(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -61,7 +61,7 @@
 
 // A record that is restored, or a job that is submitted again, comes to a leader that has passed over
 // its attempts: the next one reads them, and nothing starts a second time.
-func TestRestoredRecordIsReadWithItsAttempts(t *testing.T) {
+func TestRestoredRecordIsReadWithAttempts(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		tasks   int // one: its attempt is in a shared record
@@ -119,7 +119,7 @@
 
 // Where the record of attempts can't be decoded, what runs goes on under its own attempt and the
 // rest starts only once every machine is accounted for, under numbers that were never used.
-func TestDamagedRecordOfAttempts(t *testing.T) {
+func TestDamagedAttemptRecord(t *testing.T) {
 	for _, shared := range []bool{false, true} {
 		cluster := newTestCluster(t)
 		tight := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 8 }
@@ -202,7 +202,7 @@
 
 // A machine that has not shown the new leader's token may yet get an old command: nothing of an
 // unreadable record starts while its lease may last, though it answers questions.
-func TestUnaccountedMachineKeepsTasksBack(t *testing.T) {
+func TestUnreconciledMachineDelaysUnreadableTasks(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -244,7 +244,7 @@
 
 // The record that can't be decoded is not written over before all of its tasks are known: a
 // leader that ends in between leaves its successor what it found.
-func TestLeaderEndsWhileARecordIsUnreadable(t *testing.T) {
+func TestFailoverBeforeDamagedRecordIsRepaired(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB, nodeC := cluster.node(nil), cluster.node(nil), cluster.node(nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -286,7 +286,7 @@
 }
 
 // Nothing of what can be made anew keeps a leader from leading.
-func TestDamagedCatalogue(t *testing.T) {
+func TestDamagedCatalog(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	_, stop := cluster.elect(nodeA)
--- a/failover_test.go
+++ b/failover_test.go
@@ -18,7 +18,7 @@
 
 // A new leader takes placements over and starts nothing twice, even for a
 // worker that it can't reach until the lease has run out.
-func TestLeaderChange(t *testing.T) {
+func TestFailoverKeepsPlacements(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -58,7 +58,7 @@
 }
 
 // Two leaders and a worker behind a cut: a late transaction of the old one fails.
-func TestOldLeadersLateTransaction(t *testing.T) {
+func TestDeposedLeadersDelayedTransactionFails(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -87,7 +87,7 @@
 
 // A controller back within a moment does not wait for its own earlier lease to
 // lapse, and nothing that its predecessor left under way counts for it.
-func TestControllerBackWithinAMoment(t *testing.T) {
+func TestControllerRestartWithinLease(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
@@ -125,7 +125,7 @@
 
 // Runs or stays known: after refusals, an outage and a change of leaders have
 // ended, each accepted job is answered for by every node, and runs.
-func TestEveryJobIsAnsweredForAfterTroubles(t *testing.T) {
+func TestAcceptedJobsSurviveOutageAndFailover(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -170,7 +170,7 @@
 // so is one that raises the token, while another controller reads. Nobody answers a
 // worker under a lead that it does not know to have; the token under which one does
 // is the one on record and above all that were there before, also the next leader's.
-func TestLeadTakenWithoutAnAnswer(t *testing.T) {
+func TestElectionWithLostTransactionResponse(t *testing.T) {
 	for _, tr := range transactionFaults[1:] {
 		t.Run(tr.name, func(t *testing.T) {
 			cluster := newTestCluster(t)
@@ -230,7 +230,7 @@
 // A raise of the token gets no answer and is carried out late. Later raises must
 // go through all the same: without them no run in doubt is ever ruled out, so that
 // what a cancelled task takes counts for ever while its machine reports.
-func TestTokenRaisedAfterALateRaise(t *testing.T) {
+func TestFencingTokenRaisedAfterDelayedRaise(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	worker.KeepNext()
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -277,7 +277,7 @@
 // carried out late, or at once) and the leader ends. Its successor starts the task
 // once, on the machine that it was recorded for or on one that it trusts, and keeps
 // the machine though no list shows it.
-func TestNewMachineGetsWorkWhileWritesLagAndTheLeaderEnds(t *testing.T) {
+func TestFailoverDuringPlacementOnNewMachine(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		for _, pieces := range []int{1, 2} {
 			t.Run(fmt.Sprintf("late %t, %d tasks", late, pieces), func(t *testing.T) {
@@ -356,7 +356,7 @@
 // Machines with long tasks report to a new leader and do not hear its answers. Each
 // answer may have been heard, so the tasks are started nowhere else for as long as
 // the sessions may go on, and as soon as the worker's new session proves the end.
-func TestMachineThatDoesNotHearTheNewLeader(t *testing.T) {
+func TestMachineThatDoesNotReceiveNewLeadersResponses(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	leader, stop := cluster.elect(nodeA)
@@ -392,7 +392,7 @@
 // Leaders change ten times in two minutes, also inside an outage of the state
 // service, and controllers are back within a moment. Jobs of two and three tasks end
 // far apart meanwhile, each task once, and are done when all of them are.
-func TestTenLeadersWhileTasksEndFarApart(t *testing.T) {
+func TestTenFailoversWhileTasksComplete(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodes := []*Service{cluster.node(nil), cluster.node(nil)}
 	leader, stop := cluster.elect(nodes[0])
@@ -455,7 +455,7 @@
 // All controllers are away for longer than the leases. The one that is back starts
 // nothing on the word of records, until the machines report or cannot have gone on,
 // and then everything once.
-func TestAllControllersAwayForLongerThanTheLease(t *testing.T) {
+func TestAllControllersDownBeyondLease(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, stop := cluster.elect(node)
--- a/failure_attribution_test.go
+++ b/failure_attribution_test.go
@@ -13,7 +13,7 @@
 // nothing else must not be taken for sick by them, and once a few machines have
 // been tried, a task now and then is all that they cost; one machine that is
 // truly sick is found all the same, whichever comes first.
-func TestBadJobsBesideASickMachine(t *testing.T) {
+func TestFailingJobsAndFailingMachine(t *testing.T) {
 	for _, badFirst := range []bool{true, false} {
 		cluster, node, leader, workers := clusterWithWorkers(t, 6, "j-1", "j-2")
 		workers[0].Fail(true)
@@ -67,7 +67,7 @@
 }
 
 // Nothing is rented for a job that fails everywhere, and no room kept.
-func TestBadJobsRentNothing(t *testing.T) {
+func TestFailingJobDoesNotScaleOut(t *testing.T) {
 	cluster, node, leader, workers := clusterWithWorkers(t, 4, "j-1")
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 200, 4, 4 }))
 	cluster.resync(leader)
@@ -87,7 +87,7 @@
 
 // A new leader does not know what its predecessor knew of a bad job: it tries
 // one task, not all of them at once.
-func TestBadJobAcrossLeaders(t *testing.T) {
+func TestFailingJobAcrossLeaders(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -112,7 +112,7 @@
 
 // Some tasks of a job fail everywhere while the others succeed: the job is not
 // bad, its other tasks run, and machines are not banned for those that fail.
-func TestTasksThatFailInAGoodJob(t *testing.T) {
+func TestFailingTasksOfHealthyJob(t *testing.T) {
 	cluster, node, leader, workers := clusterWithWorkers(t, 6, "j-1/3", "j-1/7", "j-1/11", "j-1/12", "j-1/13", "j-1/14")
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 40, 1, 1 }))
 	cluster.resync(leader)
@@ -136,7 +136,7 @@
 
 // Replicas that spot machines may hold are demand for as long as they are wanted,
 // whatever their class's run times.
-func TestLoanedReplicasAreSizedFor(t *testing.T) {
+func TestPreemptibleReplicasCountAsDemand(t *testing.T) {
 	cluster, node, leader, workers := clusterWithWorkers(t, 1)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Kind, spec.Tasks, spec.ExpectedS = wire.KindService, 12, 0 }))
 	cluster.resync(leader)
@@ -151,7 +151,7 @@
 // What fails on one machine only says nothing against the task: the machine is
 // found to be sick, and the task goes to the next one at once, rather than ever
 // more seldom.
-func TestTaskThatFailsOnOneMachineIsNotSlowedDown(t *testing.T) {
+func TestTaskFailingOnOneMachineIsNotBackedOff(t *testing.T) {
 	cluster, node, leader, workers := clusterWithWorkers(t, 1)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 2 }))
 	cluster.resync(leader)
--- a/heartbeat_test.go
+++ b/heartbeat_test.go
@@ -11,7 +11,7 @@
 // A report that changes nothing costs the same few allocations however many
 // machines there are and however many tasks it lists: its task list is compared
 // where it lies in the body, not copied and not decoded.
-func TestUnchangedReportAllocatesLittle(t *testing.T) {
+func TestUnchangedHeartbeatAllocatesLittle(t *testing.T) {
 	allocs := func(machines, tasks int) float64 {
 		_, leader := trustedFleet(t, machines, tasks)
 		encoded := encodeReport(t, fleetReport(0, tasks, 1, leader.term.Token))
@@ -41,7 +41,7 @@
 
 // A copy of an old report that reaches a new leader first proves nothing, does
 // not make the machine trusted, and moves nothing.
-func TestLateCopyReachesNewLeaderFirst(t *testing.T) {
+func TestStaleHeartbeatReachesNewLeaderFirst(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -74,7 +74,7 @@
 
 // A result in a late copy that the record does not know is nobody's: only the
 // attempt on record can end the task.
-func TestLateCopyBringsNoResult(t *testing.T) {
+func TestStaleHeartbeatBringsNoResult(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
@@ -91,7 +91,7 @@
 // Copies of old reports, from an earlier session and of an earlier attempt, reach
 // every controller just as a new leader begins, and again when it has acted: nobody
 // but the leader answers them, and they start, end and prove nothing.
-func TestOldReportsReachEveryController(t *testing.T) {
+func TestStaleHeartbeatsReachEveryController(t *testing.T) {
 	t.Run("running", func(t *testing.T) { checkOldReports(t, false) })
 	t.Run("cancelled", func(t *testing.T) { checkOldReports(t, true) })
 }
@@ -179,7 +179,7 @@
 // All workers come to a new leader within a second or two. What each heartbeat costs
 // does not grow with the fleet, nothing is moved or started meanwhile, and each
 // machine is trusted by its second heartbeat.
-func TestSurgeAfterAllControllersEnded(t *testing.T) {
+func TestHeartbeatSurgeAfterTotalLoss(t *testing.T) {
 	const tasks = 4
 	visits := func(machines int) float64 {
 		_, leader := adoptedFleet(t, machines, tasks)
--- a/job_lifecycle_test.go
+++ b/job_lifecycle_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestJobRunsToDone(t *testing.T) {
+func TestJobRunsToCompletion(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
 	cluster.resync(leader)
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestResultDurableBeforeForget(t *testing.T) {
+func TestResultIsDurableBeforeForget(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
 	cluster.resync(leader)
@@ -76,7 +76,7 @@
 // A task that comes to wait again before its job's waiting tasks were looked
 // through stands among them once: placed twice by one plan, it would leave a
 // booking that nothing ever frees.
-func TestTaskWaitsOnce(t *testing.T) {
+func TestTaskIsQueuedOnce(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
@@ -99,7 +99,7 @@
 
 // The start of an adopted task was not seen, so its run must not be compared:
 // it once made sound machines look slow.
-func TestAdoptedRunsAreNotMeasured(t *testing.T) {
+func TestAdoptedAttemptsAreNotMeasured(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -126,7 +126,7 @@
 
 // A listing that was read before a job ended may be taken in after it. The job's
 // record then says that it is over, and nothing of it is started again.
-func TestOldListingStartsNothing(t *testing.T) {
+func TestStaleJobListingStartsNothing(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
@@ -149,7 +149,7 @@
 	cluster.checkStatus(node, "j-1", wire.JobDone)
 }
 
-func TestWatchTooOldReadsAgain(t *testing.T) {
+func TestCompactedWatchReadsAgain(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
--- a/job_load_test.go
+++ b/job_load_test.go
@@ -16,7 +16,7 @@
 // A huge batch of short tasks: what a task costs in changes, direct commands and
 // machines looked at does not grow with the batch, urgent work begins in its
 // midst, and a change of leaders neither loses a task nor runs one twice.
-func TestHugeBatch(t *testing.T) {
+func TestLargeBatchCostPerTask(t *testing.T) {
 	run := func(tasks int) (changes, visits float64) {
 		cluster := newTestCluster(t)
 		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
@@ -113,7 +113,7 @@
 // Jobs of one task come four a second for minutes, a quarter of them cancelled at
 // some point of their life, with polls and a change of leaders. What is kept follows
 // the jobs that are there, and nothing is left of those that are over.
-func TestSwarmWithCancelsLeavesNothing(t *testing.T) {
+func TestManySmallJobsWithCancellationsLeaveNothing(t *testing.T) {
 	const perSecond, lasts = 4, 150
 	cluster := newTestCluster(t)
 	nodes := []*Service{cluster.node(nil), cluster.node(nil)}
--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -15,7 +15,7 @@
 )
 
 // A transaction whose answer was lost is settled by its nonce, not done twice.
-func TestLostCommitAnswer(t *testing.T) {
+func TestLostCommitResponse(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
@@ -41,7 +41,7 @@
 // The leader's transactions are carried out and only the answer is lost, while
 // other nodes read what they wrote: what they have told stays true, and nothing is
 // started, recorded or moved twice when the leader finds out.
-func TestLostAnswersOfTheLeaderWhileOthersRead(t *testing.T) {
+func TestLostCommitResponsesWhileOthersRead(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	leader, _ := cluster.elect(nodeA)
@@ -106,7 +106,7 @@
 // moves to the final place) is carried out and not answered. While the leader does
 // not know, every node reads what was written, also one that remembers nothing; the
 // leader then finds out, and nothing is recorded again, moved again or kept.
-func TestEveryLostAnswerOfTheLeader(t *testing.T) {
+func TestEveryLostCommitResponse(t *testing.T) {
 	life := func(pieces int, lossy bool) (puts int) {
 		cluster := newTestCluster(t)
 		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
@@ -194,7 +194,7 @@
 // Every one of the leader's transactions gets no answer and is carried out late,
 // after newer ones of the same leader: each is carried out once, and nothing that was
 // told or written since changes by the late one.
-func TestLeadersTransactionsCarriedOutLate(t *testing.T) {
+func TestDelayedTransactionsOfTheLeader(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
 		cluster, node, leader, worker := clusterWithWorker(t)
 		uids := []string{"j-1", "j-2", "j-3"}
--- a/orphans_test.go
+++ b/orphans_test.go
@@ -18,7 +18,7 @@
 
 // A task of a job that the state never recorded is left alone, counted and shown. When its
 // user submits the job, that attempt is stopped before the task begins anywhere else.
-func TestTaskOfAJobThatWasNeverRecorded(t *testing.T) {
+func TestTaskOfUnrecordedJob(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	other := cluster.worker("n-2", "y", true)
 	heartbeat(t, leader, other)
@@ -76,7 +76,7 @@
 
 // A task of a job that is over is stopped as soon as that has been read, not with the next
 // heartbeat; one of a job that was submitted and cancelled again after it had been looked up, too.
-func TestTaskOfAJobThatIsOverIsStopped(t *testing.T) {
+func TestTaskOfFinishedJobIsStopped(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	over := jobSpec("j-9", nil)
 	cluster.writeRecord(node, store.FinalKey("j-9"), store.NewFinalRecord(&over, wire.JobCancelled, "earlier"))
@@ -100,7 +100,7 @@
 }
 
 // A copy of an old report may name hundreds of jobs that are over: they are read at a pace.
-func TestLookUpsArePaced(t *testing.T) {
+func TestOrphanLookupsAreRateLimited(t *testing.T) {
 	cluster, _, leader, worker := clusterWithWorker(t)
 	reportUnknownTasks(t, leader, worker, 200)
 	leader.cfg.Facts.State.RPS = 8 // a look-up a second
@@ -125,7 +125,7 @@
 }
 
 // Jobs of which no worker shows a task any more are not read.
-func TestNoLookUpOfWhatIsNotShown(t *testing.T) {
+func TestNoLookupOfUnreportedTasks(t *testing.T) {
 	cluster, _, leader, worker := clusterWithWorker(t)
 	reportUnknownTasks(t, leader, worker, 200)
 	heartbeat(t, leader, worker) // a newer report
@@ -139,7 +139,7 @@
 }
 
 // What is read of a job counts only under the leader's lease.
-func TestNothingIsDecidedWithoutTheLease(t *testing.T) {
+func TestNoOrphanDecisionWithoutLease(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	startTask(worker, leader.term.Token, "j-9/0", 3)
 	heartbeat(t, leader, worker)
--- a/peer_messages_test.go
+++ b/peer_messages_test.go
@@ -18,7 +18,7 @@
 
 // What comes between controllers cut short, too large, of unknown form or with
 // nonsense in it ends its own connection at most: the others are served as before.
-func TestBadPeerMessagesEndTheirConnectionOnly(t *testing.T) {
+func TestMalformedPeerMessagesCloseTheirConnectionOnly(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	cluster.submit(node, jobSpec("j-1", nil))
--- a/placement_test.go
+++ b/placement_test.go
@@ -15,7 +15,7 @@
 )
 
 // The zone cap counts tasks whose machine has not been heard of.
-func TestZoneCapWithUnknownMachine(t *testing.T) {
+func TestZoneSpreadCountsUnreportedMachine(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -40,7 +40,7 @@
 }
 
 // A long job whose own deadline is far must not wait for longer than its class may.
-func TestSlackFollowsAims(t *testing.T) {
+func TestSlackFollowsObjectives(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) {
 		facts.Objectives = []config.Objective{{Kind: "finished", Class: "lane", WithinS: 180}, {Kind: "wait", Class: "lane", WithinS: 120},
@@ -74,7 +74,7 @@
 // Jobs bound to one zone lose machines there: an array that must stay together, and a
 // job with a zone of its own. Nothing of the array starts in another zone while some
 // of it may go on in its own, and all of it once nothing can; the bound job never does.
-func TestZoneBoundJobsLoseMachines(t *testing.T) {
+func TestZonalJobsLoseMachines(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
@@ -123,7 +123,7 @@
 
 // A job that waits long begins although work of higher priority keeps coming: its
 // first task goes first, and room is kept for it.
-func TestLargeJobBeginsUnderLastingOverload(t *testing.T) {
+func TestLargeJobStartsUnderOverload(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t) // 8 cores
 	uid := 100
 	next := func() string {
@@ -165,7 +165,7 @@
 
 // The lowest priority's starts follow the controller's share of a processor, however
 // much room there is; work of higher priority does not wait for them.
-func TestLowWorkIsPaced(t *testing.T) {
+func TestBestEffortStartsAreRateLimited(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) { facts.Limits.CoreShare = 0.1 })
 	leader, _ := cluster.elect(node)
--- a/process_pause_test.go
+++ b/process_pause_test.go
@@ -13,7 +13,7 @@
 // A process may stand still, longer than its lease, at any point. Whatever it had
 // computed before and is about to send is checked against the lease at the last
 // step, so that nothing of it goes out after.
-func TestNothingOfBeforeGoesOutAfterStandingStill(t *testing.T) {
+func TestNothingIsSentAfterProcessPause(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
@@ -66,7 +66,7 @@
 // A leader that keeps its lease while it stands still (the state service was out
 // for all) has heard nobody meanwhile. That is its own silence, not the machines':
 // nothing is given up, and the lead is kept.
-func TestStandingStillIsNoSilence(t *testing.T) {
+func TestProcessPauseIsNotMachineFailure(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
--- a/provisioning_test.go
+++ b/provisioning_test.go
@@ -18,7 +18,7 @@
 }
 
 // Replicas that are to be apart get machines in a second zone.
-func TestApartJobGetsMachinesInTwoZones(t *testing.T) {
+func TestSpreadJobGetsMachinesInTwoZones(t *testing.T) {
 	playUntilPlaced(t, newSubmission(1, 2, 0, func(spec *wire.Spec) {
 		spec.Kind, spec.Tasks, spec.MachineTypes, spec.Spread = wire.KindService, 2, []string{"b"}, true
 	}))
@@ -26,7 +26,7 @@
 
 // A job that is to be in one zone gets a machine where neither zone has room for
 // all of it, and both together have.
-func TestJobInOnePlaceGetsRoomInOneZone(t *testing.T) {
+func TestSameZoneJobGetsCapacityInOneZone(t *testing.T) {
 	single := func(zone string) func(spec *wire.Spec) {
 		return func(spec *wire.Spec) { spec.Kind, spec.Zone, spec.MachineTypes = wire.KindService, zone, []string{"s"} }
 	}
@@ -38,14 +38,14 @@
 
 // A task gets a machine where what is left beside replicas on each machine is too
 // little for it: as much on all of them as it wants is no room.
-func TestTaskGetsRoomBesideReplicas(t *testing.T) {
+func TestTaskGetsCapacityBesideReplicas(t *testing.T) {
 	playUntilPlaced(t, newSubmission(1, 2, 0, func(spec *wire.Spec) { spec.Kind, spec.Cores, spec.MachineTypes = wire.KindService, 7, []string{"b"} }),
 		newSubmission(2, 30, 4, func(spec *wire.Spec) { spec.Cores, spec.Priority = 2, "high" }))
 }
 
 // Work that is bound to a zone gets a machine there where other work, that could be
 // elsewhere and does not give way, fills those that are there.
-func TestBoundWorkGetsRoomBesideReplicas(t *testing.T) {
+func TestZonalReplicasGetCapacityBesideReplicas(t *testing.T) {
 	playUntilPlaced(t, newSubmission(1, 2, 0, func(spec *wire.Spec) {
 		asService(1)(spec)
 		spec.Cores, spec.Priority, spec.MachineTypes = 4, "critical", []string{"s"}
--- a/quota_failover_test.go
+++ b/quota_failover_test.go
@@ -36,7 +36,7 @@
 }
 
 // A new leader counts what a cancelled job's tasks take while they may still exist.
-func TestCancelledTasksCountForLimit(t *testing.T) {
+func TestCancelledTasksCountTowardsLimit(t *testing.T) {
 	limit := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 4 }
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(limit), cluster.node(limit)
@@ -71,7 +71,7 @@
 // hangs, and the leader changes twice. What may still be there counts under each
 // successor, for jobs with records of their own and in shared ones, until it is
 // proved gone: then the room is used at once, and not before.
-func TestCancelledTasksCountUntilProvedUnderAnySuccessor(t *testing.T) {
+func TestCancelledTasksCountUntilProvedGone(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
 		for _, proof := range []string{"lease end", "return", "newer session", "halted"} {
 			t.Run(fmt.Sprintf("%d tasks, %s", pieces, proof), func(t *testing.T) {
@@ -156,7 +156,7 @@
 // A job is recorded as done and its leader ends before it could delete what else is
 // recorded of it. The result proves that its tasks have ended, so the successor does
 // not count them for the team's limit while their machine can't be asked.
-func TestDoneTasksDoNotCountUnderASuccessor(t *testing.T) {
+func TestCompletedTasksDoNotCountAfterFailover(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
 		cluster := newTestCluster(t)
 		nodeA, nodeB := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
@@ -191,7 +191,7 @@
 // A leader is paused right after it has reserved a team's last room and before that is
 // durable. Its successor uses the room. When the first wakes, its record fails and
 // nothing of what it reserved is ever started.
-func TestLeaderWakesAfterItsSuccessorUsedTheRoom(t *testing.T) {
+func TestPausedLeaderCannotUseReservedQuota(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
 	oldLeader, stop := cluster.elect(nodeA)
@@ -229,7 +229,7 @@
 
 // Under lower limits after a restart, what runs goes on and counts; nothing starts until
 // enough of it is proved gone.
-func TestOtherLimitsAfterARestart(t *testing.T) {
+func TestLowerLimitAfterFailover(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(4))
 	_, worker, stop := leadWithJob(t, nodeA, cluster, 6)
--- a/quota_guarantees_test.go
+++ b/quota_guarantees_test.go
@@ -37,7 +37,7 @@
 }
 
 // The checker sees a ledger that knows no limits, and one that knows no guarantees.
-func TestCheckerSeesBrokenLedgers(t *testing.T) {
+func TestCheckerDetectsBrokenLedgers(t *testing.T) {
 	for name, tt := range map[string]struct {
 		strip func(l quota.Limits) quota.Limits
 		found func(broken []string, watch *guaranteeMonitor) bool
@@ -70,7 +70,7 @@
 
 // Three controllers accept jobs for a team's last free room in the same instant. All are
 // accepted, one runs, and the others follow one by one.
-func TestLastRoomAcceptedByThreeControllers(t *testing.T) {
+func TestLastQuotaAcceptedByThreeControllers(t *testing.T) {
 	schedule := faultSchedule{seed: 3, duration: seconds(60), firstLeader: 1}
 	for i := range 3 {
 		submission := newSubmission(i+1, 20, 10, func(spec *wire.Spec) { spec.Team, spec.Cores = "tight", 4 })
--- a/quota_test.go
+++ b/quota_test.go
@@ -44,7 +44,7 @@
 
 // Ends of attempts that are reported late, twice, or of an earlier attempt free nothing
 // of the present one's room.
-func TestLateEndsFreeNothing(t *testing.T) {
+func TestStaleCompletionsFreeNothing(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(withTeamLimit(2))
 	leader, worker, _ := leadWithJob(t, node, cluster, 2)
@@ -81,7 +81,7 @@
 }
 
 // Bad input gets what the protocol says and leaves the ledger alone.
-func TestBadSubmissionsLeaveTheLedgerAlone(t *testing.T) {
+func TestInvalidSubmissionsDoNotChangeLedger(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(withTeamLimit(4))
 	leader, _ := cluster.elect(node)
@@ -120,7 +120,7 @@
 
 // Work within a team's guarantee takes the place of what another team runs beyond its
 // own, whatever the priorities, and what it took the place of does not take it back.
-func TestGuaranteeIsGivenBack(t *testing.T) {
+func TestGuaranteedCapacityIsReclaimed(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) {
 		facts.Teams = append(facts.Teams, config.Team{Name: "owner", CPUs: 2})
--- a/random_schedules_test.go
+++ b/random_schedules_test.go
@@ -23,18 +23,18 @@
 
 // Whole services play random schedules of troubles against stand-ins on virtual
 // time, and the rules of the protocol are held against what is seen from outside.
-func TestRandomMeetings(t *testing.T) { playRandomSchedules(t, *scheduleCount, randomSchedule) }
+func TestRandomSchedules(t *testing.T) { playRandomSchedules(t, *scheduleCount, randomSchedule) }
 
 // The same with the further troubles.
-func TestRandomFurtherMeetings(t *testing.T) {
+func TestRandomSchedulesWithFurtherFaults(t *testing.T) {
 	playRandomSchedules(t, *furtherCount, randomFurtherSchedule)
 }
 
 // The same again with messages that are held and delivered late.
-func TestRandomHeldMeetings(t *testing.T) { playRandomSchedules(t, *heldCount, randomHeldSchedule) }
+func TestRandomSchedulesWithHeldMessages(t *testing.T) { playRandomSchedules(t, *heldCount, randomHeldSchedule) }
 
 // The same with each hold in one direction only.
-func TestRandomOneWayMeetings(t *testing.T) {
+func TestRandomSchedulesWithOneWayHolds(t *testing.T) {
 	playRandomSchedules(t, *oneWayCount, randomOneWaySchedule)
 }
 
@@ -48,7 +48,7 @@
 }
 
 // Without troubles every array is done and every replica runs.
-func TestQuietMeeting(t *testing.T) {
+func TestScheduleWithoutFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		schedule := randomSchedule(1)
@@ -74,7 +74,7 @@
 }
 
 // A job that comes while nothing is rented gets a machine where it may run.
-func TestJobGetsAMachineWhereItMayRun(t *testing.T) {
+func TestJobGetsEligibleMachine(t *testing.T) {
 	bound := map[string]func(spec *wire.Spec){
 		"anywhere": func(*wire.Spec) {},
 		"zone x":   func(spec *wire.Spec) { spec.Zone = "x" },
--- a/recording_test.go
+++ b/recording_test.go
@@ -14,7 +14,7 @@
 
 // What is written follows the records touched, not the tasks: results wait for
 // each other, and placements of a job go in one change.
-func TestPutsFollowRecords(t *testing.T) {
+func TestChangesFollowRecordsNotTasks(t *testing.T) {
 	puts := func(tasks int) (placed, ended int) {
 		cluster, node, leader, worker := clusterWithWorker(t)
 		cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = tasks, 0.05, 0.1 }))
@@ -46,7 +46,7 @@
 // Jobs of one task each share the records of their attempts, and each is called
 // done by one change. What a swarm costs a job may not grow with it, and a change
 // of leaders in the middle neither loses one nor runs one twice.
-func TestSwarmSharesRecords(t *testing.T) {
+func TestSingleTaskJobsShareRecords(t *testing.T) {
 	puts := func(jobs int) float64 {
 		cluster := newTestCluster(t)
 		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
--- a/resignation_test.go
+++ b/resignation_test.go
@@ -21,7 +21,7 @@
 
 // A leader that renews its lease but can't read the changes of jobs gives the
 // lead up while its successor can still stop in time what was cancelled.
-func TestBlindLeaderGivesUp(t *testing.T) {
+func TestLeaderWithStaleStateResigns(t *testing.T) {
 	cluster, node, leader, _ := clusterWithWorker(t)
 	limit := leader.maxUnsynced().Duration()
 	live := func(d time.Duration) {
@@ -45,7 +45,7 @@
 }
 
 // Settings under which a cut leader's tasks outlast cancel_s are refused.
-func TestSettingsKeepCancelsInTime(t *testing.T) {
+func TestSettingsKeepCancellationsInTime(t *testing.T) {
 	operator, err := config.LoadOperator("")
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 }
 
 // A leader cut off from every worker makes room for one that may hear them.
-func TestDeafLeaderAbdicates(t *testing.T) {
+func TestIsolatedLeaderResigns(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
@@ -89,7 +89,7 @@
 
 // With many machines, one interval without any heartbeat is proof enough: the sooner
 // another leads, the fewer leases run out.
-func TestDeafLeaderOfManyAbdicatesSooner(t *testing.T) {
+func TestIsolatedLeaderOfManyMachinesResignsSooner(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestBeatWithoutHold(t *testing.T) {
+func TestNoHeartbeatResponseWithoutLease(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	node.attestationLinks["other"] = peer.NewLink("127.0.0.1:1") // nobody attests
 	cluster.state.Refuse(node.cfg.Node, true)
@@ -121,7 +121,7 @@
 }
 
 // When none hears, the fault is this leader's: another may be heard.
-func TestLeaderThatNobodyHearsAbdicates(t *testing.T) {
+func TestUnacknowledgedLeaderResigns(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
@@ -154,7 +154,7 @@
 // Without the state service and the other controllers, a leader stops answering
 // heartbeats before anybody else can act, sends no steward, tells users nothing and
 // is not healthy.
-func TestCutOffWithItsWorkers(t *testing.T) {
+func TestPartitionedLeaderAnswersNothing(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	node.attestationLinks["other"], node.relayLinks["other"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
@@ -192,7 +192,7 @@
 }
 
 // A node that was not told for a while who leads sends workers nowhere.
-func TestStewardIsForgotten(t *testing.T) {
+func TestLeaderHintExpires(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	cluster.elect(nodeA)
--- a/total_loss_test.go
+++ b/total_loss_test.go
@@ -53,7 +53,7 @@
 
 // Where one of three controllers returns, its workers first wait for the two that do not answer. Meanwhile
 // it hears nobody for longer than would have it give up the lead, if another could be reached.
-func TestWorkersFindTheOneControllerThatIsBack(t *testing.T) {
+func TestWorkersFindOnlyReturnedController(t *testing.T) {
 	for _, spell := range []float64{6, 14, 32} {
 		t.Run(fmt.Sprintf("spell=%v", spell), func(t *testing.T) {
 			t.Parallel()
@@ -70,7 +70,7 @@
 }
 
 // The checker sees a leader that starts at once, as if nothing of its predecessors ran.
-func TestCheckerSeesALeaderThatStartsAtOnce(t *testing.T) {
+func TestCheckerDetectsLeaderThatStartsAtOnce(t *testing.T) {
 	forget := func(r *recovery.Records) {
 		for i := range r.Chunks {
 			r.Chunks[i].Runs = nil
@@ -92,7 +92,7 @@
 }
 
 // Random losses and returns of all controllers: no rule breaks, and every job is served.
-func TestRandomLosses(t *testing.T) {
+func TestRandomTotalLosses(t *testing.T) {
 	for seed := *lossSeed; seed < *lossSeed+*lossSeeds; seed++ {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
@@ -103,7 +103,7 @@
 
 // After a total loss the leader ends right before one of its requests to the state service,
 // whichever, and its successor at the same one: every step of a recovery can be the last.
-func TestLeaderEndsAtEveryRequest(t *testing.T) {
+func TestLeaderCrashesAtEveryRequest(t *testing.T) {
 	for request := 1; request <= crashPoints; request++ {
 		t.Run(fmt.Sprintf("request=%d", request), func(t *testing.T) {
 			t.Parallel()
--- a/unresponsive_machines_test.go
+++ b/unresponsive_machines_test.go
@@ -16,7 +16,7 @@
 
 // A machine that hung before the leaders changed is returned by the new one,
 // so that its replica does not wait out a lease with every leader.
-func TestHungMachineAcrossLeaders(t *testing.T) {
+func TestHungMachineIsReturnedByNextLeader(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -107,7 +107,7 @@
 }
 
 // Silent machines with replicas are returned together, in one request.
-func TestSilentMachinesGoInOneRequest(t *testing.T) {
+func TestUnresponsiveMachinesAreReturnedTogether(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
@@ -122,7 +122,7 @@
 
 // A zone that falls silent as a whole is cut off: its replicas run on until
 // their leases end, so it is replaced, but not returned.
-func TestCutZoneIsWaitedFor(t *testing.T) {
+func TestPartitionedZoneIsNotReturned(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
@@ -140,7 +140,7 @@
 
 // A deaf machine reports on while nothing told to it takes effect. It gets no
 // more work, its task is settled by the cloud's word, and it is gone.
-func TestDeafMachineIsReturned(t *testing.T) {
+func TestUnacknowledgingMachineIsReturned(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	for i := range 4 { // others that hear, so that the fault is not the leader's
 		heartbeat(t, leader, cluster.worker(fmt.Sprintf("n-9%d", i), "z", false))
@@ -184,7 +184,7 @@
 }
 
 // A machine that hears again is trusted again.
-func TestDeafMachineHearsAgain(t *testing.T) {
+func TestUnacknowledgingMachineRecovers(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	leader.operator.Fleet.Enabled = false // nothing is returned
 	worker.Unreachable(true)
@@ -210,7 +210,7 @@
 
 // A machine that was silent is not given work on the word of one report, which
 // may have been held back all the while; its answer to a question is of now.
-func TestSilentMachineMustAnswer(t *testing.T) {
+func TestUnresponsiveMachineMustAnswerProbe(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	held := worker.Report()
 	cluster.advance(8 * time.Second)
@@ -234,7 +234,7 @@
 
 // A worker that is back within a moment as a new process counts from the start
 // again. It is not ignored, and its predecessor's task starts once more, once.
-func TestMachineBackAsNewProcess(t *testing.T) {
+func TestWorkerProcessRestart(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
@@ -259,7 +259,7 @@
 
 // A new leader that asks for such proof may be too busy to hear the answers:
 // workers that report are not mute for that, and are not returned.
-func TestQuestionsLostInASurgeReturnNothing(t *testing.T) {
+func TestProbesLostInSurgeReturnNothing(t *testing.T) {
 	const machines = 12
 	cluster, leader := adoptedFleet(t, machines, 2)
 	for sequence := uint64(1); sequence < 5; sequence++ {
@@ -286,7 +286,7 @@
 // A worker tells of a new token at once, but not twice within half a lease.
 // Where leaders change faster, it is asked, so that it need not stand idle until
 // its next regular report.
-func TestWorkerThatKeepsTheTokenToItself(t *testing.T) {
+func TestWorkerIsProbedForToken(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
--- a/user_requests_test.go
+++ b/user_requests_test.go
@@ -13,7 +13,7 @@
 	"cedardoor/wire"
 )
 
-func TestAnswersToUsers(t *testing.T) {
+func TestResponsesToUsers(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) { facts.Teams = append(facts.Teams, config.Team{Name: "small", CPUsMax: 3}) })
 	good := jobSpec("j-1", nil)
@@ -75,7 +75,7 @@
 }
 
 // A node that the state service refuses alone serves users through another.
-func TestRefusedNodeRelays(t *testing.T) {
+func TestRefusedControllerRelays(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	cluster.connect(nodeA, nodeB)
@@ -106,7 +106,7 @@
 
 // A node judges jobs by the machine types of now: an old catalogue will do for a
 // moment in which nobody tells it the new one, and no longer.
-func TestOldCatalogueAcceptsNothing(t *testing.T) {
+func TestStaleCatalogAcceptsNothing(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -135,7 +135,7 @@
 
 // A node answers no poll from what it knew before the poll came: what another
 // node has told since must not be taken back.
-func TestPollsAreNeverOlderThanAnswersGiven(t *testing.T) {
+func TestPollsNeverGoBack(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
 	cluster.submit(nodeA, jobSpec("j-1", nil))
@@ -161,7 +161,7 @@
 // a job is accepted, done or cancelled, whatever befell the transaction that made
 // it so: no node may answer something older, nor anything else than the state to a
 // repeat, even a malformed one, and a transaction carried out late changes nothing.
-func TestAskedEverywhereRightAfterAnAnswer(t *testing.T) {
+func TestAllControllersAgreeAfterResponse(t *testing.T) {
 	for _, tr := range transactionFaults {
 		t.Run(tr.name, func(t *testing.T) {
 			cluster := newTestCluster(t)
@@ -213,7 +213,7 @@
 // More submissions than the state service takes: what can't be taken is refused
 // at once and told when to come back, the lowest priority first; what is known
 // already stays known, and cancels go through.
-func TestSwarmIsRefusedAtOnce(t *testing.T) {
+func TestExcessSubmissionsAreRefusedAtOnce(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	_, _ = cluster.elect(node)
@@ -248,7 +248,7 @@
 
 // A storm of questions about jobs that nobody submitted: what can't be looked up
 // is refused at once, and jobs that run are answered for as ever.
-func TestStormOfUnknownJobs(t *testing.T) {
+func TestFloodOfUnknownJobs(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	_, _ = cluster.elect(node)
@@ -280,7 +280,7 @@
 
 // Submissions that share a transaction share neither a refusal nor a conflict:
 // what is known hears so, what the store does not take fails alone.
-func TestSubmissionsOfABatchAreJudgedAlone(t *testing.T) {
+func TestBatchedSubmissionsAreJudgedSeparately(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	_, _ = cluster.elect(node)
@@ -306,7 +306,7 @@
 
 // How often polls make a node read is bounded by its share of a processor, however
 // many come, and an answer never waits long for its read.
-func TestPollsReadByTheShare(t *testing.T) {
+func TestPollRateFollowsCPUShare(t *testing.T) {
 	for _, tt := range []struct {
 		share float64
 		reads int // a second, at most
