--- a/api/view_test.go
+++ b/api/view_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("first poll: %v, %v", at, err)
 	}
 	reads := func(polls int) int {
-		before := state.Requests()
+		before := state.RequestCount()
 		release := state.Stall()
 		done := make(chan bool)
 		poll := func() {
@@ -43,7 +43,7 @@
 			done <- at == unfinished && err == nil
 		}
 		go poll()
-		for state.Requests() == before { // its read is under way
+		for state.RequestCount() == before { // its read is under way
 			runtime.Gosched()
 		}
 		for range polls - 1 {
@@ -62,7 +62,7 @@
 				t.Fatal("a poll failed")
 			}
 		}
-		return state.Requests() - before
+		return state.RequestCount() - before
 	}
 	if few, many := reads(2), reads(60); few != 2 || many != 2 {
 		t.Errorf("%d reads for 2 polls, %d for 60, want 2: the one under way and one for all the rest", few, many)
--- a/autoscaling_test.go
+++ b/autoscaling_test.go
@@ -99,7 +99,7 @@
 	}))
 	cluster.resync(leader)
 	leader.autoscale(t.Context())
-	hosts := cluster.cloud.Hosts()
+	hosts := cluster.cloud.Machines()
 	if len(hosts) == 0 {
 		t.Fatal("nothing rented")
 	}
@@ -111,7 +111,7 @@
 		cluster.advance(time.Second)
 		leader.autoscale(t.Context())
 	}
-	if more := len(cluster.cloud.Hosts()) - len(hosts); more != 0 || len(cluster.cloud.Returns()) != 0 {
+	if more := len(cluster.cloud.Machines()) - len(hosts); more != 0 || len(cluster.cloud.Returns()) != 0 {
 		t.Errorf("%d more rented, returned %v", more, cluster.cloud.Returns())
 	}
 	for _, share := range leader.autoscaler.BootShares() {
@@ -134,13 +134,13 @@
 		for range 4 {
 			leader.autoscale(t.Context()) // what is short is rented while they are heard
 		}
-		before := len(cluster.cloud.Asked())
+		before := len(cluster.cloud.RentalRequests())
 		for range 8 {
 			cluster.advance(time.Second)
 			leader.pass(t.Context())
 			leader.autoscale(t.Context())
 		}
-		if more := cluster.cloud.Asked()[before:]; len(more) != 0 {
+		if more := cluster.cloud.RentalRequests()[before:]; len(more) != 0 {
 			t.Errorf("%d machines silent at once: rented %+v", machines, more)
 		}
 	}
@@ -151,7 +151,7 @@
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
-	cluster.cloud.LoseNext = true
+	cluster.cloud.LoseNextResponse = true
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Preemptible = false }))
 	cluster.resync(leader)
 	if err := leader.readMachineList(t.Context()); err != nil {
@@ -166,9 +166,9 @@
 	}()
 	leader.autoscale(t.Context())
 	cancel()
-	asked := cluster.cloud.Asked()
-	if len(asked) != 2 || asked[0].RequestID != asked[1].RequestID || len(cluster.cloud.Hosts()) != 1 {
-		t.Fatalf("asked %v, rented %v", asked, cluster.cloud.Hosts())
+	asked := cluster.cloud.RentalRequests()
+	if len(asked) != 2 || asked[0].RequestID != asked[1].RequestID || len(cluster.cloud.Machines()) != 1 {
+		t.Fatalf("asked %v, rented %v", asked, cluster.cloud.Machines())
 	}
 }
 
@@ -181,7 +181,7 @@
 	leader.mu.Lock()
 	leader.autoscaler.Demand(leader.scalingView(leader.clock.Now()))
 	leader.mu.Unlock()
-	worker.End("j-1/0", wire.CauseDone)
+	worker.EndTask("j-1/0", wire.CauseDone)
 	heartbeat(t, leader, worker)
 	cluster.settle(leader)
 	cluster.advance(20 * time.Second)
@@ -214,7 +214,7 @@
 		leader.autoscale(t.Context())
 	}
 	var workers []*standin.Worker
-	for _, host := range cluster.cloud.Hosts() {
+	for _, host := range cluster.cloud.Machines() {
 		workers = append(workers, cluster.worker(host.UID, host.Zone, host.Preemptible))
 	}
 	if len(workers) < replicas {
@@ -229,7 +229,7 @@
 	if err := newLeader.readMachineList(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	before := len(cluster.cloud.Asked())
+	before := len(cluster.cloud.RentalRequests())
 	for second := range 14 {
 		cluster.advance(time.Second)
 		found := workers[:2]
@@ -242,7 +242,7 @@
 		newLeader.pass(t.Context())
 		newLeader.autoscale(t.Context())
 	}
-	if more := cluster.cloud.Asked()[before:]; len(more) != 0 {
+	if more := cluster.cloud.RentalRequests()[before:]; len(more) != 0 {
 		t.Errorf("rented %+v though all had yet to report, and then did", more)
 	}
 	if got := cluster.cloud.Returns(); len(got) != 0 {
--- a/cancellation_outage_test.go
+++ b/cancellation_outage_test.go
@@ -26,7 +26,7 @@
 	dropCancelHints(nodes[1])
 	cluster.state.Refuse(nodes[0].cfg.Node, true)
 	cluster.cancelJob(nodes[1], "j-1")
-	if got := worker.Live(); len(got) != 2 {
+	if got := worker.LiveTasks(); len(got) != 2 {
 		t.Fatalf("running %v: the leader can't know yet", got)
 	}
 	cluster.state.Refuse("", true)
@@ -38,7 +38,7 @@
 		t.Fatal("all attest the outage, and the leader answers no heartbeats")
 	}
 	heartbeat(t, leader, worker)
-	if got := worker.Live(); len(got) != 1 || got[0] != "j-2/0" {
+	if got := worker.LiveTasks(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Fatalf("running %v after the attested leader answered, want j-2/0 alone", got)
 	}
 	// What the leader was told is a hint: after the outage the store is the truth.
@@ -48,7 +48,7 @@
 	cluster.resync(leader)
 	heartbeat(t, leader, worker)
 	cluster.settle(leader)
-	if got := worker.Starts(); len(got) != 2 {
+	if got := worker.StartedAttempts(); len(got) != 2 {
 		t.Errorf("starts %v, want each job's once", got)
 	}
 	cluster.checkStatus(nodes[0], "j-1", wire.JobCancelled)
@@ -144,7 +144,7 @@
 		t.Errorf("passed on: %v, of epoch %d", got, nodes[0].users.Cancels.Epoch("j-3"))
 	}
 	// The answer to the change is lost, and it may be done any time.
-	cluster.state.DelayNext()
+	cluster.state.DelayNextTransaction()
 	if code, _, _ := cluster.ask(nodes[1], http.MethodPost, wire.PathJobs+"/j-2/abort", nil); code != http.StatusServiceUnavailable {
 		t.Fatalf("an abort of unknown outcome: %d", code)
 	}
@@ -162,30 +162,30 @@
 	nodes[1].elector = nodes[0].elector // knows who leads
 	cluster.state.Refuse(nodes[0].cfg.Node, true)
 	cluster.cancelJob(nodes[1], "j-1")
-	for len(worker.Live()) != 1 {
+	for len(worker.LiveTasks()) != 1 {
 		runtime.Gosched()
 	}
-	if got := worker.Live(); got[0] != "j-2/0" {
+	if got := worker.LiveTasks(); got[0] != "j-2/0" {
 		t.Fatalf("running %v", got)
 	}
 	cluster.state.Refuse(nodes[0].cfg.Node, false)
 	// Repeated, of a job that is not known, and of one that was not cancelled.
 	nodes[0].answerPeer(t.Context(), peer.Ask{Cancelled: []string{"j-1", "j-99", "j-2"}})
-	for len(worker.Live()) != 0 {
+	for len(worker.LiveTasks()) != 0 {
 		leader.dispatch(t.Context()) // as the loop does when the command before has landed
 		runtime.Gosched()
 	}
 	cluster.advance(time.Second)
 	heartbeat(t, leader, worker)
 	cluster.settle(leader)
-	if got := worker.Starts(); len(got) != 2 {
+	if got := worker.StartedAttempts(); len(got) != 2 {
 		t.Fatalf("started %v before the state service was asked", got)
 	}
 	cluster.resync(leader)
 	heartbeat(t, leader, worker)
 	cluster.settle(leader)
 	heartbeat(t, leader, worker)
-	if got := worker.Live(); len(got) != 1 || got[0] != "j-2/0" {
+	if got := worker.LiveTasks(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Errorf("running %v, want the job that was not cancelled", got)
 	}
 	cluster.checkStatus(nodes[2], "j-2", wire.JobQueued)
@@ -236,7 +236,7 @@
 			}
 			heartbeat(t, leader, worker)
 			leader.dispatch(t.Context())
-			if got := worker.Starts(); len(got) != 0 {
+			if got := worker.StartedAttempts(); len(got) != 0 {
 				t.Fatalf("started %v, which was cancelled", got)
 			}
 			ctx, cancel := context.WithCancel(t.Context())
@@ -252,7 +252,7 @@
 			<-done
 			heartbeat(t, leader, worker)
 			cluster.settle(leader)
-			if got := worker.Starts(); len(got) != 0 {
+			if got := worker.StartedAttempts(); len(got) != 0 {
 				t.Errorf("started %v, which was cancelled", got)
 			}
 		})
@@ -263,7 +263,7 @@
 // it also when the machine reports only in an outage that all attest.
 func TestKnownCancellationStopsTaskInOutage(t *testing.T) {
 	cluster, nodes, leader, worker := connectedCluster(t)
-	worker.Unreachable(true)
+	worker.SetUnreachable(true)
 	cluster.cancelJob(nodes[1], "j-1")
 	cluster.resync(leader)
 	cluster.settle(leader)
@@ -273,7 +273,7 @@
 		t.Fatal("the leader still has its lease")
 	}
 	heartbeat(t, leader, worker)
-	if got := worker.Live(); len(got) != 1 || got[0] != "j-2/0" {
+	if got := worker.LiveTasks(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Errorf("running %v after the attested leader answered, want j-2/0 alone", got)
 	}
 	leader.mu.Lock()
--- a/cancellation_test.go
+++ b/cancellation_test.go
@@ -32,7 +32,7 @@
 	cluster.settle(leader)
 	heartbeat(t, leader, worker)
 	cluster.settle(leader)
-	if got := worker.Starts(); len(got) != 0 {
+	if got := worker.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("started after the cancel: %v", got)
 	}
 	if _, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobCancelled {
@@ -50,7 +50,7 @@
 	}
 	cluster.resync(leader)
 	cluster.settle(leader)
-	if got := worker.Live(); len(got) != 0 {
+	if got := worker.LiveTasks(); len(got) != 0 {
 		t.Fatalf("still on the machine: %v", got)
 	}
 	if keys := cluster.state.Keys(store.PrefixAttempts); len(keys) != 0 {
@@ -94,7 +94,7 @@
 	}
 	cluster.resync(leader)
 	cluster.settle(leader)
-	if got := worker.Starts(); len(got) != 0 {
+	if got := worker.StartedAttempts(); len(got) != 0 {
 		t.Errorf("started %v", got)
 	}
 }
@@ -112,8 +112,8 @@
 			cluster.submit(nodes[1], jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = pieces }))
 			cluster.resync(leader)
 			cluster.settle(leader)
-			for _, p := range worker.Live() {
-				worker.End(p, wire.CauseDone)
+			for _, p := range worker.LiveTasks() {
+				worker.EndTask(p, wire.CauseDone)
 			}
 			heartbeat(t, leader, worker)
 			leader.mu.Lock()
@@ -132,7 +132,7 @@
 			case "cancel":
 			default:
 				once := false
-				cluster.state.Before(func(path string) {
+				cluster.state.BeforeRequest(func(path string) {
 					if path == wire.PathCommit && !once {
 						once = true
 						leader.commit(t.Context(), transaction)
@@ -186,7 +186,7 @@
 				if moment == "before" {
 					cancel()
 				} else {
-					cluster.state.Before(func(path string) {
+					cluster.state.BeforeRequest(func(path string) {
 						// Just before this read of the load is carried out.
 						if !cancelled && strings.Contains(path, moment) {
 							cancel()
@@ -201,18 +201,18 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				leader.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: cluster.cloud.Builds})
+				leader.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: cluster.cloud.MachineTypes})
 				if cancelled == (moment == "watch") {
 					t.Fatalf("cancelled by the end of the load: %t", cancelled)
 				}
-				cluster.state.Before(nil)
+				cluster.state.BeforeRequest(nil)
 				if !cancelled {
 					cancel()
 				}
 				heartbeat(t, leader, worker)
 				leader.mu.Lock()
-				if used := leader.fleet.Machine("n-1").UsedCores; used != 8 && len(worker.Live()) == 2*pieces {
-					t.Errorf("%v cores in use while %v are there", used, worker.Live())
+				if used := leader.fleet.Machine("n-1").UsedCores; used != 8 && len(worker.LiveTasks()) == 2*pieces {
+					t.Errorf("%v cores in use while %v are there", used, worker.LiveTasks())
 				}
 				leader.mu.Unlock()
 				watching := make(chan struct{})
@@ -229,14 +229,14 @@
 					cluster.settle(leader)
 					heartbeat(t, leader, worker)
 				}
-				for _, p := range worker.Live() {
+				for _, p := range worker.LiveTasks() {
 					if strings.HasPrefix(p, "j-2/") {
 						t.Errorf("%s goes on", p)
 					}
 				}
 				workers := []*standin.Worker{worker}
 				if startCount(workers, "j-1") != pieces || startCount(workers, "j-2") != pieces || startCount(workers, "j-3") != 1 {
-					t.Errorf("starts %v", worker.Starts())
+					t.Errorf("starts %v", worker.StartedAttempts())
 				}
 				if left := cluster.state.Keys(store.PrefixAttempts + "j-2"); len(left) != 0 {
 					t.Errorf("records left: %v", left)
@@ -261,7 +261,7 @@
 	cluster.submit(nodeA, jobSpec("j-1", nil))
 	cluster.submit(nodeA, jobSpec("j-2", nil))
 	cluster.resync(oldLeader)
-	worker.KeepNext()
+	worker.HoldNextCommand()
 	cluster.settle(oldLeader) // the runs are on their way
 	cluster.state.Refuse(nodeA.cfg.Node, true)
 	for range 8 {
@@ -271,7 +271,7 @@
 			if !cluster.state.Value(store.KeyLead, nil) {
 				t.Fatal("answers a heartbeat while another may lead")
 			}
-			worker.Take(response)
+			worker.HandleResponse(response)
 		}
 	}
 	newLeader, _ := cluster.elect(nodeB)
@@ -288,14 +288,14 @@
 		heartbeat(t, newLeader, worker)
 		cluster.settle(newLeader)
 	}
-	worker.Deliver()
+	worker.DeliverHeldCommands()
 	heartbeat(t, newLeader, worker)
 	cluster.settle(newLeader)
-	if got := worker.Live(); !slices.Equal(got, []string{"j-2/0"}) {
+	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-2/0"}) {
 		t.Errorf("on the machine %v, want the job that was not cancelled", got)
 	}
 	if got := startCount([]*standin.Worker{worker}, "j-2"); got != 1 {
-		t.Errorf("starts %v", worker.Starts())
+		t.Errorf("starts %v", worker.StartedAttempts())
 	}
 }
 
@@ -312,10 +312,10 @@
 	}
 	cluster.resync(leader)
 	cluster.settle(leader)
-	if got := worker.Live(); len(got) != 3 {
+	if got := worker.LiveTasks(); len(got) != 3 {
 		t.Fatalf("on the machine: %v", got)
 	}
-	worker.Unreachable(true)
+	worker.SetUnreachable(true)
 	if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
@@ -326,15 +326,15 @@
 		t.Errorf("%v cores in use, want 6: the cancelled task may still run", c)
 	}
 	leader.mu.Unlock()
-	worker.Unreachable(false)
+	worker.SetUnreachable(false)
 	for range 3 {
 		heartbeat(t, leader, worker)
 		cluster.settle(leader)
 	}
-	if got := worker.Live(); len(got) != 2 {
+	if got := worker.LiveTasks(); len(got) != 2 {
 		t.Errorf("on the machine: %v, want the two that were not cancelled", got)
 	}
-	if got := worker.Starts(); len(got) != 3 {
+	if got := worker.StartedAttempts(); len(got) != 3 {
 		t.Errorf("started %v", got)
 	}
 }
--- a/commands_test.go
+++ b/commands_test.go
@@ -14,7 +14,7 @@
 func TestDelayedRunCommandKeepsTaskReserved(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	other := cluster.worker("n-2", "y", true)
-	worker.KeepNext()
+	worker.HoldNextCommand()
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
 	cluster.settle(leader) // the run is kept back; the token is raised against it
@@ -28,36 +28,36 @@
 		t.Fatal("freed while a run may still arrive")
 	}
 	cluster.settle(leader)
-	if len(other.Starts()) != 0 {
+	if len(other.StartedAttempts()) != 0 {
 		t.Fatal("started elsewhere while a run may still arrive")
 	}
 	// The worker reports without having seen the raised token: no proof yet.
 	report := worker.Report()
 	response, _ := leader.Heartbeat(&report)
 	cluster.settle(leader)
-	if len(other.Starts()) != 0 {
+	if len(other.StartedAttempts()) != 0 {
 		t.Fatal("absence believed before the worker saw a higher token")
 	}
-	worker.Take(response)
+	worker.HandleResponse(response)
 	cluster.advance(5 * time.Second)
 	cluster.settle(leader)
 	heartbeat(t, leader, worker)
 	heartbeat(t, leader, worker)
 	heartbeat(t, leader, other)
 	cluster.settle(leader)
-	worker.Deliver()
-	if got := len(worker.Starts()) + len(other.Starts()); got != 1 {
-		t.Fatalf("%d starts (%v, %v), want 1", got, worker.Starts(), other.Starts())
+	worker.DeliverHeldCommands()
+	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != 1 {
+		t.Fatalf("%d starts (%v, %v), want 1", got, worker.StartedAttempts(), other.StartedAttempts())
 	}
-	if len(worker.Live())+len(other.Live()) != 1 {
-		t.Fatalf("live on %v and %v", worker.Live(), other.Live())
+	if len(worker.LiveTasks())+len(other.LiveTasks()) != 1 {
+		t.Fatalf("live on %v and %v", worker.LiveTasks(), other.LiveTasks())
 	}
 }
 
 // A forget must not go out while a copy of the run may: the worker would start it again.
 func TestNoForgetWhileRunCommandIsInFlight(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
-	worker.KeepNext()
+	worker.HoldNextCommand()
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
 	cluster.settle(leader)
@@ -65,8 +65,8 @@
 	response, _ := leader.Heartbeat(&report) // carries the run again
 	low := response
 	low.Token = 1
-	worker.Take(low) // as if answered before the token was raised
-	worker.End("j-1/0", wire.CauseDone)
+	worker.HandleResponse(low) // as if answered before the token was raised
+	worker.EndTask("j-1/0", wire.CauseDone)
 	report = worker.Report()
 	response, _ = leader.Heartbeat(&report)
 	cluster.settle(leader)
@@ -75,16 +75,16 @@
 			t.Fatal("forget sent while a run was still out")
 		}
 	}
-	worker.Deliver()
-	if got := worker.Starts(); len(got) != 1 {
+	worker.DeliverHeldCommands()
+	if got := worker.StartedAttempts(); len(got) != 1 {
 		t.Fatalf("started %v", got)
 	}
 	heartbeat(t, leader, worker)
 	heartbeat(t, leader, worker)
 	cluster.settle(leader)
 	heartbeat(t, leader, worker)
-	worker.Deliver()
-	if got := worker.Starts(); len(got) != 1 {
+	worker.DeliverHeldCommands()
+	if got := worker.StartedAttempts(); len(got) != 1 {
 		t.Fatalf("started %v", got)
 	}
 	if report := worker.Report(); len(report.Tasks) != 0 {
@@ -113,27 +113,27 @@
 	}
 	cluster.resync(leader)
 	cluster.settle(leader)
-	if got := worker.Live(); !slices.Equal(got, []string{"j-1/0"}) {
+	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0"}) {
 		t.Errorf("on the mute machine %v after the cancel", got)
 	}
 	for range 4 {
 		cluster.advance(3 * time.Second)
 		heartbeat(t, leader, other)
 		cluster.settle(leader)
-		if got := other.Starts(); len(got) != 0 {
+		if got := other.StartedAttempts(); len(got) != 0 {
 			t.Fatalf("started elsewhere within the lease: %v", got)
 		}
 	}
-	worker.Expire()
+	worker.ExpireLease()
 	cluster.advance(3 * time.Second)
-	before := len(worker.Starts())
+	before := len(worker.StartedAttempts())
 	cluster.submit(node, jobSpec("j-3", nil))
 	cluster.resync(leader)
 	for range 2 {
 		heartbeat(t, leader, other)
 		cluster.settle(leader)
 	}
-	if got := other.Live(); !slices.Equal(got, []string{"j-1/0", "j-3/0"}) || len(worker.Starts()) != before {
-		t.Errorf("after the lease: %v on the other machine, %v started on the mute one", got, worker.Starts()[before:])
+	if got := other.LiveTasks(); !slices.Equal(got, []string{"j-1/0", "j-3/0"}) || len(worker.StartedAttempts()) != before {
+		t.Errorf("after the lease: %v on the other machine, %v started on the mute one", got, worker.StartedAttempts()[before:])
 	}
 }
--- a/concurrent_failures_test.go
+++ b/concurrent_failures_test.go
@@ -55,8 +55,8 @@
 				if before != 4 || late != 0 {
 					sim.t.Errorf("%d tasks ran in the zone before the cut, want 4; %d cancelled ones at its end, want none", before, late)
 				}
-				if !sim.views["j-2"].cancelledAt.Before(sim.startedAt.Add(seconds(30))) || sim.views["j-2"].cancelledAt.IsZero() {
-					sim.t.Errorf("cancelled at %v, want inside the cut", sim.views["j-2"].cancelledAt.Sub(sim.startedAt))
+				if !sim.observed.views["j-2"].cancelledAt.Before(sim.startedAt.Add(seconds(30))) || sim.observed.views["j-2"].cancelledAt.IsZero() {
+					sim.t.Errorf("cancelled at %v, want inside the cut", sim.observed.views["j-2"].cancelledAt.Sub(sim.startedAt))
 				}
 				sim.checkAllServed()
 			})
@@ -83,7 +83,7 @@
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		began := map[string]time.Time{}
-		for p, when := range sim.firstStarts {
+		for p, when := range sim.observed.firstStarts {
 			uid, _, _ := strings.Cut(p, "/")
 			if b, ok := began[uid]; !ok || when.Before(b) {
 				began[uid] = when
@@ -100,7 +100,7 @@
 			}
 		}
 		left := 0
-		for _, n := range sim.remainingTasks {
+		for _, n := range sim.observed.remainingTasks {
 			left += n
 		}
 		if left == 0 {
@@ -130,7 +130,7 @@
 	schedule.submissions = append(schedule.submissions, newSubmission(5, 18, 30, func(spec *wire.Spec) { spec.Tasks = 3 }))
 	playSchedule(t, schedule, func(sim *simulation) {
 		for _, uid := range []string{"j-2", "j-3"} {
-			if when := sim.views[uid].cancelledAt.Sub(sim.startedAt); when < seconds(21) || when > seconds(23) {
+			if when := sim.observed.views[uid].cancelledAt.Sub(sim.startedAt); when < seconds(21) || when > seconds(23) {
 				sim.t.Errorf("%s was cancelled at %v, want while the leader alone was refused", uid, when)
 			}
 		}
@@ -174,7 +174,7 @@
 	schedule.setup = func(sim *simulation) {
 		sim.runAt(25, func() { // the machines of what is cancelled: every other hangs, or is cut off
 			for i, machine := range sim.cloud.Machines() {
-				if slices.ContainsFunc(machine.Live(), func(p string) bool { uid, _, _ := strings.Cut(p, "/"); return slices.Contains(cancelled, uid) }) {
+				if slices.ContainsFunc(machine.RunningTasks(), func(p string) bool { uid, _, _ := strings.Cut(p, "/"); return slices.Contains(cancelled, uid) }) {
 					kinds := []string{machineHangs}
 					if i%2 == 1 {
 						kinds = []string{machineReceivesNothing, machineSendsNothing}
@@ -217,7 +217,7 @@
 	var last time.Time
 	schedule.setup = func(sim *simulation) {
 		hires := map[string]string{}
-		sim.cloud.Asked = func(who string, request wire.RentRequest) {
+		sim.cloud.OnRental = func(who string, request wire.RentRequest) {
 			mu.Lock()
 			defer mu.Unlock()
 			by := fmt.Sprintf("%s %+v", who, request)
@@ -226,7 +226,7 @@
 			}
 			hires[request.RequestID] = by
 		}
-		sim.cloud.Rental = func() (refused bool, late time.Duration) {
+		sim.cloud.RentalFault = func() (refused bool, late time.Duration) {
 			mu.Lock()
 			defer mu.Unlock()
 			if lost == 2 || time.Since(last) < 3*time.Second {
@@ -247,8 +247,8 @@
 		}
 		sim.checkAllServed()
 		for _, machine := range sim.cloud.Machines() {
-			if len(machine.Live()) == 0 {
-				sim.t.Errorf("%s is paid for, and holds nothing", machine.Host.UID)
+			if len(machine.RunningTasks()) == 0 {
+				sim.t.Errorf("%s is paid for, and holds nothing", machine.Info.UID)
 			}
 		}
 	})
@@ -264,8 +264,8 @@
 	for _, tt := range []struct {
 		name  string
 		state bool // what the state service answers the leader waits, as well
-		way   standin.Way
-	}{{"to machines", false, standin.Out}, {"from machines", false, standin.In}, {"to machines and from the state service", true, standin.Out}} {
+		way   standin.Direction
+	}{{"to machines", false, standin.Outbound}, {"from machines", false, standin.Inbound}, {"to machines and from the state service", true, standin.Outbound}} {
 		t.Run(tt.name, func(t *testing.T) {
 			schedule := faultSchedule{seed: 6, duration: seconds(60), firstLeader: 1, buffersMessages: true}
 			tight := func(zone string) func(spec *wire.Spec) {
@@ -293,16 +293,16 @@
 			schedule.setup = func(sim *simulation) {
 				hold := func(yes bool) {
 					for _, machine := range sim.cloud.Machines() {
-						if machine.Host.Zone == "x" {
-							sim.network.Hold("node-1", machine.Host.UID, tt.way, yes)
+						if machine.Info.Zone == "x" {
+							sim.network.Hold("node-1", machine.Info.UID, tt.way, yes)
 						}
 					}
 				}
 				sim.runAt(from, func() { hold(true) })
 				sim.runAt(until, func() { hold(false) })
 				if tt.state {
-					sim.runAt(from+1.2, func() { sim.network.Hold("state", "node-1", standin.Out, true) })
-					sim.runAt(from+4, func() { sim.network.Hold("state", "node-1", standin.Out, false) })
+					sim.runAt(from+1.2, func() { sim.network.Hold("state", "node-1", standin.Outbound, true) })
+					sim.runAt(from+4, func() { sim.network.Hold("state", "node-1", standin.Outbound, false) })
 				}
 				for when := from; when < until; when += 0.1 {
 					sim.runAt(when, func() {
@@ -314,12 +314,12 @@
 			}
 			playSchedule(t, schedule, func(sim *simulation) {
 				sim.mu.Lock()
-				next, began := sim.firstStarts["j-4/0"]
+				next, began := sim.observed.firstStarts["j-4/0"]
 				sim.mu.Unlock()
-				if most := slices.Max(there); (most > 0) != (tt.way == standin.In) {
+				if most := slices.Max(there); (most > 0) != (tt.way == standin.Inbound) {
 					sim.t.Errorf("at most %d tasks of the cancelled job were on machines inside the hold", most)
 				}
-				if wait := next.Sub(sim.startedAt); !began || tt.way == standin.Out && wait < seconds(until) {
+				if wait := next.Sub(sim.startedAt); !began || tt.way == standin.Outbound && wait < seconds(until) {
 					sim.t.Errorf("the team's next job began at %v, while runs of the cancelled one were on their way", wait)
 				}
 				sim.checkAllServed()
@@ -347,7 +347,7 @@
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		began := func(submission scheduledSubmission, index int) (time.Duration, bool) {
-			when, ok := sim.firstStarts[fmt.Sprintf("%s/%d", submission.spec.UID, index)]
+			when, ok := sim.observed.firstStarts[fmt.Sprintf("%s/%d", submission.spec.UID, index)]
 			return when.Sub(sim.startedAt.Add(submission.after)), ok
 		}
 		most := time.Duration(0)
--- a/damaged_records_test.go
+++ b/damaged_records_test.go
@@ -35,10 +35,10 @@
 		cluster.settle(newLeader)
 		cluster.advance(15 * time.Second)
 	}
-	if got := worker.Live(); !slices.Equal(got, []string{"j-1/0", "j-1/1"}) {
+	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0", "j-1/1"}) {
 		t.Errorf("on its machine: %v, want its tasks and nothing new", got)
 	}
-	if got := other.Live(); !slices.Equal(got, []string{"j-2/0"}) {
+	if got := other.LiveTasks(); !slices.Equal(got, []string{"j-2/0"}) {
 		t.Errorf("on the other machine: %v, want the other job's", got)
 	}
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
@@ -87,7 +87,7 @@
 			stop()
 			newLeader, _ := cluster.elect(nodeB)
 			heartbeat(t, newLeader, worker)
-			worker.End("j-2/0", wire.CauseDone) // its record is written again without it
+			worker.EndTask("j-2/0", wire.CauseDone) // its record is written again without it
 			for range 3 {
 				heartbeat(t, newLeader, worker)
 				heartbeat(t, newLeader, other)
@@ -107,10 +107,10 @@
 				cluster.advance(3 * time.Second)
 				cluster.settle(thirdLeader)
 			}
-			if got := len(worker.Starts()) + len(other.Starts()); got != tt.tasks+1 {
-				t.Errorf("%d starts, want those before the damage: %v, %v", got, worker.Starts(), other.Starts())
+			if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != tt.tasks+1 {
+				t.Errorf("%d starts, want those before the damage: %v, %v", got, worker.StartedAttempts(), other.StartedAttempts())
 			}
-			if got := worker.Live(); len(got) != tt.tasks {
+			if got := worker.LiveTasks(); len(got) != tt.tasks {
 				t.Errorf("on its machine: %v", got)
 			}
 		})
@@ -143,7 +143,7 @@
 		}
 		cluster.writeRecord(nodeA, key, damagedRecord)
 		stop()
-		worker.End(tasks[2], "lost") // gone without a trace
+		worker.EndTask(tasks[2], "lost") // gone without a trace
 		forgetEnded(worker, oldLeader.term.Token)
 		newLeader, _ := cluster.elect(nodeB)
 		if use := newLeader.quota.Usage("team").Total.Cores.Decimal(); use < 8 {
@@ -159,11 +159,11 @@
 		}
 		look()
 		look()
-		if got := worker.Live(); !slices.Contains(got, tasks[0]) || !slices.Contains(got, tasks[1]) {
+		if got := worker.LiveTasks(); !slices.Contains(got, tasks[0]) || !slices.Contains(got, tasks[1]) {
 			t.Fatalf("shared %t: what ran is stopped: %v", shared, got)
 		}
 		ofLost := func() []string {
-			return slices.DeleteFunc(append(worker.Starts(), other.Starts()...), func(start string) bool { return start[:5] != tasks[2] })
+			return slices.DeleteFunc(append(worker.StartedAttempts(), other.StartedAttempts()...), func(start string) bool { return start[:5] != tasks[2] })
 		}
 		if got := ofLost(); len(got) != 1 {
 			t.Fatalf("shared %t: started before every machine was accounted for: %v", shared, got)
@@ -172,7 +172,7 @@
 			cluster.advance(8 * time.Second)
 			look()
 		}
-		starts := append(worker.Starts(), other.Starts()...)
+		starts := append(worker.StartedAttempts(), other.StartedAttempts()...)
 		count := map[string]int{}
 		for _, start := range starts {
 			count[start]++
@@ -180,7 +180,7 @@
 				t.Errorf("shared %t: %s is started twice", shared, start)
 			}
 		}
-		live := append(worker.Live(), other.Live()...)
+		live := append(worker.LiveTasks(), other.LiveTasks()...)
 		for _, task := range tasks {
 			if !slices.Contains(live, task) {
 				t.Errorf("shared %t: %s does not run: %v, starts %v", shared, task, live, starts)
@@ -212,7 +212,7 @@
 	cluster.resync(oldLeader)
 	cluster.settle(oldLeader)
 	cluster.writeRecord(nodeA, store.ChunkKey("j-1", 0), damagedRecord)
-	worker.End("j-1/2", "lost")
+	worker.EndTask("j-1/2", "lost")
 	forgetEnded(worker, oldLeader.term.Token)
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
@@ -225,7 +225,7 @@
 		heartbeat(t, newLeader, other)
 		cluster.settle(newLeader)
 	}
-	if got := len(worker.Starts()) + len(other.Starts()); got != 3 {
+	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != 3 {
 		t.Fatalf("%d starts, want only those of the first leader", got)
 	}
 	if report := mustRecoveryReport(t, newLeader); report.Attempts.Unreadable != 1 {
@@ -237,7 +237,7 @@
 		heartbeat(t, newLeader, other)
 		cluster.settle(newLeader)
 	}
-	if got := len(worker.Starts()) + len(other.Starts()); got != 4 {
+	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != 4 {
 		t.Errorf("%d starts, want the lost task's, too", got)
 	}
 }
@@ -258,7 +258,7 @@
 	stop()
 	newLeader, stop := cluster.elect(nodeB)
 	heartbeat(t, newLeader, first) // the other does not find this leader
-	first.End(first.Live()[0], wire.CauseDone)
+	first.EndTask(first.LiveTasks()[0], wire.CauseDone)
 	heartbeat(t, newLeader, first)
 	cluster.advance(5 * time.Second)
 	heartbeat(t, newLeader, first)
@@ -267,7 +267,7 @@
 	thirdLeader, _ := cluster.elect(nodeC)
 	heartbeat(t, thirdLeader, free) // finds the new leader first, and has room
 	cluster.settle(thirdLeader)
-	if got := free.Starts(); len(got) != 0 {
+	if got := free.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("started %v while it may run elsewhere", got)
 	}
 	for range 12 {
@@ -277,10 +277,10 @@
 		heartbeat(t, thirdLeader, free)
 		cluster.settle(thirdLeader)
 	}
-	if got := second.Live(); len(got) != 1 {
+	if got := second.LiveTasks(); len(got) != 1 {
 		t.Errorf("on its machine: %v, want what ran all along", got)
 	}
-	if got := len(first.Starts()) + len(second.Starts()) + len(free.Starts()); got != 2 {
+	if got := len(first.StartedAttempts()) + len(second.StartedAttempts()) + len(free.StartedAttempts()); got != 2 {
 		t.Errorf("%d starts, though one is done and one runs", got)
 	}
 }
--- a/failover_test.go
+++ b/failover_test.go
@@ -41,18 +41,18 @@
 	cluster.advance(17 * time.Second)
 	heartbeat(t, newLeader, other)
 	cluster.settle(newLeader)
-	if len(other.Starts()) != 0 {
+	if len(other.StartedAttempts()) != 0 {
 		t.Fatal("moved before the predecessor's lease ran out")
 	}
-	worker.Expire()
+	worker.ExpireLease()
 	cluster.advance(6 * time.Second)
 	heartbeat(t, newLeader, other)
 	cluster.settle(newLeader)
-	if got := other.Starts(); len(got) != 1 {
+	if got := other.StartedAttempts(); len(got) != 1 {
 		t.Fatalf("starts after the lease: %v", got)
 	}
 	heartbeat(t, newLeader, worker)
-	if len(worker.Live()) != 0 {
+	if len(worker.LiveTasks()) != 0 {
 		t.Fatal("on two machines")
 	}
 }
@@ -80,7 +80,7 @@
 	}
 	heartbeat(t, newLeader, worker)
 	cluster.settle(newLeader)
-	if got := worker.Starts(); len(got) != 1 {
+	if got := worker.StartedAttempts(); len(got) != 1 {
 		t.Fatalf("starts: %v", got)
 	}
 }
@@ -96,10 +96,10 @@
 	before := leader.term
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
-	cluster.state.DelayNext() // the old process's record of a placement arrives late
+	cluster.state.DelayNextTransaction() // the old process's record of a placement arrives late
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { // until it is killed, it goes on trying
-		for cluster.state.Late() == 0 {
+		for cluster.state.DelayedCount() == 0 {
 			runtime.Gosched()
 		}
 		cancel()
@@ -112,13 +112,13 @@
 	if oldLeader.term.Token <= before.Token {
 		t.Fatalf("token %d after %d", oldLeader.term.Token, before.Token)
 	}
-	cluster.state.Deliver()
+	cluster.state.DeliverDelayed()
 	if got := cluster.state.Keys(store.PrefixAttempts); len(got) != 0 {
 		t.Errorf("the earlier process's late record was written: %v", got)
 	}
 	heartbeat(t, oldLeader, worker)
 	cluster.settle(oldLeader)
-	if got := worker.Starts(); len(got) != 1 {
+	if got := worker.StartedAttempts(); len(got) != 1 {
 		t.Errorf("starts %v, want one", got)
 	}
 }
@@ -161,7 +161,7 @@
 			t.Errorf("a job that nobody submitted: %d", code)
 		}
 	}
-	if got := worker.Live(); !cmp.Equal(got, []string{"j-1/0", "j-2/0", "j-3/0"}) {
+	if got := worker.LiveTasks(); !cmp.Equal(got, []string{"j-1/0", "j-2/0", "j-3/0"}) {
 		t.Errorf("running: %v", got)
 	}
 }
@@ -187,7 +187,7 @@
 				defer close(done)
 				nodeA.elector.Run(ctx, func(ctx context.Context, term lead.Term) { ready <- term; <-ctx.Done() })
 			}()
-			for cluster.state.Lost() == 0 && cluster.state.Late() == 0 {
+			for cluster.state.LostResponses() == 0 && cluster.state.DelayedCount() == 0 {
 				runtime.Gosched()
 			}
 			before := token()
@@ -203,7 +203,7 @@
 			}
 			cluster.clock.Advance(500 * time.Millisecond)
 			term := <-ready
-			cluster.state.Deliver() // the first attempt, under a lease that was given up
+			cluster.state.DeliverDelayed() // the first attempt, under a lease that was given up
 			var key store.LeadRecord
 			if !cluster.state.Value(store.KeyLead, &key) || key.Node != nodeA.cfg.Node || term.Token <= before || term.Token != token() {
 				t.Fatalf("leads under %d, on record are %d, %d before, and %q", term.Token, token(), before, key.Node)
@@ -219,7 +219,7 @@
 			<-done
 			before = token()
 			leader, _ := cluster.elect(nodeB)
-			cluster.state.Deliver() // the predecessor's raise
+			cluster.state.DeliverDelayed() // the predecessor's raise
 			if leader.term.Token <= before || leader.term.Token != token() {
 				t.Errorf("the next leads under %d, on record are %d, and %d before", leader.term.Token, token(), before)
 			}
@@ -232,7 +232,7 @@
 // what a cancelled task takes counts for ever while its machine reports.
 func TestFencingTokenRaisedAfterDelayedRaise(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
-	worker.KeepNext()
+	worker.HoldNextCommand()
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
 	leader.mu.Lock()
@@ -244,11 +244,11 @@
 	}
 	cluster.resync(leader)
 	before, _ := node.elector.HoldsLease()
-	cluster.state.DelayNext()
+	cluster.state.DelayNextTransaction()
 	if _, err := node.elector.RaiseToken(t.Context()); err == nil {
 		t.Fatal("raised without an answer")
 	}
-	cluster.state.Deliver()
+	cluster.state.DeliverDelayed()
 	for range 12 {
 		cluster.advance(time.Second)
 		heartbeat(t, leader, worker)
@@ -266,8 +266,8 @@
 		t.Errorf("%v cores still count for a cancelled task", used)
 	}
 	leader.mu.Unlock()
-	worker.Deliver()
-	if got := worker.Starts(); len(got) != 0 {
+	worker.DeliverHeldCommands()
+	if got := worker.StartedAttempts(); len(got) != 0 {
 		t.Errorf("started %v after the cancel", got)
 	}
 }
@@ -288,22 +288,22 @@
 				cluster.resync(leader)
 				worker, other := cluster.worker("n-000200", "x", true), cluster.worker("n-000201", "y", true)
 				heartbeat(t, leader, worker)
-				lost := cluster.state.Lost()
+				lost := cluster.state.LostResponses()
 				if late {
-					cluster.state.DelayNext()
+					cluster.state.DelayNextTransaction()
 				} else {
-					cluster.state.LoseAnswers(1)
+					cluster.state.LoseResponses(1)
 				}
 				ctx, end := context.WithCancel(t.Context())
 				done := make(chan struct{})
 				go func() { defer close(done); leader.pass(ctx) }()
-				for cluster.state.Late() == 0 && cluster.state.Lost() == lost {
+				for cluster.state.DelayedCount() == 0 && cluster.state.LostResponses() == lost {
 					runtime.Gosched()
 				}
 				end()
 				<-done
 				stop()
-				if got := worker.Starts(); len(got) != 0 {
+				if got := worker.StartedAttempts(); len(got) != 0 {
 					t.Fatalf("started before that was known to be recorded: %v", got)
 				}
 				leader, _ = cluster.elect(nodeB)
@@ -312,7 +312,7 @@
 				}
 				deliver := func() {
 					before := cluster.state.Keys("")
-					cluster.state.Deliver()
+					cluster.state.DeliverDelayed()
 					if after := cluster.state.Keys(""); !slices.Equal(before, after) {
 						t.Errorf("the earlier leader's late transaction was applied: %v, then %v", before, after)
 					}
@@ -325,8 +325,8 @@
 				heartbeat(t, leader, other)
 				cluster.settle(leader)
 				deliver()
-				if !late && len(other.Starts()) != 0 {
-					t.Errorf("started on another machine than on record: %v", other.Starts())
+				if !late && len(other.StartedAttempts()) != 0 {
+					t.Errorf("started on another machine than on record: %v", other.StartedAttempts())
 				}
 				for range 3 {
 					heartbeat(t, leader, worker)
@@ -334,8 +334,8 @@
 					cluster.settle(leader)
 				}
 				leader.autoscale(t.Context())
-				if got := len(worker.Starts()) + len(other.Starts()); got != pieces || len(worker.Live())+len(other.Live()) != pieces {
-					t.Errorf("starts %v and %v, want %d", worker.Starts(), other.Starts(), pieces)
+				if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != pieces || len(worker.LiveTasks())+len(other.LiveTasks()) != pieces {
+					t.Errorf("starts %v and %v, want %d", worker.StartedAttempts(), other.StartedAttempts(), pieces)
 				}
 				for range 10 { // longer than three times the list's lag
 					cluster.advance(3 * time.Second)
@@ -368,23 +368,23 @@
 	stop()
 	leader, _ = cluster.elect(nodeB)
 	leader.operator.Fleet.Enabled = false // nothing is returned: only the worker itself proves
-	worker.Unreachable(true)
+	worker.SetUnreachable(true)
 	for range 10 {
 		cluster.advance(3 * time.Second)
 		report := worker.Report()
 		leader.Heartbeat(&report) // the answer is lost
 		heartbeat(t, leader, other)
 		cluster.settle(leader)
-		if got := other.Starts(); len(got) != 0 {
+		if got := other.StartedAttempts(); len(got) != 0 {
 			t.Fatalf("started elsewhere while it may run: %v", got)
 		}
 	}
-	worker.Expire()
+	worker.ExpireLease()
 	report := worker.Report()
 	leader.Heartbeat(&report)
 	heartbeat(t, leader, other)
 	cluster.settle(leader)
-	if got := other.Starts(); len(got) != 1 || len(worker.Live()) != 0 {
+	if got := other.StartedAttempts(); len(got) != 1 || len(worker.LiveTasks()) != 0 {
 		t.Errorf("after its session ended: %v started", got)
 	}
 }
@@ -406,7 +406,7 @@
 	last := leader.term.Token
 	for k := 1; k <= 10; k++ {
 		if p := ends[k]; p != "" {
-			worker.End(p, wire.CauseDone)
+			worker.EndTask(p, wire.CauseDone)
 			heartbeat(t, leader, worker)
 			if k != 5 { // this result is not recorded when the leader ends
 				cluster.settle(leader)
@@ -447,7 +447,7 @@
 			}
 		}
 	}
-	if got := worker.Starts(); len(got) != 5 {
+	if got := worker.StartedAttempts(); len(got) != 5 {
 		t.Errorf("starts %v, want each task once", got)
 	}
 }
@@ -470,14 +470,14 @@
 	leader, _ = cluster.elect(cluster.node(nil))
 	heartbeat(t, leader, other)
 	cluster.settle(leader)
-	if got := other.Starts(); len(got) != 0 {
+	if got := other.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("started before the machine on record reported: %v", got)
 	}
-	worker.Expire()
+	worker.ExpireLease()
 	heartbeat(t, leader, worker)
 	heartbeat(t, leader, other)
 	cluster.settle(leader)
-	if got := len(worker.Live()) + len(other.Live()); got != 2 || len(worker.Starts())+len(other.Starts()) != 4 {
-		t.Errorf("%d tasks run, starts %v and %v", got, worker.Starts(), other.Starts())
+	if got := len(worker.LiveTasks()) + len(other.LiveTasks()); got != 2 || len(worker.StartedAttempts())+len(other.StartedAttempts()) != 4 {
+		t.Errorf("%d tasks run, starts %v and %v", got, worker.StartedAttempts(), other.StartedAttempts())
 	}
 }
--- a/failure_attribution_test.go
+++ b/failure_attribution_test.go
@@ -16,7 +16,7 @@
 func TestFailingJobsAndFailingMachine(t *testing.T) {
 	for _, badFirst := range []bool{true, false} {
 		cluster, node, leader, workers := clusterWithWorkers(t, 6, "j-1", "j-2")
-		workers[0].Fail(true)
+		workers[0].FailAllTasks(true)
 		bad := func() {
 			for _, uid := range []string{"j-1", "j-2"} {
 				cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 100, 1, 1 }))
@@ -44,7 +44,7 @@
 		}
 		live := 0
 		for _, worker := range workers[1:] {
-			live += len(worker.Live())
+			live += len(worker.LiveTasks())
 		}
 		if live != 12 {
 			t.Errorf("bad jobs first: %t: %d tasks of the good job run, want 12", badFirst, live)
@@ -118,8 +118,8 @@
 	cluster.resync(leader)
 	cluster.runSeconds(leader, workers, 6)
 	for _, worker := range workers {
-		for _, p := range worker.Live() {
-			worker.End(p, wire.CauseDone)
+		for _, p := range worker.LiveTasks() {
+			worker.EndTask(p, wire.CauseDone)
 		}
 	}
 	cluster.runSeconds(leader, workers, 40)
@@ -156,17 +156,17 @@
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 2 }))
 	cluster.resync(leader)
 	cluster.runSeconds(leader, workers, 6)
-	workers[0].End("j-1/0", wire.CauseDone)
+	workers[0].EndTask("j-1/0", wire.CauseDone)
 	cluster.runSeconds(leader, workers, 3) // the job works
-	workers[0].Fail(true)
-	workers[0].End("j-1/1", wire.CauseError)
+	workers[0].FailAllTasks(true)
+	workers[0].EndTask("j-1/1", wire.CauseError)
 	cluster.runSeconds(leader, workers, 40)
 	if got := quarantined(leader, workers); len(got) != 1 || got[0] != "n-1 failing" {
 		t.Errorf("banned %v, want the machine as sick", got)
 	}
 	workers = append(workers, cluster.worker("n-2", "x", true))
 	cluster.runSeconds(leader, workers, 8)
-	if got := workers[1].Live(); len(got) != 1 {
+	if got := workers[1].LiveTasks(); len(got) != 1 {
 		t.Errorf("on the new machine: %v, want the task that failed", got)
 	}
 }
--- a/fleet_of_four_thousand_test.go
+++ b/fleet_of_four_thousand_test.go
@@ -48,8 +48,8 @@
 	measured := lossMeasurements{Scene: "four thousand machines, 3 back after 6.0 s"}
 	schedule.setup = func(sim *simulation) {
 		sim.rentSmallMachinesOnly()
-		told := sim.cloud.Told
-		sim.cloud.Told = func(what string) { told(what); events.recordCloud(what) }
+		told := sim.cloud.OnChange
+		sim.cloud.OnChange = func(what string) { told(what); events.recordCloud(what) }
 		sim.runAt(loss.lossAtS, func() {
 			if n := sim.bootedMachines(); n < simulatedFleet {
 				t.Errorf("%d machines are up before the loss, want %d", n, simulatedFleet)
@@ -66,7 +66,7 @@
 	lost := loss.lostAt(sim)
 	back := lost.Add(seconds(loss.outageS))
 	measured.Commands = events.count(back, back.Add(recoveryCheckTime))
-	for _, fault := range events.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return sim.views[uid].cancelRequested }) {
+	for _, fault := range events.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return sim.observed.views[uid].cancelRequested }) {
 		t.Error(fault)
 	}
 	if measured.Commands.Rentals > 0 || measured.Commands.Halts > 0 {
--- a/harness_checks_test.go
+++ b/harness_checks_test.go
@@ -36,11 +36,11 @@
 			for _, machine := range w.hostsOf(uid) {
 				for _, p := range liveTasks(machine, uid) {
 					w.mu.Lock()
-					told := w.reportedLate[p]
-					w.reportedLate[p] = true
+					told := w.observed.reportedLate[p]
+					w.observed.reportedLate[p] = true
 					w.mu.Unlock()
 					if !told {
-						w.recordViolation("ran_cancelled", "%s is on %s %v after its user was told that it is cancelled", p, machine.Host.UID, time.Since(since))
+						w.recordViolation("ran_cancelled", "%s is on %s %v after its user was told that it is cancelled", p, machine.Info.UID, time.Since(since))
 					}
 				}
 			}
@@ -54,7 +54,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]time.Time{}
-	for uid, view := range w.views {
+	for uid, view := range w.observed.views {
 		if view.cancelled && time.Since(view.cancelledAt) > w.schedule.timing.cancel {
 			out[uid] = view.cancelledAt
 		}
@@ -65,7 +65,7 @@
 // describeLeaderState tells what the leader thinks of a job and the machines, to explain a
 // breach that was found without it.
 func (w *simulation) describeLeaderState(uid string) string {
-	process := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1))
+	process := w.runningProcess(controllerName(w.leaderIndex()))
 	if process == nil {
 		return "nobody leads"
 	}
@@ -101,7 +101,7 @@
 	for _, submission := range w.schedule.submissions {
 		uid := submission.spec.UID
 		w.mu.Lock()
-		view := *w.views[uid]
+		view := *w.observed.views[uid]
 		w.mu.Unlock()
 		if !view.accepted {
 			continue
@@ -151,7 +151,7 @@
 	zones := map[string]map[string]int{} // of each job's tasks
 	all := w.cloud.Machines()
 	for _, machine := range all {
-		for _, p := range machine.Live() {
+		for _, p := range machine.RunningTasks() {
 			on[p] = true
 			uid, _, _ := strings.Cut(p, "/")
 			spec, _ := w.Job(uid)
@@ -159,14 +159,14 @@
 			if zones[uid] == nil {
 				zones[uid] = map[string]int{}
 			}
-			zones[uid][machine.Host.Zone]++
+			zones[uid][machine.Info.Zone]++
 		}
 	}
 	for _, submission := range w.schedule.submissions {
 		spec := &submission.spec
 		w.mu.Lock()
-		view := *w.views[spec.UID]
-		over := w.remainingTasks[spec.UID] == 0
+		view := *w.observed.views[spec.UID]
+		over := w.observed.remainingTasks[spec.UID] == 0
 		w.mu.Unlock()
 		if limit := w.teamLimit(spec.Team); !view.accepted || view.done || view.cancelled || view.cancelRequested || submission.alwaysFails || limit > 0 && used[spec.Team]+spec.Cores > limit {
 			continue
@@ -174,25 +174,25 @@
 		for i := range spec.Tasks {
 			p := fmt.Sprintf("%s/%d", spec.UID, i)
 			w.mu.Lock()
-			done := w.doneTasks[p] && !over
+			done := w.observed.doneTasks[p] && !over
 			w.mu.Unlock()
 			if done || on[p] {
 				continue
 			}
-			if (rent || (spec.SameZone || spec.Spread) && time.Since(view.lastProgress) > maxGangWait) && len(all) < w.cloud.Most {
+			if (rent || (spec.SameZone || spec.Spread) && time.Since(view.lastProgress) > maxGangWait) && len(all) < w.cloud.MaxMachines {
 				out[p] = append(out[p], "though the cloud rents machines")
 			}
 			for _, machine := range all {
-				host := machine.Host
+				host := machine.Info
 				w.mu.Lock()
-				faulty := w.failingMachines[machine]
+				faulty := w.injected.failsTasks[machine]
 				w.mu.Unlock()
 				z := zones[spec.UID]
 				if spec.SameZone && len(z) > 0 && z[host.Zone] == 0 || spec.Spread && z[host.Zone] >= (spec.Tasks+1)/2 {
 					continue
 				}
 				if !faulty && (spec.Zone == "" || spec.Zone == host.Zone) && (spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, host.Type)) &&
-					(spec.Preemptible || !host.Preemptible) && machine.Room(spec) {
+					(spec.Preemptible || !host.Preemptible) && machine.HasRoom(spec) {
 					out[p] = append(out[p], "while "+host.UID+" has room")
 				}
 			}
@@ -206,7 +206,7 @@
 func (w *simulation) checkAllServed() {
 	for _, submission := range w.schedule.submissions {
 		w.mu.Lock()
-		view := *w.views[submission.spec.UID]
+		view := *w.observed.views[submission.spec.UID]
 		w.mu.Unlock()
 		running := 0
 		for _, n := range w.tasksByZone(submission.spec.UID) {
@@ -231,6 +231,6 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	view := w.views[uid]
-	return view.accepted && !view.cancelRequested && !view.done && w.remainingTasks[uid] > running
+	view := w.observed.views[uid]
+	return view.accepted && !view.cancelRequested && !view.done && w.observed.remainingTasks[uid] > running
 }
--- a/harness_clusters_test.go
+++ b/harness_cluster_setups_test.go
@@ -61,7 +61,7 @@
 	cluster.resync(leader)
 	cluster.settle(leader)
 	heartbeat(t, leader, worker)
-	if got := len(worker.Live()); got != 2 {
+	if got := len(worker.LiveTasks()); got != 2 {
 		t.Fatalf("%d tasks run, want 2", got)
 	}
 	return cluster, nodes, leader, worker
--- a/harness_site_test.go
+++ b/harness_cluster_test.go
@@ -103,7 +103,7 @@
 	if _, err := leader.loadRecords(s.tb.Context()); err != nil {
 		s.tb.Fatal(err)
 	}
-	leader.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: s.cloud.Builds})
+	leader.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: s.cloud.MachineTypes})
 	return leader, stop
 }
 
@@ -111,9 +111,9 @@
 func (s *testCluster) disconnect(node *Service) { s.disconnected[node.cfg.Outside.State].Store(true) }
 
 // worker makes a worker whose /do is served.
-func (s *testCluster) worker(host, zone string, loaned bool) *standin.Worker {
-	worker := standin.NewWorker(host, "", "b", zone, loaned)
-	worker.Beats.Endpoint = s.serve(worker)
+func (s *testCluster) worker(host, zone string, preemptible bool) *standin.Worker {
+	worker := standin.NewWorker(host, "", "b", zone, preemptible)
+	worker.Identity.Endpoint = s.serve(worker)
 	return worker
 }
 
--- a/harness_controllers_test.go
+++ b/harness_controllers_test.go
@@ -19,6 +19,20 @@
 	"cedardoor/wire"
 )
 
+// controllerCount is how many controllers a simulation has.
+const controllerCount = 3
+
+// controllerName returns the name of a controller by its index.
+func controllerName(index int) string { return fmt.Sprintf("node-%d", index+1) }
+
+// controllerNames returns the names of all controllers.
+func controllerNames() (names []string) {
+	for i := range controllerCount {
+		names = append(names, controllerName(i))
+	}
+	return names
+}
+
 // controllerProcess is one process of a controller.
 type controllerProcess struct {
 	*Service
@@ -42,7 +56,7 @@
 // leaderIndex is the place of the controller that leads, or 0.
 func (w *simulation) leaderIndex() int {
 	for i := range 3 {
-		if process := w.runningProcess(fmt.Sprintf("node-%d", i+1)); process != nil {
+		if process := w.runningProcess(controllerName(i)); process != nil {
 			if _, ok := process.elector.HoldsLease(); ok {
 				return i
 			}
@@ -53,7 +67,7 @@
 
 // leaderToken is what the leader was given when it took the lead, or 0.
 func (w *simulation) leaderToken() uint64 {
-	if process := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1)); process != nil {
+	if process := w.runningProcess(controllerName(w.leaderIndex())); process != nil {
 		if leader := process.current.Load(); leader != nil {
 			return leader.term.Token
 		}
@@ -66,7 +80,7 @@
 
 // startController starts a controller as a new process, in the place of an earlier one.
 func (w *simulation) startController(i int) {
-	name := fmt.Sprintf("node-%d", i+1)
+	name := controllerName(i)
 	w.mu.Lock()
 	w.processCount++
 	from := fmt.Sprintf("%s/%d", name, w.processCount)
@@ -75,7 +89,7 @@
 	cfg.Outside.State, cfg.Outside.Cloud = "state:1", "cloud:1"
 	for o := range 3 {
 		if o != i {
-			other := fmt.Sprintf("node-%d", o+1)
+			other := controllerName(o)
 			cfg.Others = append(cfg.Others, config.Node{Node: other, Area: "x", Addr: other + ":90"})
 		}
 	}
@@ -96,7 +110,7 @@
 	dialMutex.Lock()
 	realDial := link.Dial
 	link.Dial = w.network.Dialer(from)
-	node := newService(cfg, operator, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(standin.NewSteady()))
+	node := newService(cfg, operator, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(standin.NewSynctestClock()))
 	link.Dial = realDial
 	dialMutex.Unlock()
 	if w.schedule.newLedger != nil {
--- a/harness_faults_test.go
+++ b/harness_faults_test.go
@@ -13,7 +13,7 @@
 func (w *simulation) activeFault(kind string) (scheduledFault, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, fault := range w.activeFaults {
+	for _, fault := range w.injected.active {
 		if fault.kind == kind {
 			return fault, true
 		}
@@ -45,20 +45,20 @@
 		pairs = append(pairs, [2]string{name, "cloud"})
 	case peerMessagesHeld:
 		for o := range 3 {
-			if other := fmt.Sprintf("node-%d", o+1); other != name {
+			if other := controllerName(o); other != name {
 				pairs = append(pairs, [2]string{name, other})
 			}
 		}
 	case fleetMessagesHeld:
 		for _, machine := range w.cloud.Machines() {
-			pairs = append(pairs, [2]string{name, machine.Host.UID})
+			pairs = append(pairs, [2]string{name, machine.Info.UID})
 		}
 	case workerMessagesHeld:
 		if machine != nil && fault.machine < 4 {
-			pairs = append(pairs, [2]string{name, machine.Host.UID})
+			pairs = append(pairs, [2]string{name, machine.Info.UID})
 		} else if machine != nil { // it is held apart from every controller
 			for o := range 3 {
-				pairs = append(pairs, [2]string{fmt.Sprintf("node-%d", o+1), machine.Host.UID})
+				pairs = append(pairs, [2]string{controllerName(o), machine.Info.UID})
 			}
 		}
 	}
@@ -72,9 +72,9 @@
 	}
 	w.logf("BEGINS %v", fault)
 	w.mu.Lock()
-	w.activeFaults[i] = fault
+	w.injected.active[i] = fault
 	w.mu.Unlock()
-	name := fmt.Sprintf("node-%d", fault.controller+1)
+	name := controllerName(fault.controller)
 	var machine *standin.Machine
 	if all := w.cloud.Machines(); len(all) > 0 {
 		machine = all[fault.machine%len(all)]
@@ -87,20 +87,20 @@
 	case fault.kind == stateRefusesAll:
 		w.state.Refuse("", true)
 		end = func() { w.state.Refuse("", false) }
-	case fault.kind == machineHangs && machine != nil && machine.Up():
+	case fault.kind == machineHangs && machine != nil && machine.IsBooted():
 		w.mu.Lock()
-		w.hangTimes[machine] += fault.duration
+		w.injected.hangTimes[machine] += fault.duration
 		w.mu.Unlock()
-		machine.Hang(true)
-		end = func() { machine.Hang(false) }
+		machine.SetHung(true)
+		end = func() { machine.SetHung(false) }
 	case fault.kind == machineReceivesNothing && machine != nil:
-		machine.Deafen(true)
-		end = func() { machine.Deafen(false) }
+		machine.SetUnreachable(true)
+		end = func() { machine.SetUnreachable(false) }
 	case fault.kind == machineSendsNothing && machine != nil:
 		w.mu.Lock()
-		w.unreachableFrom[machine] = true
+		w.injected.sendsNothing[machine] = true
 		w.mu.Unlock()
-		end = func() { w.mu.Lock(); delete(w.unreachableFrom, machine); w.mu.Unlock() }
+		end = func() { w.mu.Lock(); delete(w.injected.sendsNothing, machine); w.mu.Unlock() }
 	case fault.kind == zoneIsolated:
 		zone := controllerZones[fault.machine%2]
 		w.network.Isolate(zone, true)
@@ -120,21 +120,21 @@
 			}
 		}
 	case fault.kind == workerRestarts && machine != nil:
-		machine.Restart()
+		machine.RestartWorker()
 		w.mu.Lock()
 		delete(w.connections, machine)
 		w.mu.Unlock()
 	case fault.kind == machineFailsTasks && machine != nil:
 		w.mu.Lock()
-		w.failingMachines[machine] = true
+		w.injected.failsTasks[machine] = true
 		w.mu.Unlock()
-	case (fault.kind == spotReclaimedWithNotice || fault.kind == spotReclaimed) && machine != nil && machine.Host.Preemptible:
+	case (fault.kind == spotReclaimedWithNotice || fault.kind == spotReclaimed) && machine != nil && machine.Info.Preemptible:
 		if fault.kind == spotReclaimedWithNotice {
-			machine.Warn(fault.duration)
-			end = func() { w.cloud.Take(machine) }
+			machine.GiveNotice(fault.duration)
+			end = func() { w.cloud.Reclaim(machine) }
 			break
 		}
-		w.cloud.Take(machine)
+		w.cloud.Reclaim(machine)
 	case fault.kind == controllerKilled && process != nil:
 		process.stop()
 		end = func() { w.startController(fault.controller) }
@@ -152,7 +152,7 @@
 				continue
 			}
 			for o := range 3 {
-				other := fmt.Sprintf("node-%d", o+1)
+				other := controllerName(o)
 				if other != name {
 					pairs = append(pairs, [2]string{from, other + ":90"}, [2]string{fmt.Sprintf("%s/%d", other, n+1), name + ":90"})
 				}
@@ -177,16 +177,16 @@
 	case fault.kind == zoneIsolated:
 		key = fault.kind + " " + controllerZones[fault.machine%2]
 	case machine != nil && slices.Contains([]string{machineHangs, machineReceivesNothing, machineSendsNothing}, fault.kind):
-		key = fault.kind + " " + machine.Host.UID
+		key = fault.kind + " " + machine.Info.UID
 	}
 	w.mu.Lock()
-	w.faultCounts[key]++
+	w.injected.counts[key]++
 	w.mu.Unlock()
 	time.Sleep(fault.duration)
 	w.mu.Lock()
-	delete(w.activeFaults, i)
-	w.faultCounts[key]--
-	last := w.faultCounts[key] == 0
+	delete(w.injected.active, i)
+	w.injected.counts[key]--
+	last := w.injected.counts[key] == 0
 	w.mu.Unlock()
 	if last || fault.kind == controllerKilled || fault.kind == spotReclaimedWithNotice {
 		end() // otherwise another of the kind goes on
@@ -209,7 +209,7 @@
 func (w *simulation) crashLeaders(from time.Time, n, times int) {
 	var mu sync.Mutex
 	asked, next := 0, from
-	w.state.Before(func(string) {
+	w.state.BeforeRequest(func(string) {
 		mu.Lock()
 		defer mu.Unlock()
 		if times == 0 || time.Now().Before(next) {
@@ -219,7 +219,7 @@
 			return
 		}
 		asked, times, next = 0, times-1, time.Now().Add(500*time.Millisecond)
-		process := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1))
+		process := w.runningProcess(controllerName(w.leaderIndex()))
 		if process == nil {
 			return
 		}
--- a/harness_guarantees_test.go
+++ b/harness_guarantees_test.go
@@ -52,7 +52,7 @@
 			g.unservedSince[team] = time.Now()
 		}
 		g.simulation.mu.Lock()
-		last := g.simulation.lastTeamStarts[team]
+		last := g.simulation.observed.lastTeamStarts[team]
 		g.simulation.mu.Unlock()
 		if last.After(g.unservedSince[team]) {
 			g.unservedSince[team] = last
@@ -102,7 +102,7 @@
 func playTeamSchedule(t *testing.T, schedule faultSchedule) (broken []string, watch *guaranteeMonitor) {
 	schedule.setup = func(sim *simulation) {
 		for i := range 3 {
-			name := fmt.Sprintf("node-%d", i+1)
+			name := controllerName(i)
 			sim.network.Place(name, name)
 		}
 		watch = newGuaranteeMonitor(sim)
--- a/harness_large_test.go
+++ b/harness_large_test.go
@@ -38,10 +38,7 @@
 
 // rentSmallMachinesOnly lets the cloud have machines for one large task each only.
 func (w *simulation) rentSmallMachinesOnly() {
-	small := largeMachineType
-	small.SKU, small.Cores, small.RAM, small.HourlyPrice, small.SpotPrice = "s", 4, 16, 0.5, 0.2
-	small.BootS, small.FetchGBs, small.CacheGB = 2, 4, 100
-	w.cloud.Builds = []wire.MachineType{small}
+	w.cloud.MachineTypes = []wire.MachineType{smallMachineType()}
 }
 
 // checkLargeServices fails the test unless the replicas of all services that were not
@@ -49,7 +46,7 @@
 func (w *simulation) checkLargeServices(when string) {
 	for _, submission := range w.schedule.submissions {
 		w.mu.Lock()
-		asked := w.views[submission.spec.UID].cancelRequested
+		asked := w.observed.views[submission.spec.UID].cancelRequested
 		w.mu.Unlock()
 		if submission.spec.Kind != wire.KindService || asked {
 			continue
--- a/harness_loopback_test.go
+++ b/harness_loopback_test.go
@@ -87,12 +87,12 @@
 	l := &loopback{simulation: newSimulation(ctx, t, schedule), clientAddresses: map[string]string{}, operatorAddresses: map[string]string{}, platformFiles: map[string]string{}, settingsFiles: map[string]string{},
 		commands: map[string]*exec.Cmd{},
 		http:     &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
-	l.cloud.Boot = l.bootLoopbackMachine
+	l.cloud.BootMachine = l.bootLoopbackMachine
 	cloudAddress := serveLoopback(t, l.cloud)
 	writes := rate.NewLimiter(loopbackWrites, loopbackWrites)
 	nodes := make([]config.Node, *loopbackNodes)
 	for i := range nodes {
-		nodes[i] = config.Node{Node: fmt.Sprintf("node-%d", i+1), Area: "x", Addr: freeAddress(t)}
+		nodes[i] = config.Node{Node: controllerName(i), Area: "x", Addr: freeAddress(t)}
 		l.names = append(l.names, nodes[i].Node)
 		l.clientAddresses[nodes[i].Node], l.operatorAddresses[nodes[i].Node] = freeAddress(t), freeAddress(t)
 	}
@@ -156,19 +156,20 @@
 	return l.names[0]
 }
 
-// bootLoopbackMachine plays a rented machine whose worker talks over loopback.
-func (l *loopback) bootLoopbackMachine(host wire.Machine, b wire.MachineType) *standin.Machine {
-	machine := &standin.Machine{Host: host, Build: b, Report: l.schedule.timing.report, Lease: l.schedule.timing.lease, Nodes: l.names, Ledger: l.simulation, Watch: l.schedule.onEvent,
-		Held: func() time.Duration { return 0 },
-		Beat: func(ctx context.Context, _ *standin.Machine, node string, report wire.Heartbeat) (int, []byte, error) {
+// bootLoopbackMachine runs a rented machine whose worker uses loopback sockets.
+func (l *loopback) bootLoopbackMachine(info wire.Machine, machineType wire.MachineType) *standin.Machine {
+	machine := &standin.Machine{MachineConfig: standin.MachineConfig{Info: info, Type: machineType, ReportInterval: l.schedule.timing.report,
+		LeaseTime: l.schedule.timing.lease, Controllers: l.names, Observer: l.simulation, OnEvent: l.schedule.onEvent,
+		CommandDelay: func() time.Duration { return 0 },
+		SendHeartbeat: func(ctx context.Context, _ *standin.Machine, node string, report wire.Heartbeat) (int, []byte, error) {
 			return l.post(ctx, node, wire.PathHeartbeat, report)
-		}}
+		}}}
 	server := httptest.NewServer(machine)
-	machine.Host.Endpoint = strings.TrimPrefix(server.URL, "http://")
+	machine.Info.Endpoint = strings.TrimPrefix(server.URL, "http://")
 	l.wg.Go(func() {
 		defer server.Close()
 		time.Sleep(time.Second)
-		machine.Begin(l.ctx)
+		machine.Boot(l.ctx)
 		machine.Run()
 	})
 	return machine
--- a/harness_observer_test.go
+++ b/harness_observer_test.go
@@ -14,7 +14,7 @@
 func (w *simulation) Job(uid string) (wire.Spec, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	spec, ok := w.specs[uid]
+	spec, ok := w.observed.specs[uid]
 	return spec, ok
 }
 
@@ -22,7 +22,7 @@
 func (w *simulation) RunTime(piece string) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.doneTasks[piece] {
+	if w.observed.doneTasks[piece] {
 		return 0
 	}
 	uid, _, _ := strings.Cut(piece, "/")
@@ -40,12 +40,12 @@
 	uid, _, _ := strings.Cut(piece, "/")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.doneTasks[piece] {
+	if w.observed.doneTasks[piece] {
 		return
 	}
-	w.doneTasks[piece] = true
-	if w.remainingTasks[uid]--; w.remainingTasks[uid] == 0 {
-		close(w.allTasksDone[uid])
+	w.observed.doneTasks[piece] = true
+	if w.observed.remainingTasks[uid]--; w.observed.remainingTasks[uid] == 0 {
+		close(w.observed.allTasksDone[uid])
 	}
 }
 
@@ -54,34 +54,34 @@
 	uid, _, _ := strings.Cut(piece, "/")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.acceptedBy[uid] == nil {
-		w.acceptedBy[uid] = map[*standin.Machine]bool{}
+	if w.observed.acceptedBy[uid] == nil {
+		w.observed.acceptedBy[uid] = map[*standin.Machine]bool{}
 	}
-	w.acceptedBy[uid][machine] = true
+	w.observed.acceptedBy[uid][machine] = true
 }
 
 // Started implements standin.Ledger: a task's place, its team's limit and its
 // user's cancel are checked at the moment of its start.
 func (w *simulation) Started(machine *standin.Machine, piece string) {
-	w.logf("%s starts on %s", piece, machine.Host.UID)
+	w.logf("%s starts on %s", piece, machine.Info.UID)
 	uid, _, _ := strings.Cut(piece, "/")
 	spec, _ := w.Job(uid)
-	if spec.Zone != "" && spec.Zone != machine.Host.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machine.Host.Type) || !spec.Preemptible && machine.Host.Preemptible {
-		w.recordViolation("wrong_place", "%s on %+v", piece, machine.Host)
+	if spec.Zone != "" && spec.Zone != machine.Info.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machine.Info.Type) || !spec.Preemptible && machine.Info.Preemptible {
+		w.recordViolation("wrong_place", "%s on %+v", piece, machine.Info)
 	}
 	w.mu.Lock()
-	w.views[uid].lastProgress = time.Now()
-	w.lastTeamStarts[spec.Team] = time.Now()
-	if _, began := w.firstStarts[piece]; !began {
-		w.firstStarts[piece] = time.Now()
+	w.observed.views[uid].lastProgress = time.Now()
+	w.observed.lastTeamStarts[spec.Team] = time.Now()
+	if _, began := w.observed.firstStarts[piece]; !began {
+		w.observed.firstStarts[piece] = time.Now()
 	}
 	w.mu.Unlock()
 	zones := map[string]int{} // of this job's tasks
 	for _, other := range w.hostsOf(uid) {
 		for _, p := range liveTasks(other, uid) {
-			zones[other.Host.Zone]++
+			zones[other.Info.Zone]++
 			if p == piece && other != machine {
-				w.recordViolation("ran_twice", "%s starts on %s while on %s", piece, machine.Host.UID, other.Host.UID)
+				w.recordViolation("ran_twice", "%s starts on %s while on %s", piece, machine.Info.UID, other.Info.UID)
 			}
 		}
 	}
@@ -91,14 +91,14 @@
 		}
 	}
 	if spec.SameZone && len(zones) > 1 {
-		w.recordViolation("wrong_place", "%s starts in %s, its job is to be in one zone: %v", piece, machine.Host.Zone, zones)
+		w.recordViolation("wrong_place", "%s starts in %s, its job is to be in one zone: %v", piece, machine.Info.Zone, zones)
 	}
-	if spec.Spread && zones[machine.Host.Zone] > (spec.Tasks+1)/2 {
-		w.recordViolation("wrong_place", "%s starts in %s, its job of %d is to be apart: %v", piece, machine.Host.Zone, spec.Tasks, zones)
+	if spec.Spread && zones[machine.Info.Zone] > (spec.Tasks+1)/2 {
+		w.recordViolation("wrong_place", "%s starts in %s, its job of %d is to be apart: %v", piece, machine.Info.Zone, spec.Tasks, zones)
 	}
 	w.mu.Lock()
-	view := *w.views[uid]
-	hung := w.hangTimes[machine]
+	view := *w.observed.views[uid]
+	hung := w.injected.hangTimes[machine]
 	w.mu.Unlock()
 	if !view.cancelled {
 		return
@@ -129,7 +129,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	uid, _, _ := strings.Cut(piece, "/")
-	return w.failingMachines[machine] || slices.ContainsFunc(w.schedule.submissions, func(submission scheduledSubmission) bool { return submission.alwaysFails && submission.spec.UID == uid })
+	return w.injected.failsTasks[machine] || slices.ContainsFunc(w.schedule.submissions, func(submission scheduledSubmission) bool { return submission.alwaysFails && submission.spec.UID == uid })
 }
 
 // tightLimit is the limit of the team that has one.
@@ -148,12 +148,12 @@
 func (w *simulation) hostsOf(uid string) []*standin.Machine {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Collect(maps.Keys(w.acceptedBy[uid]))
+	return slices.Collect(maps.Keys(w.observed.acceptedBy[uid]))
 }
 
 // liveTasks lists a job's tasks that are on a machine.
 func liveTasks(machine *standin.Machine, uid string) []string {
-	return slices.DeleteFunc(machine.Live(), func(p string) bool { return !strings.HasPrefix(p, uid+"/") })
+	return slices.DeleteFunc(machine.RunningTasks(), func(p string) bool { return !strings.HasPrefix(p, uid+"/") })
 }
 
 // tasksByZone counts the tasks of a job that are on machines, by zone.
@@ -161,7 +161,7 @@
 	zones := map[string]int{}
 	for _, machine := range w.hostsOf(uid) {
 		if n := len(liveTasks(machine, uid)); n > 0 {
-			zones[machine.Host.Zone] += n
+			zones[machine.Info.Zone] += n
 		}
 	}
 	return zones
@@ -197,7 +197,7 @@
 // bootedMachines is how many machines have booted.
 func (w *simulation) bootedMachines() (n int) {
 	for _, machine := range w.cloud.Machines() {
-		if machine.Up() {
+		if machine.IsBooted() {
 			n++
 		}
 	}
--- a/harness_random_test.go
+++ b/harness_random_test.go
@@ -169,7 +169,7 @@
 	r := rand.New(rand.NewPCG(seed, 17))
 	for i := range schedule.faults {
 		if x := &schedule.faults[i]; slices.Contains(holdFaultKinds, x.kind) {
-			x.direction = standin.Out + standin.Way(r.IntN(2))
+			x.direction = standin.Outbound + standin.Direction(r.IntN(2))
 		}
 	}
 	return schedule
--- a/harness_records_test.go
+++ b/harness_records_test.go
@@ -50,7 +50,7 @@
 
 // startTask lets a worker run a task as some earlier leader may have told it to.
 func startTask(worker *standin.Worker, token uint64, task string, attempt uint64) {
-	worker.Take(wire.HeartbeatResponse{Token: token, Commands: []wire.Command{{Verb: wire.VerbRun, Task: task, Attempt: attempt}}})
+	worker.HandleResponse(wire.HeartbeatResponse{Token: token, Commands: []wire.Command{{Verb: wire.VerbRun, Task: task, Attempt: attempt}}})
 }
 
 // forgetEnded lets a worker forget what has ended, as an earlier leader may have told it.
@@ -62,7 +62,7 @@
 			orders = append(orders, wire.Command{Verb: wire.VerbForget, Task: p.Task, Attempt: p.Attempt})
 		}
 	}
-	worker.Take(wire.HeartbeatResponse{Token: token, Commands: orders})
+	worker.HandleResponse(wire.HeartbeatResponse{Token: token, Commands: orders})
 }
 
 // reportUnknownTasks is a report that names so many tasks of jobs that are on nobody's books.
--- a/harness_requests_test.go
+++ b/harness_requests_test.go
@@ -162,6 +162,6 @@
 
 var transactionFaults = []transactionFault{
 	{"none", func(*standin.State) {}},
-	{"answer lost", func(st *standin.State) { st.LoseAnswers(1) }},
-	{"carried out late", func(st *standin.State) { st.DelayNext() }},
+	{"answer lost", func(st *standin.State) { st.LoseResponses(1) }},
+	{"carried out late", func(st *standin.State) { st.DelayNextTransaction() }},
 }
--- a/harness_schedule_test.go
+++ b/harness_schedule_test.go
@@ -69,14 +69,14 @@
 	kind       string
 	at         time.Duration
 	duration   time.Duration
-	controller int           // a controller; 3 stands for whoever leads then
-	machine    int           // a machine, by its place among those that are there
-	delay      time.Duration // how late or slow
-	direction  standin.Way   // in which direction messages are held
+	controller int               // a controller; 3 stands for whoever leads then
+	machine    int               // a machine, by its place among those that are there
+	delay      time.Duration     // how late or slow
+	direction  standin.Direction // in which direction messages are held
 }
 
 func (x scheduledFault) String() string {
-	way := [...]string{standin.BothWays: "", standin.Out: ", out", standin.In: ", in"}[x.direction]
+	way := [...]string{standin.BothDirections: "", standin.Outbound: ", out", standin.Inbound: ", in"}[x.direction]
 	return fmt.Sprintf("%5.1f s for %4.1f s: %s (node %d, machine %d, %v%s)", x.at.Seconds(), x.duration.Seconds(), x.kind, x.controller, x.machine, x.delay, way)
 }
 
--- a/harness_steps_test.go
+++ b/harness_steps_test.go
@@ -33,7 +33,7 @@
 		if !ok {
 			t.Fatalf("beat of %s not answered", report.Machine)
 		}
-		worker.Take(response)
+		worker.HandleResponse(response)
 		leader.mu.Lock()
 		machine := leader.fleet.Machine(report.Machine)
 		trusted := machine == nil || machine.Reported
@@ -85,7 +85,7 @@
 
 func quarantined(leader *leader, workers []*standin.Worker) (out []string) {
 	for _, worker := range workers {
-		if machine := leader.fleet.Machine(worker.Beats.Machine); machine.QuarantineReason != "" {
+		if machine := leader.fleet.Machine(worker.Identity.Machine); machine.QuarantineReason != "" {
 			out = append(out, machine.Name+" "+string(machine.QuarantineReason))
 		}
 	}
@@ -94,7 +94,7 @@
 
 func startCount(workers []*standin.Worker, uid string) (n int) {
 	for _, worker := range workers {
-		for _, k := range worker.Starts() {
+		for _, k := range worker.StartedAttempts() {
 			if strings.HasPrefix(k, uid+"/") {
 				n++
 			}
@@ -124,11 +124,11 @@
 // others look while the leader does not know yet, and then lets it go on.
 func (s *testCluster) loseAnswerDuring(do func(), look func()) {
 	s.tb.Helper()
-	was := s.state.Lost()
-	s.state.LoseAnswers(1)
+	was := s.state.LostResponses()
+	s.state.LoseResponses(1)
 	done := make(chan struct{})
 	go func() { defer close(done); do() }()
-	for s.state.Lost() == was {
+	for s.state.LostResponses() == was {
 		runtime.Gosched()
 	}
 	look()
--- a/harness_total_loss_test.go
+++ b/harness_total_loss_test.go
@@ -54,7 +54,7 @@
 	defer h.mu.Unlock()
 	within := func(at time.Time) bool { return !at.Before(from) && at.Before(to) }
 	for _, event := range h.events {
-		if event.Kind != standin.EventOrdered || !within(event.At) {
+		if event.Kind != standin.EventCommand || !within(event.At) {
 			continue
 		}
 		switch event.Verb {
@@ -108,7 +108,7 @@
 		within := !event.At.Before(from) && event.At.Before(to)
 		here := jobOnMachine{event.Machine, uid}
 		switch {
-		case event.Kind == standin.EventOrdered && event.Verb == wire.VerbStop && event.Live:
+		case event.Kind == standin.EventCommand && event.Verb == wire.VerbStop && event.Live:
 			returned, gone := h.returns[event.Machine]
 			drained := gone && returned.Sub(event.At) < maxDrainTime && event.At.Sub(back) > minKeepTime
 			moved[event.Task] = cancelled(uid) || on[here] > 1 || drained
@@ -116,7 +116,7 @@
 				faults = append(faults, fmt.Sprintf("%s attempt %d on %s is stopped without a cause", event.Task, event.Attempt, event.Machine))
 			}
 		case event.Kind == standin.EventEnded:
-			if within && event.Cause == standin.CauseGone && !cancelled(uid) {
+			if within && event.Cause == standin.CauseMachineRemoved && !cancelled(uid) {
 				faults = append(faults, fmt.Sprintf("%s attempt %d is on %s when that is returned", event.Task, event.Attempt, event.Machine))
 			}
 			if _, over := ended[event.Task]; !over && ran[event.Task] {
@@ -125,7 +125,7 @@
 			ended[event.Task] = event.Cause
 		case event.Kind == standin.EventStarted:
 			why, over := ended[event.Task]
-			lost := over && (why == standin.CauseLapsed || why == standin.CauseGone || why == wire.CauseStopped && moved[event.Task])
+			lost := over && (why == standin.CauseLeaseExpired || why == standin.CauseMachineRemoved || why == wire.CauseStopped && moved[event.Task])
 			if within && ran[event.Task] && !lost {
 				faults = append(faults, fmt.Sprintf("%s attempt %d starts on %s, though its run before was not lost: %q", event.Task, event.Attempt, event.Machine, why))
 			}
@@ -192,8 +192,8 @@
 		schedule.faults = append(schedule.faults, scheduledFault{kind: controllerKilled, at: seconds(x.lossAtS), duration: away, controller: node})
 	}
 	schedule.setup = func(sim *simulation) {
-		note := sim.cloud.Told
-		sim.cloud.Told = func(what string) { note(what); events.recordCloud(what) }
+		note := sim.cloud.OnChange
+		sim.cloud.OnChange = func(what string) { note(what); events.recordCloud(what) }
 	}
 	return schedule
 }
@@ -244,7 +244,7 @@
 		}
 		sim.shutDown(cancel)
 		lost := loss.lostAt(sim)
-		broken = append(sim.violations, events.violations(lost, lost.Add(seconds(loss.outageS)), lost.Add(seconds(loss.outageS)+recoveryCheckTime), func(uid string) bool { return sim.views[uid].cancelRequested })...)
+		broken = append(sim.violations, events.violations(lost, lost.Add(seconds(loss.outageS)), lost.Add(seconds(loss.outageS)+recoveryCheckTime), func(uid string) bool { return sim.observed.views[uid].cancelRequested })...)
 		figures.Commands = events.count(lost.Add(seconds(loss.outageS)), lost.Add(seconds(loss.outageS)+recoveryCheckTime))
 		if t.Failed() || len(broken) > 0 && lose == nil {
 			t.Logf("history:\n%s", strings.Join(sim.history, "\n"))
@@ -257,13 +257,13 @@
 func (w *simulation) measureLoss(loss totalLoss, events *eventLog, measured *lossMeasurements) {
 	back := loss.lostAt(w).Add(seconds(loss.outageS))
 	time.Sleep(time.Until(back))
-	requests, changes := w.state.Requests(), w.state.Puts()
+	requests, changes := w.state.RequestCount(), w.state.ChangeCount()
 	const step = 250 * time.Millisecond
 	for w.ctx.Err() == nil && time.Since(back) < 60*time.Second && measured.AllGoingS == 0 {
 		time.Sleep(step)
 		since := time.Since(back).Seconds()
 		var report recovery.Report
-		if process := w.runningProcess(fmt.Sprintf("node-%d", w.leaderIndex()+1)); process != nil {
+		if process := w.runningProcess(controllerName(w.leaderIndex())); process != nil {
 			if leader := process.current.Load(); leader != nil {
 				report, _ = leader.recoveryReport()
 			}
@@ -281,14 +281,14 @@
 			}
 			if run == want {
 				measured.AllGoingS = since
-				measured.StateRequests, measured.StateChanges = w.state.Requests()-requests, w.state.Puts()-changes
+				measured.StateRequests, measured.StateChanges = w.state.RequestCount()-requests, w.state.ChangeCount()-changes
 			}
 		}
 	}
 	events.mu.Lock()
 	defer events.mu.Unlock()
 	for _, event := range events.events {
-		if event.Kind == standin.EventOrdered && event.At.After(back) {
+		if event.Kind == standin.EventCommand && event.At.After(back) {
 			measured.FirstOrderS = event.At.Sub(back).Seconds()
 			break
 		}
--- a/harness_transport_test.go
+++ b/harness_transport_test.go
@@ -66,7 +66,7 @@
 	}
 	done := make(chan answer, 1)
 	w.wg.Go(func() {
-		late := w.network.Held(from, node)
+		late := w.network.IsHeld(from, node)
 		w.network.Await(w.ctx, from, node)
 		status, encoded, err := w.serveByProcess(w.ctx, process, method, path, body)
 		if late {
@@ -92,7 +92,7 @@
 	if open != nil && (open.name != node || w.runningProcess(node) != open) {
 		open = nil
 	}
-	status, body, err := w.exchangeBuffered(ctx, open, machine.Host.UID, node, http.MethodPost, wire.PathHeartbeat, encoded)
+	status, body, err := w.exchangeBuffered(ctx, open, machine.Info.UID, node, http.MethodPost, wire.PathHeartbeat, encoded)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.connections, machine)
@@ -119,7 +119,7 @@
 			case <-w.ctx.Done():
 				return
 			}
-			for _, n := range machine.Nodes { // whoever leads then takes it in; its answer finds nobody
+			for _, n := range machine.Controllers { // whoever leads then takes it in; its answer finds nobody
 				_, _, _ = w.serveRequest(w.ctx, n, http.MethodPost, wire.PathHeartbeat, encoded)
 			}
 		})
@@ -133,28 +133,28 @@
 					return
 				}
 			}
-			for _, n := range machine.Nodes {
+			for _, n := range machine.Controllers {
 				_, _, _ = w.serveRequest(w.ctx, n, http.MethodPost, wire.PathHeartbeat, encoded)
 			}
 		})
 	}
-	time.Sleep(w.latency(machine.Host.UID, node))
+	time.Sleep(w.latency(machine.Info.UID, node))
 	w.mu.Lock()
-	mute := w.unreachableFrom[machine]
+	mute := w.injected.sendsNothing[machine]
 	w.mu.Unlock()
-	if mute || w.network.Cut(machine.Host.UID, node) {
+	if mute || w.network.IsCut(machine.Info.UID, node) {
 		return 0, nil, errNoResponse
 	}
 	if w.schedule.buffersMessages {
 		status, body, err := w.sendBufferedHeartbeat(ctx, machine, node, encoded)
-		if machine.Deaf() || w.network.Cut(node, machine.Host.UID) {
+		if machine.IsUnreachable() || w.network.IsCut(node, machine.Info.UID) {
 			return 0, nil, errNoResponse
 		}
 		return status, body, err
 	}
 	status, body, err := w.serveRequest(ctx, node, http.MethodPost, wire.PathHeartbeat, encoded)
-	time.Sleep(w.latency(node, machine.Host.UID))
-	if machine.Deaf() || w.network.Cut(node, machine.Host.UID) {
+	time.Sleep(w.latency(node, machine.Info.UID))
+	if machine.IsUnreachable() || w.network.IsCut(node, machine.Info.UID) {
 		return 0, nil, errNoResponse
 	}
 	return status, body, err
--- a/harness_users_test.go
+++ b/harness_users_test.go
@@ -15,10 +15,10 @@
 func (w *simulation) request(node int, method, path, uid string, body []byte) (int, wire.JobStatus) {
 	name := fmt.Sprintf("node-%d", node%3+1)
 	w.mu.Lock()
-	view := w.views[uid]
+	view := w.observed.views[uid]
 	if view == nil {
 		view = &jobView{}
-		w.views[uid] = view
+		w.observed.views[uid] = view
 	}
 	if method == http.MethodPost {
 		if strings.HasSuffix(path, wire.SuffixCancel) {
@@ -32,7 +32,7 @@
 	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 	defer cancel()
 	time.Sleep(w.latency("user", name))
-	if w.network.Cut("user", name) {
+	if w.network.IsCut("user", name) {
 		return 0, wire.JobStatus{}
 	}
 	var status int
@@ -49,7 +49,7 @@
 		status, encoded, err = w.serveRequest(ctx, name, method, path, body)
 		time.Sleep(w.latency(name, "user"))
 	}
-	if w.network.Cut(name, "user") {
+	if w.network.IsCut(name, "user") {
 		return 0, wire.JobStatus{}
 	}
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	w.logf("%s %s at %s: %d %s", method, path, name, status, v.Status)
 	w.mu.Lock()
-	all := w.remainingTasks[uid] == 0
+	all := w.observed.remainingTasks[uid] == 0
 	submitted := view.submitted
 	cancels := view.cancelRequested
 	w.mu.Unlock()
@@ -129,7 +129,7 @@
 			switch {
 			case submission.cancelOnDone:
 				select {
-				case <-w.allTasksDone[uid]:
+				case <-w.observed.allTasksDone[uid]:
 				case <-w.ctx.Done():
 					return
 				}
--- a/heartbeat_test.go
+++ b/heartbeat_test.go
@@ -60,15 +60,15 @@
 	}
 	heartbeat(t, newLeader, other)
 	cluster.settle(newLeader)
-	if len(other.Starts()) != 0 {
-		t.Fatalf("started elsewhere on the word of a late copy: %v", other.Starts())
+	if len(other.StartedAttempts()) != 0 {
+		t.Fatalf("started elsewhere on the word of a late copy: %v", other.StartedAttempts())
 	}
 	heartbeat(t, newLeader, worker)
 	cluster.settle(newLeader)
 	deliverReport(t, newLeader, old)
 	cluster.settle(newLeader)
-	if len(worker.Starts())+len(other.Starts()) != 1 {
-		t.Errorf("starts %v and %v", worker.Starts(), other.Starts())
+	if len(worker.StartedAttempts())+len(other.StartedAttempts()) != 1 {
+		t.Errorf("starts %v and %v", worker.StartedAttempts(), other.StartedAttempts())
 	}
 }
 
@@ -107,11 +107,11 @@
 	cluster.resync(leader)
 	cluster.settle(leader)
 	copies = append(copies, worker.Report()) // the first attempt, in the first session
-	worker.Expire()
+	worker.ExpireLease()
 	heartbeat(t, leader, worker)
 	copies = append(copies, worker.Report()) // nothing there, in the second session
 	cluster.settle(leader)
-	if got := worker.Starts(); len(got) != 2 {
+	if got := worker.StartedAttempts(); len(got) != 2 {
 		t.Fatalf("starts %v", got)
 	}
 	stop()
@@ -139,7 +139,7 @@
 		}
 		heartbeat(t, leader, other)
 		cluster.settle(leader)
-		if got := append(worker.Starts(), other.Starts()...); len(got) != 2 {
+		if got := append(worker.StartedAttempts(), other.StartedAttempts()...); len(got) != 2 {
 			t.Fatalf("started on the word of old reports: %v", got)
 		}
 	}
@@ -154,7 +154,7 @@
 			cluster.settle(leader)
 			heartbeat(t, leader, other)
 		}
-		if got := append(worker.Live(), other.Live()...); !slices.Equal(got, []string{"j-2/0"}) {
+		if got := append(worker.LiveTasks(), other.LiveTasks()...); !slices.Equal(got, []string{"j-2/0"}) {
 			t.Errorf("on the machines %v after the worker itself reported", got)
 		}
 		return
@@ -168,7 +168,7 @@
 		t.Errorf("after copies came behind newer reports: session %d, trusted %t, %d tasks", machine.Incarnation, machine.Reported, machine.LiveCount())
 	}
 	leader.mu.Unlock()
-	if got := worker.Live(); !slices.Equal(got, []string{"j-1/0"}) {
+	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0"}) {
 		t.Errorf("on the machine %v", got)
 	}
 	if _, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
--- a/internal/standin/clock.go
+++ b/internal/standin/clock.go
@@ -7,17 +7,17 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Steady is the real clock for services on virtual time. Its channels are fed by
+// SynctestClock is the real clock for services in a synctest bubble. Its channels are fed by
 // functions: under the race detector, Go 1.26 crashes in a synctest bubble when a
 // timer is due as it is made, or was due before a goroutine looks at its channel
 // (the runtime runs it on the system stack, without a context of the detector's).
-type Steady struct{ clockwork.Clock }
+type SynctestClock struct{ clockwork.Clock }
 
-// NewSteady makes a Steady clock.
-func NewSteady() Steady { return Steady{clockwork.NewRealClock()} }
+// NewSynctestClock returns a SynctestClock.
+func NewSynctestClock() SynctestClock { return SynctestClock{clockwork.NewRealClock()} }
 
 // After implements clockwork.Clock.
-func (Steady) After(d time.Duration) <-chan time.Time {
+func (SynctestClock) After(d time.Duration) <-chan time.Time {
 	ch := make(chan time.Time, 1)
 	if d <= 0 {
 		ch <- time.Now()
@@ -28,7 +28,7 @@
 }
 
 // NewTicker implements clockwork.Clock.
-func (Steady) NewTicker(d time.Duration) clockwork.Ticker {
+func (SynctestClock) NewTicker(d time.Duration) clockwork.Ticker {
 	t := &ticker{every: d, ch: make(chan time.Time, 1), start: make(chan struct{})}
 	t.timer = time.AfterFunc(d, t.tick)
 	close(t.start)
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"net/http"
+	"slices"
 	"sync"
 
 	"cedardoor/wire"
@@ -11,36 +12,36 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Cloud rents machines that never boot; tests bring workers of their own.
+// Cloud is a cloud whose machines never boot; tests run workers of their own. Its
+// exported fields are set while no request is under way.
 type Cloud struct {
-	mu       sync.Mutex // guards all below
-	Builds   []wire.MachineType
-	hires    map[string][]string
-	hosts    []wire.Machine
-	Trouble  bool // answers 503 to everything
-	Full     bool // has no capacity
-	LoseNext bool // executes the next rental without an answer
-	asked    []wire.RentRequest
-	returns  [][]string
+	mu               sync.Mutex // guards the fields below
+	MachineTypes     []wire.MachineType
+	Unavailable      bool // responds 503 to everything
+	LoseNextResponse bool // executes the next rental without a response
+	machines         []wire.Machine
+	rentals          map[string][]string // names of the machines, by the ID of the request
+	rentalRequests   []wire.RentRequest
+	returns          [][]string
 }
 
-// NewCloud makes a cloud with one machine type in the given zones.
-func NewCloud(builds ...wire.MachineType) *Cloud {
-	return &Cloud{Builds: builds, hires: map[string][]string{}}
+// NewCloud returns a cloud with the given machine types.
+func NewCloud(machineTypes ...wire.MachineType) *Cloud {
+	return &Cloud{MachineTypes: machineTypes, rentals: map[string][]string{}}
 }
 
-// Hosts lists the machines now rented.
-func (c *Cloud) Hosts() []wire.Machine {
+// Machines lists the rented machines.
+func (c *Cloud) Machines() []wire.Machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]wire.Machine(nil), c.hosts...)
+	return append([]wire.Machine(nil), c.machines...)
 }
 
-// Asked lists every rental request.
-func (c *Cloud) Asked() []wire.RentRequest {
+// RentalRequests lists every rental request.
+func (c *Cloud) RentalRequests() []wire.RentRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]wire.RentRequest(nil), c.asked...)
+	return append([]wire.RentRequest(nil), c.rentalRequests...)
 }
 
 // Returns lists the names in each request to return machines.
@@ -50,57 +51,52 @@
 	return append([][]string(nil), c.returns...)
 }
 
-// ServeHTTP is the cloud's interface.
+// ServeHTTP serves the cloud's interface.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.Trouble {
-		reply(w, http.StatusServiceUnavailable, wire.Error{Error: "trouble"})
+	if c.Unavailable {
+		writeResponse(w, http.StatusServiceUnavailable, wire.Error{Error: "trouble"})
 		return
 	}
 	switch {
 	case r.URL.Path == wire.PathCatalog:
-		reply(w, http.StatusOK, wire.Catalog{MachineTypes: c.Builds})
+		writeResponse(w, http.StatusOK, wire.Catalog{MachineTypes: c.MachineTypes})
 	case r.URL.Path == wire.PathReturn:
-		var q wire.MachineNames
-		_ = msgpack.Unmarshal(body, &q)
-		c.returns = append(c.returns, q.Names)
-		gone := map[string]bool{}
-		for _, h := range q.Names {
-			gone[h] = true
-		}
-		var left []wire.Machine
-		for _, h := range c.hosts {
-			if !gone[h.UID] {
-				left = append(left, h)
-			}
-		}
-		c.hosts = left
-		reply(w, http.StatusOK, struct{}{})
+		var request wire.MachineNames
+		_ = msgpack.Unmarshal(body, &request)
+		c.returns = append(c.returns, request.Names)
+		c.machines = slices.DeleteFunc(c.machines, func(machine wire.Machine) bool { return slices.Contains(request.Names, machine.UID) })
+		writeResponse(w, http.StatusOK, struct{}{})
 	case r.Method == http.MethodGet:
-		reply(w, http.StatusOK, wire.MachinePage{Machines: append([]wire.Machine{}, c.hosts...)})
+		writeResponse(w, http.StatusOK, wire.MachinePage{Machines: append([]wire.Machine{}, c.machines...)})
 	default:
-		var q wire.RentRequest
-		_ = msgpack.Unmarshal(body, &q)
-		c.asked = append(c.asked, q)
-		names, known := c.hires[q.RequestID]
-		if !known {
-			if c.Full {
-				reply(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
-				return
-			}
-			for range q.Count {
-				name := fmt.Sprintf("n-%06d", len(c.hosts)+100)
-				c.hosts = append(c.hosts, wire.Machine{UID: name, Endpoint: "127.0.0.1:1", Type: q.MachineType, Zone: q.Zone, Preemptible: q.Preemptible, Status: wire.MachineBooting})
-				names = append(names, name)
-			}
-			c.hires[q.RequestID] = names
-		}
-		if c.LoseNext {
-			c.LoseNext = false
+		var request wire.RentRequest
+		_ = msgpack.Unmarshal(body, &request)
+		c.rentalRequests = append(c.rentalRequests, request)
+		names := c.rent(request)
+		if c.LoseNextResponse {
+			c.LoseNextResponse = false
 			panic(http.ErrAbortHandler)
 		}
-		reply(w, http.StatusOK, wire.MachineNames{Names: names})
+		writeResponse(w, http.StatusOK, wire.MachineNames{Names: names})
+	}
+}
+
+// rent rents the requested machines, or names those that it has rented for the same
+// request. The caller holds mu.
+func (c *Cloud) rent(request wire.RentRequest) []string {
+	names, known := c.rentals[request.RequestID]
+	if known {
+		return names
+	}
+	for range request.Count {
+		name := fmt.Sprintf("n-%06d", len(c.machines)+100)
+		c.machines = append(c.machines, wire.Machine{UID: name, Endpoint: "127.0.0.1:1", Type: request.MachineType, Zone: request.Zone,
+			Preemptible: request.Preemptible, Status: wire.MachineBooting})
+		names = append(names, name)
 	}
+	c.rentals[request.RequestID] = names
+	return names
 }
--- /dev/null
+++ b/internal/standin/simulated_cloud.go
@@ -0,0 +1,224 @@
+package standin
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"slices"
+	"strconv"
+	"sync"
+	"time"
+
+	"cedardoor/wire"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// SimulatedCloud is a cloud whose machines boot and run by themselves.
+type SimulatedCloud struct {
+	MachineTypes []wire.MachineType
+	MaxMachines  int
+	// ListLag returns how old a list of the machines is that is requested now. Nil: not at all.
+	ListLag func() time.Duration
+	// RentalFault returns what happens to a rental that is requested now: it is refused, or its
+	// response is delayed, and lost when that is longer than the caller waits. Nil: nothing.
+	RentalFault func() (refused bool, delay time.Duration)
+	// ExecutionDelay returns how long after the request a rental or return is executed;
+	// the caller may have given up by then. Nil: at once.
+	ExecutionDelay func(path string) time.Duration
+	// OnRental is called for every request for machines, with the caller's name. It may be nil.
+	OnRental func(caller string, request wire.RentRequest)
+	// OnChange is called with a description of each rental and return.
+	OnChange func(what string)
+	// BootMachine boots a machine; it is called when the machine is rented.
+	BootMachine func(info wire.Machine, machineType wire.MachineType) *Machine
+
+	mu        sync.Mutex          // guards the fields below
+	rentals   map[string][]string // names of the machines, by the ID of the request
+	machines  []wire.Machine
+	history   []listing // oldest first
+	byName    map[string]*Machine
+	nameCount int
+}
+
+// listing is what the cloud's list was from a moment on.
+type listing struct {
+	from     time.Time
+	machines []wire.Machine
+}
+
+// recordListing adds the list as it is now to the history. The caller holds mu.
+func (c *SimulatedCloud) recordListing() {
+	c.history = append(c.history, listing{time.Now(), slices.Clone(c.machines)})
+}
+
+// Reclaim removes a spot machine, with everything on it.
+func (c *SimulatedCloud) Reclaim(m *Machine) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.machines = slices.DeleteFunc(c.machines, func(host wire.Machine) bool { return host.UID == m.Info.UID })
+	c.recordListing()
+	m.Remove()
+	c.OnChange("took " + m.Info.UID)
+}
+
+// listedMachines returns the list as it was ListLag ago. The caller holds mu.
+func (c *SimulatedCloud) listedMachines() (at time.Time, hosts []wire.Machine) {
+	at = time.Now()
+	if c.ListLag == nil {
+		return at, c.machines
+	}
+	at = at.Add(-c.ListLag())
+	for _, l := range c.history {
+		if !l.from.After(at) {
+			hosts = l.machines
+		}
+	}
+	return at, hosts
+}
+
+// Machines lists the rented machines in the order of their names.
+func (c *SimulatedCloud) Machines() []*Machine {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var out []*Machine
+	for _, host := range c.machines {
+		out = append(out, c.byName[host.UID])
+	}
+	return out
+}
+
+// ServeHTTP serves the cloud's interface.
+func (c *SimulatedCloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return
+	}
+	if r.Method == http.MethodPost && c.ExecutionDelay != nil {
+		if delay := c.ExecutionDelay(r.URL.Path); delay > 0 {
+			c.serveDelayed(w, r, body, delay)
+			return
+		}
+	}
+	rental := r.Method == http.MethodPost && r.URL.Path != wire.PathReturn
+	if rental && c.RentalFault != nil {
+		refused, delay := c.RentalFault()
+		if refused {
+			writeResponse(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
+			return
+		}
+		if delay > 0 {
+			status, body := c.handle(r, body)
+			select {
+			case <-time.After(delay):
+				writeResponse(w, status, body)
+			case <-r.Context().Done():
+				panic(http.ErrAbortHandler)
+			}
+			return
+		}
+	}
+	status, result := c.handle(r, body)
+	writeResponse(w, status, result)
+}
+
+// serveDelayed executes a request after a delay, whether or not the caller still waits.
+func (c *SimulatedCloud) serveDelayed(w http.ResponseWriter, r *http.Request, body []byte, delay time.Duration) {
+	done := make(chan response, 1)
+	time.AfterFunc(delay, func() {
+		status, result := c.handle(r, body)
+		done <- response{status, result}
+	})
+	select {
+	case response := <-done:
+		writeResponse(w, response.status, response.body)
+	case <-r.Context().Done():
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// handle executes a request.
+func (c *SimulatedCloud) handle(r *http.Request, body []byte) (status int, result any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	switch {
+	case r.URL.Path == wire.PathCatalog:
+		return http.StatusOK, wire.Catalog{MachineTypes: c.MachineTypes}
+	case r.URL.Path == wire.PathReturn:
+		var request wire.MachineNames
+		_ = msgpack.Unmarshal(body, &request)
+		c.remove(request.Names)
+		return http.StatusOK, struct{}{}
+	case r.Method == http.MethodGet:
+		return http.StatusOK, c.page(r.URL.Query())
+	}
+	var request wire.RentRequest
+	_ = msgpack.Unmarshal(body, &request)
+	if c.OnRental != nil {
+		c.OnRental(Caller(r), request)
+	}
+	return c.rent(request)
+}
+
+// remove removes machines that are returned. The caller holds mu.
+func (c *SimulatedCloud) remove(names []string) {
+	c.machines = slices.DeleteFunc(c.machines, func(machine wire.Machine) bool {
+		if !slices.Contains(names, machine.UID) {
+			return false
+		}
+		c.byName[machine.UID].Remove()
+		c.OnChange("returned " + machine.UID)
+		return true
+	})
+	c.recordListing()
+}
+
+// rent rents as many of the requested machines as there is capacity for, or names those
+// that it has rented for the same request. The caller holds mu.
+func (c *SimulatedCloud) rent(request wire.RentRequest) (status int, result any) {
+	names, known := c.rentals[request.RequestID]
+	if known {
+		return http.StatusOK, wire.MachineNames{Names: names}
+	}
+	index := slices.IndexFunc(c.MachineTypes, func(machineType wire.MachineType) bool { return machineType.SKU == request.MachineType })
+	capacity := min(request.Count, c.MaxMachines-len(c.machines))
+	c.OnChange(fmt.Sprintf("asked for %+v, room for %d", request, capacity))
+	if index < 0 || capacity <= 0 {
+		return http.StatusServiceUnavailable, wire.Error{Error: "no capacity"}
+	}
+	if c.rentals == nil {
+		c.rentals, c.byName = map[string][]string{}, map[string]*Machine{}
+	}
+	for range capacity {
+		c.nameCount++
+		name := fmt.Sprintf("n-%06d", c.nameCount)
+		machine := wire.Machine{UID: name, Endpoint: name + ":9000", Type: request.MachineType, Zone: request.Zone, Preemptible: request.Preemptible, Status: wire.MachineBooting}
+		c.machines = append(c.machines, machine)
+		c.byName[name] = c.BootMachine(machine, c.MachineTypes[index])
+		names = append(names, name)
+	}
+	c.rentals[request.RequestID] = names
+	c.recordListing()
+	return http.StatusOK, wire.MachineNames{Names: names}
+}
+
+// page returns one page of the list. The caller holds mu.
+func (c *SimulatedCloud) page(q url.Values) (page wire.MachinePage) {
+	limit, _ := strconv.Atoi(q.Get("limit"))
+	at, hosts := c.listedMachines()
+	for _, host := range hosts {
+		if host.UID <= q.Get("since") {
+			continue
+		}
+		if len(page.Machines) == limit {
+			page.HasNext = true
+			break
+		}
+		if m := c.byName[host.UID]; m.bootedBy(at) {
+			host.Status = wire.MachineRunning
+		}
+		page.Machines = append(page.Machines, host)
+	}
+	return page
+}
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -1,14 +1,9 @@
-// Package standin plays the platform for tests: a state service, a cloud and
-// workers, with answers that are lost and commands that arrive late.
 package standin
 
 import (
 	"fmt"
-	"io"
 	"net/http"
-	"slices"
 	"sort"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -19,130 +14,179 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// State is a state service.
+// State is a state service in memory, with faults that tests inject.
 type State struct {
-	clk clockwork.Clock
+	clock clockwork.Clock
+
+	mu        sync.Mutex // guards the fields below
+	revision  uint64
+	rows      map[string]wire.Row
+	leases    map[uint64]*lease
+	history   []historyEntry
+	compacted uint64        // the revision that the history begins after
+	changed   chan struct{} // closed at every change
+	applied   []wire.Txn
+	faults    stateFaults
+	counts    stateCounts
+}
 
-	mu      sync.Mutex // guards all below
-	epoch   uint64
-	rows    map[string]wire.Row
-	holds   map[uint64]*hold
-	log     []entry
-	oldest  uint64
-	change  chan struct{}
-	refuse  map[string]bool
-	lose    int
-	late    []wire.Txn
-	past    []wire.Txn
-	delay   bool
-	puts    int
-	tooMany int // transactions refused for their size
-	asked   int
-	stall   chan struct{}
-	before  func(path string)
-	lost    int
-	served  chan struct{} // closed when the nodes that are refused change
+// stateFaults are the faults that tests have injected into a state service.
+type stateFaults struct {
+	refused         map[string]bool // nodes that get 503; "" for all
+	refusalChanged  chan struct{}   // closed when refused changes
+	responsesToLose int             // transactions that are executed without a response
+	delayNext       bool            // the next transaction is delayed
+	delayed         []wire.Txn
+	stalled         chan struct{} // if not nil, requests wait until it is closed
+	beforeRequest   func(path string)
 }
 
-// maxOps is how many changes a transaction may hold, and a quarter of its conditions.
-const maxOps = 24
+// stateCounts counts what a state service has done.
+type stateCounts struct {
+	requests      int
+	changes       int
+	oversized     int // transactions refused for their size
+	lostResponses int
+}
 
-// TooMany is how many transactions were refused for their size.
-func (s *State) TooMany() int { s.mu.Lock(); defer s.mu.Unlock(); return s.tooMany }
+// maxOperations is how many changes a transaction may hold, and a quarter of its conditions.
+const maxOperations = 24
 
-type hold struct {
+// lease is a lease that keys may belong to.
+type lease struct {
 	ttl time.Duration
 	end time.Time
 }
 
-type entry struct {
-	epoch uint64
-	ev    wire.Event
+// historyEntry is a change in the history that watches read.
+type historyEntry struct {
+	revision uint64
+	event    wire.Event
 }
 
-// NewState makes an empty state service whose holds run on the given clock.
-func NewState(clk clockwork.Clock) *State {
-	return &State{clk: clk, rows: map[string]wire.Row{}, holds: map[uint64]*hold{}, refuse: map[string]bool{}, change: make(chan struct{}), served: make(chan struct{})}
+// NewState returns an empty state service whose leases run on the given clock.
+func NewState(clock clockwork.Clock) *State {
+	return &State{clock: clock, rows: map[string]wire.Row{}, leases: map[uint64]*lease{}, changed: make(chan struct{}),
+		faults: stateFaults{refused: map[string]bool{}, refusalChanged: make(chan struct{})}}
 }
 
-// Refuse makes the service answer 503 to a node, or to all for "".
-func (s *State) Refuse(node string, yes bool) {
+// Refuse makes the service respond 503 to a node, or to all for "", or no longer.
+func (s *State) Refuse(node string, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refuse[node] = yes
-	close(s.served)
-	s.served = make(chan struct{})
-	if !yes && node == "" {
+	s.faults.refused[node] = refused
+	close(s.faults.refusalChanged)
+	s.faults.refusalChanged = make(chan struct{})
+	if !refused && node == "" {
 		// After an outage every lease has its full time again.
-		for _, h := range s.holds {
-			h.end = s.clk.Now().Add(h.ttl)
+		for _, lease := range s.leases {
+			lease.end = s.clock.Now().Add(lease.ttl)
 		}
 	}
 }
 
-// LoseAnswers makes the service execute the next n transactions without answering.
-func (s *State) LoseAnswers(n int) { s.mu.Lock(); defer s.mu.Unlock(); s.lose = n }
+// LoseResponses makes the service execute the next n transactions without a response.
+func (s *State) LoseResponses(n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.faults.responsesToLose = n
+}
 
-// DelayNext keeps the next transaction back, unanswered, until Deliver.
-func (s *State) DelayNext() { s.mu.Lock(); defer s.mu.Unlock(); s.delay = true }
+// DelayNextTransaction holds the next transaction back, without a response, until DeliverDelayed.
+func (s *State) DelayNextTransaction() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.faults.delayNext = true
+}
 
-// Deliver executes the transactions kept back.
-func (s *State) Deliver() {
+// DeliverDelayed executes the transactions that were held back.
+func (s *State) DeliverDelayed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.late {
-		s.commit(t)
+	for _, transaction := range s.faults.delayed {
+		s.commit(transaction)
 	}
-	s.late = nil
+	s.faults.delayed = nil
 }
 
-// Late counts the transactions kept back.
-func (s *State) Late() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.late) }
+// DelayedCount returns how many transactions are held back.
+func (s *State) DelayedCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.faults.delayed)
+}
 
-// Repeat lets every transaction that was applied arrive once more.
-func (s *State) Repeat() {
+// RepeatTransactions executes every transaction that was applied once more, as if it arrived twice.
+func (s *State) RepeatTransactions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.past[:len(s.past):len(s.past)] {
-		s.commit(t)
+	for _, transaction := range s.applied[:len(s.applied):len(s.applied)] {
+		s.commit(transaction)
 	}
 }
 
-// Requests counts the requests that came so far.
-func (s *State) Requests() int { s.mu.Lock(); defer s.mu.Unlock(); return s.asked }
+// RequestCount returns how many requests have come.
+func (s *State) RequestCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.counts.requests
+}
 
-// Stall keeps every request waiting until release is called.
+// Stall makes every request wait until release is called.
 func (s *State) Stall() (release func()) {
 	ch := make(chan struct{})
 	s.mu.Lock()
-	s.stall = ch
+	s.faults.stalled = ch
 	s.mu.Unlock()
 	return func() {
 		s.mu.Lock()
-		s.stall = nil
+		s.faults.stalled = nil
 		s.mu.Unlock()
 		close(ch)
 	}
 }
 
-// Before calls f at every request, before the request is carried out. f may make
-// requests of its own: it is not called for those.
-func (s *State) Before(f func(path string)) { s.mu.Lock(); defer s.mu.Unlock(); s.before = f }
+// BeforeRequest has f called before every request is executed. f may make requests of
+// its own: it is not called for those.
+func (s *State) BeforeRequest(f func(path string)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.faults.beforeRequest = f
+}
+
+// LostResponses returns how many transactions were executed without a response.
+func (s *State) LostResponses() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.counts.lostResponses
+}
 
-// Lost counts the transactions that were executed without an answer.
-func (s *State) Lost() int { s.mu.Lock(); defer s.mu.Unlock(); return s.lost }
+// Compact drops the change history, so that older watches get 410.
+func (s *State) Compact() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.history, s.compacted = nil, s.revision
+}
 
-// Forget drops the change history, so that older watches get 410.
-func (s *State) Forget() { s.mu.Lock(); defer s.mu.Unlock(); s.log, s.oldest = nil, s.epoch }
+// ChangeCount returns how many changes transactions have made.
+func (s *State) ChangeCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.counts.changes
+}
 
-// Puts counts the changes executed so far.
-func (s *State) Puts() int { s.mu.Lock(); defer s.mu.Unlock(); return s.puts }
+// OversizedCount returns how many transactions were refused for their size.
+func (s *State) OversizedCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.counts.oversized
+}
 
-// Value decodes a key's value; false when it does not exist.
+// Value decodes the value of a key into v. It returns false when there is no such key.
 func (s *State) Value(key string, v any) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expireLeases()
 	row, ok := s.rows[key]
 	return ok && (v == nil || msgpack.Unmarshal(row.Value, v) == nil)
 }
@@ -151,7 +195,7 @@
 func (s *State) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expireLeases()
 	var out []string
 	for k := range s.rows {
 		if strings.HasPrefix(k, prefix) {
@@ -162,19 +206,20 @@
 	return out
 }
 
-// lapse removes the keys of holds that have ended. The caller holds mu.
-func (s *State) lapse() {
-	now := s.clk.Now()
-	for id, h := range s.holds {
-		if s.refuse[""] || now.Before(h.end) {
+// expireLeases removes leases that have ended, with their keys. The caller holds mu.
+func (s *State) expireLeases() {
+	now := s.clock.Now()
+	for id, lease := range s.leases {
+		if s.faults.refused[""] || now.Before(lease.end) {
 			continue
 		}
-		s.end(id)
+		s.endLease(id)
 	}
 }
 
-func (s *State) end(id uint64) {
-	delete(s.holds, id)
+// endLease removes a lease with its keys. The caller holds mu.
+func (s *State) endLease(id uint64) {
+	delete(s.leases, id)
 	var keys []string
 	for k, r := range s.rows {
 		if r.Lease == id {
@@ -184,221 +229,64 @@
 	if len(keys) == 0 {
 		return
 	}
-	s.epoch++
+	s.revision++
 	for _, k := range keys {
 		delete(s.rows, k)
-		s.note(wire.Event{Delete: k, ModRevision: s.epoch})
+		s.appendEvent(wire.Event{Delete: k, ModRevision: s.revision})
 	}
 }
 
-func (s *State) note(ev wire.Event) {
-	s.log = append(s.log, entry{s.epoch, ev})
-	close(s.change)
-	s.change = make(chan struct{})
+// appendEvent adds a change to the history and wakes the watches. The caller holds mu.
+func (s *State) appendEvent(event wire.Event) {
+	s.history = append(s.history, historyEntry{s.revision, event})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // commit executes a transaction. The caller holds mu.
-func (s *State) commit(t wire.Txn) (status int, body any) {
-	s.lapse()
-	if len(t.Operations) > maxOps || len(t.Conditions) > 4*maxOps {
-		s.tooMany++
+func (s *State) commit(transaction wire.Txn) (status int, body any) {
+	s.expireLeases()
+	if len(transaction.Operations) > maxOperations || len(transaction.Conditions) > 4*maxOperations {
+		s.counts.oversized++
 		return http.StatusBadRequest, wire.Error{Error: "too many operations"}
 	}
 	var failed []string
-	for _, w := range t.Conditions {
-		if s.rows[w.Key].ModRevision != w.ModRevision {
-			failed = append(failed, w.Key)
+	for _, condition := range transaction.Conditions {
+		if s.rows[condition.Key].ModRevision != condition.ModRevision {
+			failed = append(failed, condition.Key)
 		}
 	}
-	for _, a := range t.Operations {
-		if a.Set != "" && a.Lease != 0 && s.holds[a.Lease] == nil {
+	for _, operation := range transaction.Operations {
+		if operation.Set != "" && operation.Lease != 0 && s.leases[operation.Lease] == nil {
 			return http.StatusBadRequest, wire.Error{Error: "no such lease"}
 		}
 	}
 	if len(failed) > 0 {
-		return http.StatusConflict, wire.TxnResponse{Revision: s.epoch, Failed: failed}
+		return http.StatusConflict, wire.TxnResponse{Revision: s.revision, Failed: failed}
 	}
-	if len(t.Operations) == 0 {
-		return http.StatusOK, wire.TxnResponse{Revision: s.epoch}
+	if len(transaction.Operations) == 0 {
+		return http.StatusOK, wire.TxnResponse{Revision: s.revision}
 	}
-	s.epoch++
-	s.past = append(s.past, t)
-	for _, a := range t.Operations {
-		s.puts++
-		if a.Set == "" {
-			if _, ok := s.rows[a.Delete]; ok {
-				delete(s.rows, a.Delete)
-				s.note(wire.Event{Delete: a.Delete, ModRevision: s.epoch})
+	s.revision++
+	s.applied = append(s.applied, transaction)
+	for _, operation := range transaction.Operations {
+		s.counts.changes++
+		if operation.Set == "" {
+			if _, ok := s.rows[operation.Delete]; ok {
+				delete(s.rows, operation.Delete)
+				s.appendEvent(wire.Event{Delete: operation.Delete, ModRevision: s.revision})
 			}
 			continue
 		}
-		raw, err := msgpack.Marshal(a.Value)
+		raw, err := msgpack.Marshal(operation.Value)
 		if err != nil {
 			return http.StatusBadRequest, wire.Error{Error: err.Error()}
 		}
-		s.rows[a.Set] = wire.Row{Key: a.Set, Value: raw, ModRevision: s.epoch, Lease: a.Lease}
-		s.note(wire.Event{Set: a.Set, Value: raw, ModRevision: s.epoch})
-	}
-	return http.StatusOK, wire.TxnResponse{Revision: s.epoch}
-}
-
-func reply(w http.ResponseWriter, status int, v any) {
-	raw, err := msgpack.Marshal(v)
-	if err != nil {
-		panic(err)
-	}
-	w.WriteHeader(status)
-	_, _ = w.Write(raw)
-}
-
-// Handler is the service as one node reaches it.
-func (s *State) Handler(node string) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		body, _ := io.ReadAll(r.Body)
-		s.mu.Lock()
-		s.asked++
-		stall, before := s.stall, s.before
-		s.before = nil
-		s.mu.Unlock()
-		if before != nil {
-			before(r.URL.RequestURI())
-			s.mu.Lock()
-			if s.before == nil {
-				s.before = before
-			}
-			s.mu.Unlock()
-		}
-		if stall != nil {
-			<-stall
-		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		// Open watches stay open through an outage; new ones are refused like all else.
-		if s.refuse[""] || s.refuse[node] {
-			reply(w, http.StatusServiceUnavailable, wire.Error{Error: "trouble"})
-			return
-		}
-		s.lapse()
-		switch {
-		case r.URL.Path == wire.PathCommit:
-			var t wire.Txn
-			if msgpack.Unmarshal(body, &t) != nil {
-				reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
-				return
-			}
-			if s.delay {
-				s.delay = false
-				s.late = append(s.late, t)
-				panic(http.ErrAbortHandler)
-			}
-			status, ans := s.commit(t)
-			if s.lose > 0 {
-				s.lose--
-				s.lost++
-				panic(http.ErrAbortHandler)
-			}
-			reply(w, status, ans)
-		case r.URL.Path == wire.PathLeases:
-			var q wire.LeaseRequest
-			_ = msgpack.Unmarshal(body, &q)
-			s.epoch++
-			ttl := time.Duration(q.TTLMillis) * time.Millisecond
-			s.holds[s.epoch] = &hold{ttl: ttl, end: s.clk.Now().Add(ttl)}
-			reply(w, http.StatusOK, wire.LeaseResponse{Lease: s.epoch})
-		case strings.HasPrefix(r.URL.Path, wire.PathLeases+"/"):
-			parts := strings.Split(r.URL.Path, "/")
-			id, _ := strconv.ParseUint(parts[2], 10, 64)
-			h := s.holds[id]
-			if h == nil {
-				reply(w, http.StatusNotFound, wire.Error{Error: "no such lease"})
-				return
-			}
-			if r.Method == http.MethodDelete {
-				s.end(id)
-			} else {
-				h.end = s.clk.Now().Add(h.ttl)
-			}
-			reply(w, http.StatusOK, struct{}{})
-		case r.URL.Path == wire.PathChanges:
-			s.changes(w, r, node)
-		case r.URL.Path == wire.PathKV:
-			q := r.URL.Query()
-			limit, _ := strconv.Atoi(q.Get("limit"))
-			keys := make([]string, 0, len(s.rows))
-			for k := range s.rows {
-				if strings.HasPrefix(k, q.Get("starts")) && k > q.Get("since") {
-					keys = append(keys, k)
-				}
-			}
-			slices.Sort(keys)
-			out := wire.Rows{Rows: []wire.Row{}, Revision: s.epoch}
-			for i, k := range keys {
-				if i == limit {
-					out.HasNext = true
-					break
-				}
-				out.Rows = append(out.Rows, s.rows[k])
-			}
-			reply(w, http.StatusOK, out)
-		default:
-			row, ok := s.rows[strings.TrimPrefix(r.URL.Path, wire.PathKV+"/")]
-			if !ok {
-				reply(w, http.StatusNotFound, map[string]uint64{"epoch": s.epoch})
-				return
-			}
-			reply(w, http.StatusOK, row)
-		}
-	})
-}
-
-// changes waits, on the request's own context, for a change after since. While
-// the node is refused, its open watches wait on.
-func (s *State) changes(w http.ResponseWriter, r *http.Request, node string) {
-	q := r.URL.Query()
-	since, _ := strconv.ParseUint(q.Get("since"), 10, 64)
-	block, _ := strconv.Atoi(q.Get("block_ms"))
-	timeout := s.clk.After(time.Duration(block) * time.Millisecond)
-	due := false
-	for {
-		s.lapse()
-		for s.refuse[""] || s.refuse[node] {
-			ch := s.served
-			s.mu.Unlock()
-			select {
-			case <-ch:
-			case <-r.Context().Done():
-			}
-			s.mu.Lock()
-			if r.Context().Err() != nil {
-				return
-			}
-		}
-		if since < s.oldest {
-			reply(w, http.StatusGone, wire.Error{Error: "too old"})
-			return
-		}
-		out := wire.WatchResponse{Revision: s.epoch, Events: []wire.Event{}}
-		for _, e := range s.log {
-			if key := e.ev.Set + e.ev.Delete; e.epoch > since && strings.HasPrefix(key, q.Get("starts")) {
-				out.Events = append(out.Events, e.ev)
-			}
-		}
-		if len(out.Events) > 0 || due {
-			reply(w, http.StatusOK, out)
-			return
-		}
-		ch := s.change
-		s.mu.Unlock()
-		select {
-		case <-ch:
-		case <-timeout:
-			due = true
-		case <-r.Context().Done():
-			due = true
-		}
-		s.mu.Lock()
+		s.rows[operation.Set] = wire.Row{Key: operation.Set, Value: raw, ModRevision: s.revision, Lease: operation.Lease}
+		s.appendEvent(wire.Event{Set: operation.Set, Value: raw, ModRevision: s.revision})
 	}
+	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
 }
 
-// String describes the service's keys, for failures.
+// String lists the keys, for messages of failed tests.
 func (s *State) String() string { return fmt.Sprint(s.Keys("")) }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -13,152 +13,150 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Worker is a machine's worker that keeps the protocol's rules for tokens,
-// sessions and repeated commands. Tests end its tasks by hand.
+// Worker is the worker of a machine that keeps the protocol's rules for tokens,
+// incarnations and repeated commands. Tests make it report, and end its tasks.
 type Worker struct {
-	Beats wire.Heartbeat // identity: host, endpoint, build, zone, loaned
-
-	mu      sync.Mutex // guards all below
-	session uint64
-	tally   uint64
-	token   uint64
-	pieces  map[string]*wire.TaskReport
-	lose    bool
-	keep    bool
-	late    []wire.CommandRequest
-	past    []wire.CommandRequest
-	starts  []string
-	warning *float64
-	fail    bool
-	bad     map[string]bool
-	cut     bool
-}
-
-// NewWorker makes a worker without tasks in its first session.
-func NewWorker(host, endpoint, build, zone string, loaned bool) *Worker {
-	return &Worker{Beats: wire.Heartbeat{Machine: host, Endpoint: endpoint, MachineType: build, Zone: zone, Preemptible: loaned},
-		session: 1, pieces: map[string]*wire.TaskReport{}}
-}
-
-func key(piece string, try uint64) string { return fmt.Sprintf("%s#%d", piece, try) }
-
-// report builds the current report. The caller holds mu.
-func (w *Worker) report() wire.Heartbeat {
-	w.tally++
-	b := w.Beats
-	b.Incarnation, b.Sequence, b.Token, b.WarningS = w.session, w.tally, w.token, w.warning
-	b.Tasks = []wire.TaskReport{}
-	keys := make([]string, 0, len(w.pieces))
-	for k := range w.pieces {
+	Identity wire.Heartbeat // machine, endpoint, type, zone and whether it is preemptible
+
+	mu               sync.Mutex // guards the fields below
+	incarnation      uint64
+	sequence         uint64
+	token            uint64
+	tasks            map[string]*wire.TaskReport // by attempt
+	started          []string                    // attempts, in order
+	executedCommands []wire.CommandRequest       // direct ones
+
+	unreachable  bool
+	holdCommand  bool // the next direct one
+	heldCommands []wire.CommandRequest
+	failAll      bool
+	failing      map[string]bool // jobs and tasks that fail as they start
+}
+
+// NewWorker returns a worker without tasks in its first incarnation.
+func NewWorker(host, endpoint, machineType, zone string, preemptible bool) *Worker {
+	return &Worker{Identity: wire.Heartbeat{Machine: host, Endpoint: endpoint, MachineType: machineType, Zone: zone, Preemptible: preemptible},
+		incarnation: 1, tasks: map[string]*wire.TaskReport{}}
+}
+
+// attemptKey names an attempt.
+func attemptKey(task string, attempt uint64) string { return fmt.Sprintf("%s#%d", task, attempt) }
+
+// buildReport builds the current report. The caller holds mu.
+func (w *Worker) buildReport() wire.Heartbeat {
+	w.sequence++
+	report := w.Identity
+	report.Incarnation, report.Sequence, report.Token = w.incarnation, w.sequence, w.token
+	report.Tasks = []wire.TaskReport{}
+	keys := make([]string, 0, len(w.tasks))
+	for k := range w.tasks {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
 	for _, k := range keys {
-		b.Tasks = append(b.Tasks, *w.pieces[k])
+		report.Tasks = append(report.Tasks, *w.tasks[k])
 	}
-	return b
+	return report
 }
 
-// Report is the worker's next heartbeat.
-func (w *Worker) Report() wire.Heartbeat { w.mu.Lock(); defer w.mu.Unlock(); return w.report() }
+// Report returns the worker's next heartbeat.
+func (w *Worker) Report() wire.Heartbeat {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.buildReport()
+}
 
-// Take executes the answer to a heartbeat, unless its token is too low.
-func (w *Worker) Take(a wire.HeartbeatResponse) bool {
+// HandleResponse executes the response to a heartbeat, unless its token is too low.
+func (w *Worker) HandleResponse(response wire.HeartbeatResponse) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if a.Token < w.token {
+	if response.Token < w.token {
 		return false
 	}
-	w.token = a.Token
-	w.execute(a.Commands)
+	w.token = response.Token
+	w.execute(response.Commands)
 	return true
 }
 
-// execute runs commands in order. The caller holds mu.
-func (w *Worker) execute(orders []wire.Command) {
-	for _, o := range orders {
-		k := key(o.Task, o.Attempt)
-		p := w.pieces[k]
+// execute executes commands in order. The caller holds mu.
+func (w *Worker) execute(commands []wire.Command) {
+	for _, command := range commands {
+		key := attemptKey(command.Task, command.Attempt)
+		task := w.tasks[key]
 		switch {
-		case o.Verb == wire.VerbRun && p == nil:
-			w.starts = append(w.starts, k)
-			st := &wire.TaskReport{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskRunning}
-			if job, _, _ := strings.Cut(o.Task, "/"); w.fail || w.bad[job] || w.bad[o.Task] {
-				st.Status, st.Cause = wire.TaskEnded, wire.CauseError
+		case command.Verb == wire.VerbRun && task == nil:
+			w.started = append(w.started, key)
+			report := &wire.TaskReport{Task: command.Task, Attempt: command.Attempt, Status: wire.TaskRunning}
+			if job, _, _ := strings.Cut(command.Task, "/"); w.failAll || w.failing[job] || w.failing[command.Task] {
+				report.Status, report.Cause = wire.TaskEnded, wire.CauseError
 			}
-			w.pieces[k] = st
-		case o.Verb == wire.VerbStop && p != nil && p.Status != wire.TaskEnded:
-			p.Status, p.Cause = wire.TaskEnded, wire.CauseStopped
-		case o.Verb == wire.VerbForget && p != nil && p.Status == wire.TaskEnded:
-			delete(w.pieces, k)
+			w.tasks[key] = report
+		case command.Verb == wire.VerbStop && task != nil && task.Status != wire.TaskEnded:
+			task.Status, task.Cause = wire.TaskEnded, wire.CauseStopped
+		case command.Verb == wire.VerbForget && task != nil && task.Status == wire.TaskEnded:
+			delete(w.tasks, key)
 		}
 	}
 }
 
-// End ends a task with a cause.
-func (w *Worker) End(piece string, cause string) {
+// EndTask ends a task with a cause.
+func (w *Worker) EndTask(name, cause string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, p := range w.pieces {
-		if p.Task == piece && p.Status != wire.TaskEnded {
-			p.Status, p.Cause = wire.TaskEnded, cause
+	for _, task := range w.tasks {
+		if task.Task == name && task.Status != wire.TaskEnded {
+			task.Status, task.Cause = wire.TaskEnded, cause
 		}
 	}
 }
 
-// Expire lets the worker's lease run out: its tasks are killed and forgotten.
-func (w *Worker) Expire() {
+// ExpireLease lets the worker's lease expire: its tasks are killed and forgotten.
+func (w *Worker) ExpireLease() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.session++
-	w.pieces = map[string]*wire.TaskReport{}
+	w.incarnation++
+	w.tasks = map[string]*wire.TaskReport{}
 }
 
-// LoseNext makes the next /do be executed without an answer.
-func (w *Worker) LoseNext() { w.mu.Lock(); defer w.mu.Unlock(); w.lose = true }
+// HoldNextCommand holds the next direct command back, without a response, until DeliverHeldCommands.
+func (w *Worker) HoldNextCommand() { w.mu.Lock(); defer w.mu.Unlock(); w.holdCommand = true }
 
-// KeepNext holds the next /do back, unanswered, until Deliver.
-func (w *Worker) KeepNext() { w.mu.Lock(); defer w.mu.Unlock(); w.keep = true }
-
-// Fail makes every task fail as it starts.
-func (w *Worker) Fail(yes bool) { w.mu.Lock(); defer w.mu.Unlock(); w.fail = yes }
+// FailAllTasks decides whether every task fails as it starts.
+func (w *Worker) FailAllTasks(fail bool) { w.mu.Lock(); defer w.mu.Unlock(); w.failAll = fail }
 
 // FailJob makes every task of a job, or one task, fail as it starts.
 func (w *Worker) FailJob(uid string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.bad == nil {
-		w.bad = map[string]bool{}
+	if w.failing == nil {
+		w.failing = map[string]bool{}
 	}
-	w.bad[uid] = true
+	w.failing[uid] = true
 }
 
-// Warn sets the spot notice.
-func (w *Worker) Warn(seconds float64) { w.mu.Lock(); defer w.mu.Unlock(); w.warning = &seconds }
-
-// Deliver executes the direct commands held back, if token and session still match.
-func (w *Worker) Deliver() {
+// DeliverHeldCommands executes the direct commands that were held back, if token and incarnation still match.
+func (w *Worker) DeliverHeldCommands() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, d := range w.late {
-		w.direct(d)
+	for _, request := range w.heldCommands {
+		w.executeDirect(request)
 	}
-	w.late = nil
+	w.heldCommands = nil
 }
 
-// Starts lists every attempt started, in order.
-func (w *Worker) Starts() []string {
+// StartedAttempts lists every attempt started, in order.
+func (w *Worker) StartedAttempts() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]string(nil), w.starts...)
+	return append([]string(nil), w.started...)
 }
 
-// Live lists the tasks that are on the machine.
-func (w *Worker) Live() []string {
+// LiveTasks lists the tasks that have not ended.
+func (w *Worker) LiveTasks() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
-	for _, p := range w.pieces {
+	for _, p := range w.tasks {
 		if p.Status != wire.TaskEnded {
 			out = append(out, p.Task)
 		}
@@ -167,70 +165,71 @@
 	return out
 }
 
-func (w *Worker) direct(d wire.CommandRequest) bool {
-	if d.Token < w.token || d.Incarnation != w.session {
+// executeDirect executes a direct command, if token and incarnation match. The caller holds mu.
+func (w *Worker) executeDirect(request wire.CommandRequest) bool {
+	if request.Token < w.token || request.Incarnation != w.incarnation {
 		return false
 	}
-	w.token = d.Token
-	w.execute(d.Commands)
-	w.past = append(w.past, d)
+	w.token = request.Token
+	w.execute(request.Commands)
+	w.executedCommands = append(w.executedCommands, request)
 	return true
 }
 
-// Repeat lets every direct command that was executed arrive once more.
-func (w *Worker) Repeat() {
+// RepeatCommands executes every direct command that was executed once more, as if it arrived twice.
+func (w *Worker) RepeatCommands() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, d := range w.past[:len(w.past):len(w.past)] {
-		w.direct(d)
+	for _, request := range w.executedCommands[:len(w.executedCommands):len(w.executedCommands)] {
+		w.executeDirect(request)
 	}
 }
 
-// Unreachable makes the worker give no answer to /do and /show.
-func (w *Worker) Unreachable(yes bool) { w.mu.Lock(); defer w.mu.Unlock(); w.cut = yes }
+// SetUnreachable decides whether the worker responds to direct commands and probes.
+func (w *Worker) SetUnreachable(unreachable bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.unreachable = unreachable
+}
 
-// Restart puts a new process in the worker's place, which counts sessions and
-// reports from the start again and has no tasks.
+// Restart replaces the worker by a new process, whose incarnation and sequence begin
+// again and which has no tasks.
 func (w *Worker) Restart() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.session, w.tally, w.token = 1, 0, 0
-	w.pieces = map[string]*wire.TaskReport{}
+	w.incarnation, w.sequence, w.token = 1, 0, 0
+	w.tasks = map[string]*wire.TaskReport{}
 }
 
-// ServeHTTP is the worker's /do and /show.
+// ServeHTTP serves the worker's endpoints for direct commands and reports.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	w.mu.Lock()
-	cut := w.cut
+	unreachable := w.unreachable
 	w.mu.Unlock()
-	if cut {
+	if unreachable {
 		panic(http.ErrAbortHandler)
 	}
 	if r.URL.Path == wire.PathReport {
-		reply(rw, http.StatusOK, w.Report())
+		writeResponse(rw, http.StatusOK, w.Report())
 		return
 	}
-	var d wire.CommandRequest
-	if err := msgpack.Unmarshal(body, &d); err != nil {
-		reply(rw, http.StatusBadRequest, wire.Error{Error: err.Error()})
+	var request wire.CommandRequest
+	if err := msgpack.Unmarshal(body, &request); err != nil {
+		writeResponse(rw, http.StatusBadRequest, wire.Error{Error: err.Error()})
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.keep {
-		w.keep = false
-		w.late = append(w.late, d)
-		panic(http.ErrAbortHandler)
-	}
-	ok := w.direct(d)
-	if w.lose {
-		w.lose = false
+	if w.holdCommand {
+		w.holdCommand = false
+		w.heldCommands = append(w.heldCommands, request)
 		panic(http.ErrAbortHandler)
 	}
+	ok := w.executeDirect(request)
 	status := http.StatusOK
 	if !ok {
 		status = http.StatusConflict
 	}
-	reply(rw, status, w.report())
+	writeResponse(rw, status, w.buildReport())
 }
--- a/job_lifecycle_test.go
+++ b/job_lifecycle_test.go
@@ -17,16 +17,16 @@
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
 	cluster.resync(leader)
 	cluster.settle(leader)
-	if got := worker.Live(); !cmp.Equal(got, []string{"j-1/0", "j-1/1"}) {
+	if got := worker.LiveTasks(); !cmp.Equal(got, []string{"j-1/0", "j-1/1"}) {
 		t.Fatalf("on the machine: %v", got)
 	}
-	worker.End("j-1/0", wire.CauseDone)
+	worker.EndTask("j-1/0", wire.CauseDone)
 	heartbeat(t, leader, worker)
 	cluster.settle(leader)
 	if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
 		t.Fatal("done before all its tasks are")
 	}
-	worker.End("j-1/1", wire.CauseDone)
+	worker.EndTask("j-1/1", wire.CauseDone)
 	heartbeat(t, leader, worker)
 	// Done is told only when it is durable: until the pass records it, it is not.
 	if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
@@ -39,7 +39,7 @@
 	// The run may come again until the worker has shown a higher token.
 	heartbeat(t, leader, worker)
 	heartbeat(t, leader, worker)
-	worker.Repeat()
+	worker.RepeatCommands()
 	for range 4 {
 		cluster.advance(10 * time.Second)
 		heartbeat(t, leader, worker)
@@ -47,12 +47,12 @@
 	cluster.settle(leader)
 	for range 3 { // learns the token, shows it, forgets
 		heartbeat(t, leader, worker)
-		worker.Repeat()
+		worker.RepeatCommands()
 	}
 	if report := worker.Report(); len(report.Tasks) != 0 {
 		t.Errorf("not forgotten: %v", report.Tasks)
 	}
-	if got := worker.Starts(); len(got) != 2 {
+	if got := worker.StartedAttempts(); len(got) != 2 {
 		t.Errorf("started %v, want each task once", got)
 	}
 	if keys := cluster.state.Keys(store.PrefixAttempts); len(keys) != 0 {
@@ -65,7 +65,7 @@
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
 	cluster.resync(leader)
 	cluster.settle(leader)
-	worker.End("j-1/0", wire.CauseDone)
+	worker.EndTask("j-1/0", wire.CauseDone)
 	heartbeat(t, leader, worker)
 	heartbeat(t, leader, worker)
 	if report := worker.Report(); len(report.Tasks) != 2 {
@@ -92,7 +92,7 @@
 	}
 	leader.mu.Unlock()
 	cluster.settle(leader)
-	if got := worker.Starts(); len(got) != 1 {
+	if got := worker.StartedAttempts(); len(got) != 1 {
 		t.Errorf("started %v, want once", got)
 	}
 }
@@ -108,7 +108,7 @@
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 3 }))
 	cluster.resync(oldLeader)
 	cluster.settle(oldLeader)
-	worker.End("j-1/0", wire.CauseDone)
+	worker.EndTask("j-1/0", wire.CauseDone)
 	heartbeat(t, oldLeader, worker)
 	if n := oldLeader.jobs.Get("j-1").RunTimes.Count; n != 1 {
 		t.Fatalf("%d runs measured, want the one whose start was seen", n)
@@ -117,7 +117,7 @@
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
 	heartbeat(t, newLeader, worker)
-	worker.End("j-1/1", wire.CauseDone)
+	worker.EndTask("j-1/1", wire.CauseDone)
 	heartbeat(t, newLeader, worker)
 	if job := newLeader.jobs.Get("j-1"); job.Done != 2 || job.RunTimes.Count != 0 {
 		t.Errorf("done %d, runs measured %d; want 2 and none", job.Done, job.RunTimes.Count)
@@ -140,7 +140,7 @@
 		cluster.settle(leader)
 		heartbeat(t, leader, worker)
 	}
-	if got := worker.Starts(); len(got) != 0 {
+	if got := worker.StartedAttempts(); len(got) != 0 {
 		t.Errorf("started %v of a job that is done", got)
 	}
 	if leader.jobs.Get("j-1") != nil {
@@ -154,7 +154,7 @@
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.state.Forget()
+	cluster.state.Compact()
 	if _, err := node.store.Watch(t.Context(), store.PrefixJob, 1, 0); err != store.ErrCompacted {
 		t.Fatalf("error %v, want %v", err, store.ErrCompacted)
 	}
--- a/job_load_test.go
+++ b/job_load_test.go
@@ -29,7 +29,7 @@
 		}
 		cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Priority, spec.Tasks, spec.Cores, spec.RAM = "low", tasks, 0.25, 0.9 }))
 		cluster.resync(leader)
-		before := cluster.state.Puts()
+		before := cluster.state.ChangeCount()
 		looked, done := 0, 0
 		for round := 0; done < tasks; round++ {
 			if round > 20+tasks/100 {
@@ -48,9 +48,9 @@
 				heartbeat(t, leader, worker) // takes its orders
 			}
 			for _, worker := range workers {
-				for _, p := range worker.Live() {
+				for _, p := range worker.LiveTasks() {
 					if strings.HasPrefix(p, "j-1/") {
-						worker.End(p, wire.CauseDone)
+						worker.EndTask(p, wire.CauseDone)
 					}
 				}
 				heartbeat(t, leader, worker)
@@ -64,7 +64,7 @@
 		cluster.settle(leader)
 		starts := map[string]int{}
 		for _, worker := range workers {
-			for _, k := range worker.Starts() {
+			for _, k := range worker.StartedAttempts() {
 				starts[k]++
 			}
 		}
@@ -83,7 +83,7 @@
 		if _, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobDone || status.Done != tasks {
 			t.Errorf("%+v, want done", status)
 		}
-		return float64(cluster.state.Puts()-before) / float64(tasks), float64(looked) / float64(tasks)
+		return float64(cluster.state.ChangeCount()-before) / float64(tasks), float64(looked) / float64(tasks)
 	}
 	c1, v1 := run(5_000)
 	c2, v2 := run(25_000)
@@ -143,9 +143,9 @@
 		cluster.resync(leader)
 		cluster.settle(leader)
 		for i, worker := range workers {
-			for n, p := range worker.Live() {
+			for n, p := range worker.LiveTasks() {
 				if (n+i+at)%3 == 0 {
-					worker.End(p, wire.CauseDone)
+					worker.EndTask(p, wire.CauseDone)
 				}
 			}
 			heartbeat(t, leader, worker)
@@ -208,7 +208,7 @@
 	}
 	seen := map[string]bool{}
 	for _, worker := range workers {
-		for _, k := range worker.Starts() {
+		for _, k := range worker.StartedAttempts() {
 			if seen[k] {
 				t.Errorf("%s started twice", k)
 			}
--- a/lead/lead_test.go
+++ b/lead/lead_test.go
@@ -119,7 +119,7 @@
 	b := start(t)
 	before, _ := b.el.HoldsLease()
 	// The answer is lost, but the write was done: it is recognised, not repeated.
-	b.state.LoseAnswers(1)
+	b.state.LoseResponses(1)
 	got, err := b.el.RaiseToken(t.Context())
 	if err != nil || got != before+1 {
 		t.Fatalf("raised to %d, %v; want %d", got, err, before+1)
--- a/loopback_loss_test.go
+++ b/loopback_loss_test.go
@@ -68,7 +68,7 @@
 		}
 		l.jobs = append(l.jobs, jobs)
 	}
-	schedule.setup = func(sim *simulation) { sim.cloud.Told = l.events.recordCloud }
+	schedule.setup = func(sim *simulation) { sim.cloud.OnChange = l.events.recordCloud }
 	l.loopback = newLoopback(ctx, t, schedule)
 	l.rentSmallMachinesOnly()
 	return l
@@ -82,7 +82,7 @@
 			status, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathJobs, encoded)
 			if err == nil && (status == http.StatusCreated || status == http.StatusOK) {
 				l.mu.Lock()
-				l.views[submission.spec.UID].accepted, l.views[submission.spec.UID].lastProgress = true, time.Now()
+				l.observed.views[submission.spec.UID].accepted, l.observed.views[submission.spec.UID].lastProgress = true, time.Now()
 				l.mu.Unlock()
 				break
 			}
@@ -94,13 +94,13 @@
 // cancelJob cancels a job until that is confirmed.
 func (l *loopbackLoss) cancelJob(ctx context.Context, uid string) {
 	l.mu.Lock()
-	l.views[uid].cancelRequested = true
+	l.observed.views[uid].cancelRequested = true
 	l.mu.Unlock()
 	for n := 0; ctx.Err() == nil; n++ {
 		status, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
 		if err == nil && status == http.StatusOK {
 			l.mu.Lock()
-			l.views[uid].cancelled, l.views[uid].cancelledAt = true, time.Now()
+			l.observed.views[uid].cancelled, l.observed.views[uid].cancelledAt = true, time.Now()
 			l.mu.Unlock()
 			return
 		}
@@ -167,7 +167,7 @@
 	lost := time.Now()
 	time.Sleep(seconds(loss.outageS))
 	back := time.Now()
-	requests, changes := l.state.Requests(), l.state.Puts()
+	requests, changes := l.state.RequestCount(), l.state.ChangeCount()
 	for _, name := range l.names[:loss.returning] {
 		l.start(name)
 	}
@@ -189,19 +189,19 @@
 		settledAll := measured.AllReconciled > 0 || !known && loss.outageS > lossTiming.lease.Seconds()
 		if settledAll && run == want && measured.AllGoingS == 0 {
 			measured.AllGoingS = since
-			measured.StateRequests, measured.StateChanges = l.state.Requests()-requests, l.state.Puts()-changes
+			measured.StateRequests, measured.StateChanges = l.state.RequestCount()-requests, l.state.ChangeCount()-changes
 		}
 	}
 	l.events.mu.Lock()
 	for _, event := range l.events.events {
-		if event.Kind == standin.EventOrdered && event.At.After(back) {
+		if event.Kind == standin.EventCommand && event.At.After(back) {
 			measured.FirstOrderS = event.At.Sub(back).Seconds()
 			break
 		}
 	}
 	l.events.mu.Unlock()
 	measured.Commands = l.events.count(back, back.Add(recoveryCheckTime))
-	faults = l.events.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return l.views[uid].cancelRequested })
+	faults = l.events.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return l.observed.views[uid].cancelRequested })
 	l.processMutex.Lock()
 	for _, name := range l.names[:loss.returning] {
 		memory = max(memory, peakMemory(l.commands[name].Process.Pid))
@@ -234,7 +234,7 @@
 			t.Error(err)
 		}
 		for _, submission := range l.jobs[i][len(l.jobs[i])-3:] {
-			if run, _ := l.taskCounts([]scheduledSubmission{submission}); run > 0 && time.Since(l.views[submission.spec.UID].cancelledAt) > lossTiming.cancel {
+			if run, _ := l.taskCounts([]scheduledSubmission{submission}); run > 0 && time.Since(l.observed.views[submission.spec.UID].cancelledAt) > lossTiming.cancel {
 				t.Errorf("%s: %s is cancelled, and %d tasks run", measured.Scene, submission.spec.UID, run)
 			}
 		}
--- a/loopback_quota_test.go
+++ b/loopback_quota_test.go
@@ -66,7 +66,7 @@
 			figures.note(status, taken, took)
 			if taken {
 				l.mu.Lock()
-				l.views[uid].accepted, l.views[uid].lastProgress = true, time.Now()
+				l.observed.views[uid].accepted, l.observed.views[uid].lastProgress = true, time.Now()
 				l.mu.Unlock()
 				break
 			}
--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -19,21 +19,21 @@
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
-	cluster.state.LoseAnswers(1)
+	cluster.state.LoseResponses(1)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() {
 		// The repeat waits on the clock, as does the elector.
 		for cluster.clock.BlockUntilContext(ctx, 2) == nil {
 			cluster.clock.Advance(100 * time.Millisecond)
-			if len(worker.Starts()) > 0 {
+			if len(worker.StartedAttempts()) > 0 {
 				return
 			}
 		}
 	}()
 	cluster.settle(leader)
 	cancel()
-	if got := worker.Starts(); len(got) != 1 {
+	if got := worker.StartedAttempts(); len(got) != 1 {
 		t.Fatalf("starts: %v", got)
 	}
 }
@@ -60,8 +60,8 @@
 	}
 	// Placements: a user cancels one of the jobs before the leader knows that its attempt is recorded.
 	cluster.loseAnswerDuring(func() { cluster.settle(leader) }, func() {
-		if len(worker.Starts()) != 0 {
-			t.Errorf("started before the leader knows that it is recorded: %v", worker.Starts())
+		if len(worker.StartedAttempts()) != 0 {
+			t.Errorf("started before the leader knows that it is recorded: %v", worker.StartedAttempts())
 		}
 		if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
 			t.Errorf("abort: %d %+v", code, status)
@@ -70,13 +70,13 @@
 	cluster.resync(leader)
 	cluster.settle(leader)
 	is("j-3", wire.JobCancelled)
-	if got := worker.Live(); !slices.Equal(got, []string{"j-1/0", "j-2/0", "j-2/1"}) {
+	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0", "j-2/0", "j-2/1"}) {
 		t.Errorf("on the machine %v", got)
 	}
 	// The end of both jobs: done is told by the one that reads it, and stays done.
-	worker.End("j-1/0", wire.CauseDone)
-	worker.End("j-2/0", wire.CauseDone)
-	worker.End("j-2/1", wire.CauseDone)
+	worker.EndTask("j-1/0", wire.CauseDone)
+	worker.EndTask("j-2/0", wire.CauseDone)
+	worker.EndTask("j-2/1", wire.CauseDone)
 	heartbeat(t, leader, worker)
 	cluster.loseAnswerDuring(func() { leader.pass(t.Context()) }, func() {
 		for _, uid := range []string{"j-1", "j-2"} {
@@ -97,7 +97,7 @@
 	if left := cluster.state.Keys(store.PrefixJob); len(left) != 0 {
 		t.Errorf("jobs that have not moved: %v", left)
 	}
-	if got := worker.Starts(); len(got) > 4 || startCount([]*standin.Worker{worker}, "j-2") != 2 || startCount([]*standin.Worker{worker}, "j-1") != 1 {
+	if got := worker.StartedAttempts(); len(got) > 4 || startCount([]*standin.Worker{worker}, "j-2") != 2 || startCount([]*standin.Worker{worker}, "j-1") != 1 {
 		t.Errorf("starts %v", got)
 	}
 }
@@ -118,7 +118,7 @@
 			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 1 }))
 		}
 		cluster.resync(leader)
-		before := cluster.state.Puts()
+		before := cluster.state.ChangeCount()
 		now := wire.JobQueued
 		drain := func() {
 			for range 9 {
@@ -156,11 +156,11 @@
 		leader.mu.Unlock()
 		drain()
 		cluster.settle(leader)
-		if got := len(worker.Live()); got != 2*pieces {
+		if got := len(worker.LiveTasks()); got != 2*pieces {
 			t.Fatalf("%d tasks run", got)
 		}
-		for _, p := range worker.Live() {
-			worker.End(p, wire.CauseDone)
+		for _, p := range worker.LiveTasks() {
+			worker.EndTask(p, wire.CauseDone)
 		}
 		heartbeat(t, leader, worker)
 		drain()
@@ -177,10 +177,10 @@
 		if left := cluster.state.Keys(store.PrefixJob); len(left) != 0 {
 			t.Errorf("jobs that have not moved: %v", left)
 		}
-		if got := len(worker.Starts()); got != 2*pieces {
+		if got := len(worker.StartedAttempts()); got != 2*pieces {
 			t.Errorf("%d starts of %d tasks", got, 2*pieces)
 		}
-		return cluster.state.Puts() - before
+		return cluster.state.ChangeCount() - before
 	}
 	for _, pieces := range []int{1, 2} {
 		// Deletions of what a finished job leaves carry no stamp of their own: the repeat deletes nothing.
@@ -217,7 +217,7 @@
 				if transaction == nil {
 					return
 				}
-				cluster.state.DelayNext()
+				cluster.state.DelayNextTransaction()
 				if late++; !leader.commit(t.Context(), transaction) {
 					t.Fatal("the term is over")
 				}
@@ -228,9 +228,9 @@
 		leader.mu.Unlock()
 		drain()
 		cluster.settle(leader)
-		worker.End("j-1/0", wire.CauseDone)
-		worker.End("j-1/1", wire.CauseDone)
-		worker.End("j-2/0", wire.CauseError)
+		worker.EndTask("j-1/0", wire.CauseDone)
+		worker.EndTask("j-1/1", wire.CauseDone)
+		worker.EndTask("j-2/0", wire.CauseError)
 		if _, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
 			t.Fatalf("abort: %+v", status)
 		}
@@ -245,7 +245,7 @@
 		leader.mu.Unlock()
 		drain()
 		cluster.settle(leader)
-		worker.End("j-4/0", wire.CauseDone)
+		worker.EndTask("j-4/0", wire.CauseDone)
 		heartbeat(t, leader, worker)
 		leader.mu.Lock()
 		leader.writer.MarkDirty("j-4") // need not wait for others' results
@@ -253,15 +253,15 @@
 		drain()
 		cancel()
 		cluster.settle(leader)
-		keys, puts := cluster.state.Keys(""), cluster.state.Puts()
-		if got := cluster.state.Late(); got != late || late < 3 {
+		keys, puts := cluster.state.Keys(""), cluster.state.ChangeCount()
+		if got := cluster.state.DelayedCount(); got != late || late < 3 {
 			t.Fatalf("%d transactions are late, want %d", got, late)
 		}
-		cluster.state.Deliver()
+		cluster.state.DeliverDelayed()
 		if after := cluster.state.Keys(""); !slices.Equal(keys, after) {
 			t.Errorf("%d tasks a job: late transactions turn %v into %v", pieces, keys, after)
 		}
-		if got := cluster.state.Puts() - puts; got != 0 {
+		if got := cluster.state.ChangeCount() - puts; got != 0 {
 			t.Errorf("%d tasks a job: %d changes were made late", pieces, got)
 		}
 		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-3": wire.JobCancelled} {
@@ -281,7 +281,7 @@
 	cluster.submit(node, jobSpec("j-3", nil))
 	cluster.resync(leader)
 	cluster.settle(leader)
-	worker.End("j-1/0", wire.CauseDone)
+	worker.EndTask("j-1/0", wire.CauseDone)
 	heartbeat(t, leader, worker)
 	cluster.settle(leader)
 	if code, _, _ := cluster.ask(node, "POST", wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != 200 {
@@ -307,7 +307,7 @@
 		return is
 	}
 	before := look()
-	cluster.state.Repeat()
+	cluster.state.RepeatTransactions()
 	if diff := cmp.Diff(before, look(), cmp.AllowUnexported(told{})); diff != "" {
 		t.Error(diff)
 	}
--- a/orphans_test.go
+++ b/orphans_test.go
@@ -33,10 +33,10 @@
 		cluster.settle(leader)
 		cluster.lookUpOrphans(leader)
 	}
-	if got := worker.Live(); !slices.Equal(got, []string{"j-9/0"}) {
+	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-9/0"}) {
 		t.Fatalf("on the machine: %v, want the task that was never recorded, and nothing new", got)
 	}
-	if got := other.Live(); len(got) != 4 {
+	if got := other.LiveTasks(); len(got) != 4 {
 		t.Errorf("on the other: %v, want all of the job", got)
 	}
 	report := mustRecoveryReport(t, leader)
@@ -60,13 +60,13 @@
 	third := cluster.worker("n-3", "x", true) // has room for it
 	heartbeat(t, leader, third)
 	cluster.settle(leader)
-	if got := third.Live(); len(got) != 0 {
+	if got := third.LiveTasks(); len(got) != 0 {
 		t.Fatalf("on the third: %v, started while it runs elsewhere", got)
 	}
 	for range 3 {
 		cluster.runSeconds(leader, []*standin.Worker{worker, other, third}, 1)
 	}
-	if got := append(worker.Live(), third.Live()...); !slices.Equal(got, []string{"j-9/0"}) {
+	if got := append(worker.LiveTasks(), third.LiveTasks()...); !slices.Equal(got, []string{"j-9/0"}) {
 		t.Errorf("on machines: %v, want the submitted job's task once", got)
 	}
 	if got := mustRecoveryReport(t, leader).Unrecorded; len(got) != 0 {
@@ -85,7 +85,7 @@
 	heartbeat(t, leader, worker)
 	cluster.lookUpOrphans(leader)
 	cluster.settle(leader)
-	if got := worker.Live(); !slices.Equal(got, []string{"j-8/0"}) {
+	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-8/0"}) {
 		t.Fatalf("on the machine: %v, want only the task of which nothing is known", got)
 	}
 	// The leader sees neither the submission nor the cancel: it looks again by itself.
@@ -94,7 +94,7 @@
 	cluster.runSeconds(leader, []*standin.Worker{worker}, int(reconciliation.LookupValidFor/clock.Second)+2)
 	cluster.lookUpOrphans(leader)
 	cluster.settle(leader)
-	if got := worker.Live(); len(got) != 0 {
+	if got := worker.LiveTasks(); len(got) != 0 {
 		t.Errorf("on the machine: %v, long after its job was cancelled", got)
 	}
 }
@@ -129,11 +129,11 @@
 	cluster, _, leader, worker := clusterWithWorker(t)
 	reportUnknownTasks(t, leader, worker, 200)
 	heartbeat(t, leader, worker) // a newer report
-	before := cluster.state.Requests()
+	before := cluster.state.RequestCount()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	leader.lookUpOrphans(ctx)
-	if reads := cluster.state.Requests() - before; reads != 0 {
+	if reads := cluster.state.RequestCount() - before; reads != 0 {
 		t.Errorf("%d requests for a report that was no longer true", reads)
 	}
 }
--- a/placement_test.go
+++ b/placement_test.go
@@ -26,7 +26,7 @@
 	}))
 	cluster.resync(oldLeader)
 	cluster.settle(oldLeader)
-	if got := worker.Live(); len(got) != 1 {
+	if got := worker.LiveTasks(); len(got) != 1 {
 		t.Fatalf("at most one of two in a zone: %v", got)
 	}
 	stop()
@@ -34,7 +34,7 @@
 	other := cluster.worker("n-2", "x", false)
 	heartbeat(t, newLeader, other)
 	cluster.settle(newLeader)
-	if got := other.Starts(); len(got) != 0 {
+	if got := other.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("second replica in the zone: %v", got)
 	}
 }
@@ -88,13 +88,13 @@
 	cluster.resync(leader)
 	cluster.settle(leader)
 	if startCount(here, "j-1") != 2 || startCount(here, "j-2") != 4 {
-		t.Fatalf("started %v, %v and %v", here[0].Starts(), here[1].Starts(), here[2].Starts())
+		t.Fatalf("started %v, %v and %v", here[0].StartedAttempts(), here[1].StartedAttempts(), here[2].StartedAttempts())
 	}
 	// One with some of the array is gone, and the zone has no room for that.
 	lost := slices.IndexFunc(here, func(worker *standin.Worker) bool { return startCount([]*standin.Worker{worker}, "j-2") > 0 })
-	leader.returnMachines(t.Context(), []string{here[lost].Beats.Machine})
+	leader.returnMachines(t.Context(), []string{here[lost].Identity.Machine})
 	for _, worker := range here {
-		worker.Unreachable(true)
+		worker.SetUnreachable(true)
 	}
 	for range 6 {
 		for _, worker := range there {
@@ -144,12 +144,12 @@
 	for at := 0; at < 240; at += 4 {
 		cluster.advance(4 * time.Second)
 		// One of the two small tasks ends each time, and another job comes.
-		if live := worker.Live(); len(live) > 0 {
+		if live := worker.LiveTasks(); len(live) > 0 {
 			if live[0][:4] == "j-1/" {
 				began = at
 				break
 			}
-			worker.End(live[0], wire.CauseDone)
+			worker.EndTask(live[0], wire.CauseDone)
 			small()
 		}
 		heartbeat(t, leader, worker)
--- a/process_pause_test.go
+++ b/process_pause_test.go
@@ -36,7 +36,7 @@
 	cluster.clock.Advance(32 * time.Second)
 
 	leader.sendCommand(t.Context(), command)
-	if got := worker.Starts(); len(got) != 0 {
+	if got := worker.StartedAttempts(); len(got) != 0 {
 		t.Errorf("a direct command of before was sent: %v", got)
 	}
 	leader.returnMachines(t.Context(), []string{"n-1"})
@@ -44,7 +44,7 @@
 		t.Errorf("a machine was returned on what was known before: %v", got)
 	}
 	leader.rentMachines(t.Context(), cloud.Rental{MachineType: "b", Zone: "x", Count: 3})
-	if got := cluster.cloud.Asked(); len(got) != 0 {
+	if got := cluster.cloud.RentalRequests(); len(got) != 0 {
 		t.Errorf("machines were rented on what was known before: %v", got)
 	}
 	if _, ok := leader.Heartbeat(&report); ok {
--- a/quota_failover_test.go
+++ b/quota_failover_test.go
@@ -23,14 +23,14 @@
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 4 }))
 	cluster.resync(oldLeader)
 	cluster.settle(oldLeader)
-	if got := worker.Live(); len(got) != 2 {
+	if got := worker.LiveTasks(); len(got) != 2 {
 		t.Fatalf("limit of 4 CPUs, tasks of 2: %v", got)
 	}
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
 	heartbeat(t, newLeader, other)
 	cluster.settle(newLeader)
-	if got := other.Starts(); len(got) != 0 {
+	if got := other.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("beyond the limit after a change of leaders: %v", got)
 	}
 }
@@ -54,15 +54,15 @@
 	newLeader, _ := cluster.elect(nodeB)
 	heartbeat(t, newLeader, other)
 	cluster.settle(newLeader)
-	if got := other.Starts(); len(got) != 0 {
-		t.Fatalf("beyond the limit: %v while %v are on another machine", got, worker.Live())
+	if got := other.StartedAttempts(); len(got) != 0 {
+		t.Fatalf("beyond the limit: %v while %v are on another machine", got, worker.LiveTasks())
 	}
 	heartbeat(t, newLeader, worker)
 	heartbeat(t, newLeader, worker)
 	cluster.settle(newLeader)
 	heartbeat(t, newLeader, other)
 	cluster.settle(newLeader)
-	if got := len(other.Starts()) + len(worker.Live()); got != 1 {
+	if got := len(other.StartedAttempts()) + len(worker.LiveTasks()); got != 1 {
 		t.Fatalf("%d tasks after the cancelled ones were gone", got)
 	}
 }
@@ -86,10 +86,10 @@
 				}
 				cluster.resync(l)
 				cluster.settle(l)
-				if got := hung.Live(); len(got) != 2 {
+				if got := hung.LiveTasks(); len(got) != 2 {
 					t.Fatalf("on the machine: %v", got)
 				}
-				hung.Unreachable(true)
+				hung.SetUnreachable(true)
 				for _, uid := range uids {
 					if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); code != http.StatusOK {
 						t.Fatalf("abort: %d", code)
@@ -101,7 +101,7 @@
 					heartbeat(t, leader, other)
 					cluster.settle(leader)
 					heartbeat(t, leader, other)
-					if got := other.Starts(); len(got) != 0 {
+					if got := other.StartedAttempts(); len(got) != 0 {
 						t.Fatalf("%s: %v started beyond the limit", when, got)
 					}
 				}
@@ -122,16 +122,16 @@
 						cluster.advance(time.Second)
 						nothing("before the lease's end", l)
 					}
-					hung.Expire()
+					hung.ExpireLease()
 					cluster.advance(4 * time.Second)
 				case "return":
 					l.returnMachines(t.Context(), []string{"n-1"})
 				case "newer session":
-					hung.Expire()
-					hung.Unreachable(false)
+					hung.ExpireLease()
+					hung.SetUnreachable(false)
 					heartbeat(t, l, hung)
 				case "halted":
-					hung.Unreachable(false)
+					hung.SetUnreachable(false)
 					for range 2 {
 						heartbeat(t, l, hung)
 						cluster.settle(l)
@@ -140,10 +140,10 @@
 				heartbeat(t, l, other)
 				cluster.settle(l)
 				heartbeat(t, l, other)
-				if got := len(other.Live()) + len(hung.Live()); proof == "return" && len(other.Live()) != 2 || proof != "return" && got != 2 {
+				if got := len(other.LiveTasks()) + len(hung.LiveTasks()); proof == "return" && len(other.LiveTasks()) != 2 || proof != "return" && got != 2 {
 					t.Errorf("%d tasks run after the proof, want 2: the room is not used", got)
 				}
-				for _, k := range append(hung.Live(), other.Live()...) {
+				for _, k := range append(hung.LiveTasks(), other.LiveTasks()...) {
 					if proof != "return" && !strings.HasPrefix(k, "j-3/") {
 						t.Errorf("%s still runs", k)
 					}
@@ -166,8 +166,8 @@
 		cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 4/float64(pieces) }))
 		cluster.resync(leader)
 		cluster.settle(leader)
-		for _, p := range worker.Live() {
-			worker.End(p, wire.CauseDone)
+		for _, p := range worker.LiveTasks() {
+			worker.EndTask(p, wire.CauseDone)
 		}
 		heartbeat(t, leader, worker)
 		leader.mu.Lock()
@@ -182,7 +182,7 @@
 		heartbeat(t, leader, other)
 		cluster.settle(leader)
 		heartbeat(t, leader, other)
-		if got := other.Starts(); len(got) != 1 {
+		if got := other.StartedAttempts(); len(got) != 1 {
 			t.Errorf("%d tasks a job: %v started beside tasks that have ended, want the job that waits", pieces, got)
 		}
 	}
@@ -211,7 +211,7 @@
 	newLeader, _ := cluster.elect(nodeB)
 	heartbeat(t, newLeader, other)
 	cluster.settle(newLeader)
-	if got := other.Live(); len(got) != 2 {
+	if got := other.LiveTasks(); len(got) != 2 {
 		t.Fatalf("the successor's tasks: %v", got)
 	}
 	if oldLeader.commit(t.Context(), held) {
@@ -222,7 +222,7 @@
 	if response, ok := oldLeader.Heartbeat(&report); ok {
 		t.Errorf("the paused leader answers a heartbeat: %+v", response)
 	}
-	if got := worker.Starts(); len(got) != 0 {
+	if got := worker.StartedAttempts(); len(got) != 0 {
 		t.Errorf("the paused leader's tasks started: %v", got)
 	}
 }
@@ -233,30 +233,30 @@
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(4))
 	_, worker, stop := leadWithJob(t, nodeA, cluster, 6)
-	first := worker.Live()
+	first := worker.LiveTasks()
 	if len(first) != 4 {
 		t.Fatalf("four tasks of 2 cores under a limit of 8: %v", first)
 	}
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
-	started := len(worker.Starts())
+	started := len(worker.StartedAttempts())
 	for _, task := range first {
 		heartbeat(t, newLeader, worker)
 		cluster.settle(newLeader)
-		if got := len(worker.Live()); got > 4 {
+		if got := len(worker.LiveTasks()); got > 4 {
 			t.Fatalf("%d tasks run", got)
 		}
 		newLeader.mu.Lock()
 		use := newLeader.quota.Usage("team")
 		newLeader.mu.Unlock()
-		if grown := len(worker.Starts()) - started; grown > 0 && use.Total.Cores > quota.ToUnits(4) {
+		if grown := len(worker.StartedAttempts()) - started; grown > 0 && use.Total.Cores > quota.ToUnits(4) {
 			t.Fatalf("%d tasks started while the team uses %v of 4", grown, use.Total.Cores.Decimal())
 		}
-		worker.End(task, wire.CauseDone)
+		worker.EndTask(task, wire.CauseDone)
 	}
 	heartbeat(t, newLeader, worker)
 	cluster.settle(newLeader)
-	if got := worker.Live(); len(got) != 2 {
+	if got := worker.LiveTasks(); len(got) != 2 {
 		t.Errorf("the last two tasks: %v", got)
 	}
 }
--- a/quota_guarantees_test.go
+++ b/quota_guarantees_test.go
@@ -84,7 +84,7 @@
 			}
 			for _, submission := range sim.schedule.submissions {
 				sim.mu.Lock()
-				accepted := sim.views[submission.spec.UID].accepted
+				accepted := sim.observed.views[submission.spec.UID].accepted
 				sim.mu.Unlock()
 				if !accepted {
 					t.Errorf("%s is not accepted", submission.spec.UID)
--- a/quota_test.go
+++ b/quota_test.go
@@ -48,17 +48,17 @@
 	cluster := newTestCluster(t)
 	node := cluster.node(withTeamLimit(2))
 	leader, worker, _ := leadWithJob(t, node, cluster, 2)
-	running := worker.Live()
+	running := worker.LiveTasks()
 	if len(running) != 1 {
 		t.Fatalf("one task of 2 cores under a limit of 2: %v", running)
 	}
-	worker.End(running[0], wire.CauseDone)
+	worker.EndTask(running[0], wire.CauseDone)
 	late := worker.Report() // of the first task's end
 	for range 3 {
 		heartbeat(t, leader, worker)
 		cluster.settle(leader)
 	}
-	if got := worker.Live(); len(got) != 1 || got[0] == running[0] {
+	if got := worker.LiveTasks(); len(got) != 1 || got[0] == running[0] {
 		t.Fatalf("after the first task's end: %v", got)
 	}
 	used := func() float64 {
@@ -75,7 +75,7 @@
 		}
 	}
 	cluster.settle(leader)
-	if got := worker.Starts(); len(got) != 2 {
+	if got := worker.StartedAttempts(); len(got) != 2 {
 		t.Errorf("starts %v, want each task once", got)
 	}
 }
@@ -126,7 +126,7 @@
 		facts.Teams = append(facts.Teams, config.Team{Name: "owner", CPUs: 2})
 	})
 	leader, worker, _ := leadWithJob(t, node, cluster, 8)
-	if got := worker.Live(); len(got) != 4 {
+	if got := worker.LiveTasks(); len(got) != 4 {
 		t.Fatalf("four tasks of 2 cores on 8: %v", got)
 	}
 	for i := range 3 {
@@ -139,15 +139,15 @@
 		cluster.advance(time.Second)
 	}
 	own := 0
-	for _, task := range worker.Live() {
+	for _, task := range worker.LiveTasks() {
 		if !strings.HasPrefix(task, "j-1/") {
 			own++
 		}
 	}
-	if len(worker.Live()) != 5 || own != 2 {
-		t.Errorf("%v run, want two of the guaranteed team's", worker.Live())
+	if len(worker.LiveTasks()) != 5 || own != 2 {
+		t.Errorf("%v run, want two of the guaranteed team's", worker.LiveTasks())
 	}
-	if starts := len(worker.Starts()); starts != 4+2 {
+	if starts := len(worker.StartedAttempts()); starts != 4+2 {
 		t.Errorf("%d starts, want 6: nothing is pushed to and fro", starts)
 	}
 }
--- a/random_schedules_test.go
+++ b/random_schedules_test.go
@@ -31,7 +31,9 @@
 }
 
 // The same again with messages that are held and delivered late.
-func TestRandomSchedulesWithHeldMessages(t *testing.T) { playRandomSchedules(t, *heldCount, randomHeldSchedule) }
+func TestRandomSchedulesWithHeldMessages(t *testing.T) {
+	playRandomSchedules(t, *heldCount, randomHeldSchedule)
+}
 
 // The same with each hold in one direction only.
 func TestRandomSchedulesWithOneWayHolds(t *testing.T) {
@@ -59,7 +61,7 @@
 		sim := newSimulation(ctx, t, schedule)
 		sim.run()
 		for _, submission := range schedule.submissions {
-			if submission.spec.Kind == wire.KindBatch && !sim.views[submission.spec.UID].done {
+			if submission.spec.Kind == wire.KindBatch && !sim.observed.views[submission.spec.UID].done {
 				t.Errorf("%s is not done", submission.spec.UID)
 			}
 		}
--- a/recording_test.go
+++ b/recording_test.go
@@ -19,22 +19,22 @@
 		cluster, node, leader, worker := clusterWithWorker(t)
 		cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = tasks, 0.05, 0.1 }))
 		cluster.resync(leader)
-		before := cluster.state.Puts()
+		before := cluster.state.ChangeCount()
 		cluster.settle(leader)
-		placed = cluster.state.Puts() - before
-		if len(worker.Live()) != tasks {
-			t.Fatalf("%d of %d tasks run", len(worker.Live()), tasks)
+		placed = cluster.state.ChangeCount() - before
+		if len(worker.LiveTasks()) != tasks {
+			t.Fatalf("%d of %d tasks run", len(worker.LiveTasks()), tasks)
 		}
-		before = cluster.state.Puts()
+		before = cluster.state.ChangeCount()
 		for i := range tasks - 1 {
-			worker.End(fmt.Sprintf("j-1/%d", i), wire.CauseDone)
+			worker.EndTask(fmt.Sprintf("j-1/%d", i), wire.CauseDone)
 			heartbeat(t, leader, worker)
 			cluster.settle(leader)
 		}
 		cluster.advance(3 * time.Second)
 		heartbeat(t, leader, worker)
 		cluster.settle(leader)
-		return placed, cluster.state.Puts() - before
+		return placed, cluster.state.ChangeCount() - before
 	}
 	fewPlaced, fewEnded := puts(6)
 	manyPlaced, manyEnded := puts(110)
@@ -61,15 +61,15 @@
 		for k := range jobs {
 			cluster.submit(nodeA, jobSpec(uid(k), func(spec *wire.Spec) { spec.Cores, spec.RAM = 0.25, 0.5 }))
 		}
-		accepted := cluster.state.Puts()
+		accepted := cluster.state.ChangeCount()
 		cluster.resync(l)
 		ended := map[string]bool{}
 		work := func(leader *leader, rounds int) {
 			for range rounds {
 				cluster.settle(leader)
 				for _, worker := range workers {
-					for _, p := range worker.Live() {
-						worker.End(p, wire.CauseDone)
+					for _, p := range worker.LiveTasks() {
+						worker.EndTask(p, wire.CauseDone)
 						ended[p] = true
 					}
 					heartbeat(t, leader, worker)
@@ -93,7 +93,7 @@
 		}
 		seen := map[string]bool{}
 		for _, worker := range workers {
-			for _, k := range worker.Starts() {
+			for _, k := range worker.StartedAttempts() {
 				if seen[k] {
 					t.Errorf("%s started twice", k)
 				}
@@ -111,7 +111,7 @@
 		if left := cluster.state.Keys(store.PrefixShared); len(left) > 1 {
 			t.Errorf("shared records left: %v", left)
 		}
-		return float64(cluster.state.Puts()-accepted) / float64(jobs)
+		return float64(cluster.state.ChangeCount()-accepted) / float64(jobs)
 	}
 	// One for the end, two for the move, and a share of the attempts'.
 	small, large := puts(120), puts(480)
@@ -144,8 +144,8 @@
 	leader.mu.Unlock()
 	cluster.runSeconds(leader, workers, 3)
 	for _, worker := range workers {
-		for _, p := range worker.Live() {
-			worker.End(p, wire.CauseDone)
+		for _, p := range worker.LiveTasks() {
+			worker.EndTask(p, wire.CauseDone)
 		}
 	}
 	for k := range 30 {
@@ -153,7 +153,7 @@
 	}
 	cluster.resync(leader)
 	cluster.runSeconds(leader, workers, 12)
-	if got := cluster.state.TooMany(); got != 0 {
+	if got := cluster.state.OversizedCount(); got != 0 {
 		t.Errorf("%d transactions were refused for their size", got)
 	}
 	if got := cluster.state.Keys(store.PrefixJob); len(got) != 0 {
--- a/resignation_test.go
+++ b/resignation_test.go
@@ -129,7 +129,7 @@
 	for i := range 4 {
 		worker := cluster.worker("n-"+string(rune('1'+i)), "x", true)
 		heartbeat(t, leader, worker)
-		worker.Unreachable(true)
+		worker.SetUnreachable(true)
 		all = append(all, worker)
 	}
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 4, 8 }))
@@ -146,7 +146,7 @@
 	for cluster.state.Value(store.KeyLead, nil) {
 		runtime.Gosched()
 	}
-	if len(cluster.cloud.Asked()) != 0 && len(cluster.cloud.Hosts()) == 0 {
+	if len(cluster.cloud.RentalRequests()) != 0 && len(cluster.cloud.Machines()) == 0 {
 		t.Error("machines were returned for the leader's own fault")
 	}
 }
@@ -177,7 +177,7 @@
 		t.Errorf("beat: %d %s", recorder.Code, recorder.Body)
 	}
 	cluster.settle(leader)
-	if len(worker.Starts()) != 0 {
+	if len(worker.StartedAttempts()) != 0 {
 		t.Error("ordered something")
 	}
 	for _, path := range []string{"/j-1", "/j-2"} {
--- a/team_reports_test.go
+++ b/team_reports_test.go
@@ -47,7 +47,7 @@
 	if diff := cmp.Diff(want, look()); diff != "" {
 		t.Errorf("at its limit: %s", diff)
 	}
-	worker.Unreachable(true) // direct commands don't arrive
+	worker.SetUnreachable(true) // direct commands don't arrive
 	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
@@ -67,7 +67,7 @@
 
 // askTeams asks a controller of a world for the teams' use as an operator does.
 func (w *simulation) askTeams(node int) (quota.Report, error) {
-	process := w.runningProcess(fmt.Sprintf("node-%d", node+1))
+	process := w.runningProcess(controllerName(node))
 	if process == nil {
 		return quota.Report{}, errNoResponse
 	}
@@ -117,7 +117,7 @@
 		})
 		sim.runAt(100, func() {
 			for node := range 3 {
-				if report, err := sim.askTeams(node); err != nil || !report.Fresh || report.AgeS != 0 || report.Node != fmt.Sprintf("node-%d", node+1) {
+				if report, err := sim.askTeams(node); err != nil || !report.Fresh || report.AgeS != 0 || report.Node != controllerName(node) {
 					t.Errorf("node %d when all is well again: %+v, %v", node+1, report, err)
 				}
 			}
--- a/total_loss_test.go
+++ b/total_loss_test.go
@@ -121,7 +121,7 @@
 				sim.checkAllServed()
 			})
 			lost := loss.lostAt(sim)
-			for _, f := range events.violations(lost, lost.Add(seconds(loss.outageS)), lost.Add(seconds(loss.outageS)+recoveryCheckTime), func(uid string) bool { return sim.views[uid].cancelRequested }) {
+			for _, f := range events.violations(lost, lost.Add(seconds(loss.outageS)), lost.Add(seconds(loss.outageS)+recoveryCheckTime), func(uid string) bool { return sim.observed.views[uid].cancelRequested }) {
 				t.Error(f)
 			}
 		})
--- a/unresponsive_machines_test.go
+++ b/unresponsive_machines_test.go
@@ -60,7 +60,7 @@
 		leader.mu.Unlock()
 	}
 	cluster.settle(newLeader)
-	if got := other.Starts(); len(got) != 1 {
+	if got := other.StartedAttempts(); len(got) != 1 {
 		t.Errorf("replica not replaced: %v", got)
 	}
 }
@@ -82,7 +82,7 @@
 	s.settle(leader)
 	for _, worker := range hung {
 		heartbeat(s.tb, leader, worker)
-		worker.Unreachable(true)
+		worker.SetUnreachable(true)
 	}
 	var rest []*standin.Worker
 	for i := range others {
@@ -146,7 +146,7 @@
 		heartbeat(t, leader, cluster.worker(fmt.Sprintf("n-9%d", i), "z", false))
 	}
 	other := cluster.worker("n-2", "y", true)
-	worker.Unreachable(true)
+	worker.SetUnreachable(true)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
 	cluster.settle(leader)
@@ -159,7 +159,7 @@
 		t.Fatal("still given work")
 	}
 	heartbeat(t, leader, other)
-	if len(other.Starts()) != 0 {
+	if len(other.StartedAttempts()) != 0 {
 		t.Fatal("its task was started elsewhere without proof")
 	}
 	for known := true; known; {
@@ -178,7 +178,7 @@
 		t.Error("a returned machine came back with a late report")
 	}
 	cluster.settle(leader)
-	if got := other.Starts(); len(got) != 1 {
+	if got := other.StartedAttempts(); len(got) != 1 {
 		t.Errorf("its task was not started elsewhere: %v", got)
 	}
 }
@@ -187,7 +187,7 @@
 func TestUnacknowledgingMachineRecovers(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	leader.operator.Fleet.Enabled = false // nothing is returned
-	worker.Unreachable(true)
+	worker.SetUnreachable(true)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
 	cluster.settle(leader)
@@ -199,12 +199,12 @@
 	if cluster.machineUsable(leader, "n-1") && leader.fleet.Machine("n-1").QuarantineReason == "" {
 		t.Fatal("not banned")
 	}
-	worker.Unreachable(false)
+	worker.SetUnreachable(false)
 	heartbeat(t, leader, worker)
 	heartbeat(t, leader, worker)
 	cluster.settle(leader)
-	if !cluster.machineUsable(leader, "n-1") || leader.fleet.Machine("n-1").QuarantineReason != "" || len(worker.Starts()) != 1 {
-		t.Errorf("banned %q after it heard again, starts %v", leader.fleet.Machine("n-1").QuarantineReason, worker.Starts())
+	if !cluster.machineUsable(leader, "n-1") || leader.fleet.Machine("n-1").QuarantineReason != "" || len(worker.StartedAttempts()) != 1 {
+		t.Errorf("banned %q after it heard again, starts %v", leader.fleet.Machine("n-1").QuarantineReason, worker.StartedAttempts())
 	}
 }
 
@@ -214,21 +214,21 @@
 	cluster, node, leader, worker := clusterWithWorker(t)
 	held := worker.Report()
 	cluster.advance(8 * time.Second)
-	worker.Unreachable(true)
+	worker.SetUnreachable(true)
 	deliverReport(t, leader, held)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
 	cluster.settle(leader)
-	if cluster.machineUsable(leader, "n-1") || len(worker.Starts()) != 0 {
+	if cluster.machineUsable(leader, "n-1") || len(worker.StartedAttempts()) != 0 {
 		t.Fatal("revived by a late copy")
 	}
-	worker.Unreachable(false)
+	worker.SetUnreachable(false)
 	heartbeat(t, leader, worker)
 	cluster.settle(leader)
 	heartbeat(t, leader, worker)
 	cluster.settle(leader)
-	if !cluster.machineUsable(leader, "n-1") || len(worker.Starts()) != 1 {
-		t.Errorf("not trusted after it answered; starts %v", worker.Starts())
+	if !cluster.machineUsable(leader, "n-1") || len(worker.StartedAttempts()) != 1 {
+		t.Errorf("not trusted after it answered; starts %v", worker.StartedAttempts())
 	}
 }
 
@@ -246,11 +246,11 @@
 	for range 3 {
 		cluster.advance(time.Second)
 		report := worker.Report()
-		worker.Take(deliverReport(t, leader, report))
+		worker.HandleResponse(deliverReport(t, leader, report))
 		cluster.settle(leader)
 	}
-	if got := worker.Live(); !cmp.Equal(got, []string{"j-1/0"}) || len(worker.Starts()) != 2 {
-		t.Errorf("on the machine %v, starts %v", got, worker.Starts())
+	if got := worker.LiveTasks(); !cmp.Equal(got, []string{"j-1/0"}) || len(worker.StartedAttempts()) != 2 {
+		t.Errorf("on the machine %v, starts %v", got, worker.StartedAttempts())
 	}
 	if !cluster.machineUsable(leader, "n-1") {
 		t.Error("the new process is ignored")
@@ -293,16 +293,16 @@
 	worker := cluster.worker("n-1", "x", true)
 	report := worker.Report()
 	response, _ := leader.Heartbeat(&report)
-	worker.Take(response)
+	worker.HandleResponse(response)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.resync(leader)
 	cluster.settle(leader)
-	if cluster.machineUsable(leader, "n-1") || len(worker.Starts()) != 0 {
+	if cluster.machineUsable(leader, "n-1") || len(worker.StartedAttempts()) != 0 {
 		t.Fatal("trusted on a report that may be a copy")
 	}
 	cluster.advance(time.Second)
 	cluster.settle(leader)
-	if !cluster.machineUsable(leader, "n-1") || len(worker.Starts()) != 1 {
-		t.Errorf("not trusted after its answer to a question; started %v", worker.Starts())
+	if !cluster.machineUsable(leader, "n-1") || len(worker.StartedAttempts()) != 1 {
+		t.Errorf("not trusted after its answer to a question; started %v", worker.StartedAttempts())
 	}
 }
--- a/user_requests_test.go
+++ b/user_requests_test.go
@@ -110,7 +110,7 @@
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.cloud.Trouble = true
+	cluster.cloud.Unavailable = true
 	cluster.clock.Advance(100 * time.Second)
 	cluster.submit(node, jobSpec("j-2", nil))
 	cluster.clock.Advance(30 * time.Second)
@@ -121,10 +121,10 @@
 	if code, _, _ := cluster.ask(cluster.node(nil), http.MethodPost, wire.PathJobs, jobSpec("j-4", nil)); code != http.StatusServiceUnavailable {
 		t.Errorf("judged by no catalogue: %d", code)
 	}
-	cluster.cloud.Trouble = false
+	cluster.cloud.Unavailable = false
 	small := largeMachineType
 	small.Cores = 1
-	cluster.cloud.Builds = []wire.MachineType{small}
+	cluster.cloud.MachineTypes = []wire.MachineType{small}
 	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec("j-5", nil)); code != http.StatusUnprocessableEntity {
 		t.Errorf("a job that fits no machine of now: %d", code)
 	}
@@ -151,7 +151,7 @@
 		t.Errorf("the other node still says %q", status.Status)
 	}
 	cluster.submit(nodeB, jobSpec("j-2", nil))
-	cluster.state.Forget() // the history of changes is gone: all is read again
+	cluster.state.Compact() // the history of changes is gone: all is read again
 	if code, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 200 || status.Status != wire.JobQueued {
 		t.Errorf("after the history was gone: %d %+v", code, status)
 	}
@@ -190,15 +190,15 @@
 			}
 			cluster.checkAnswers("cancelled", cluster.askEverywhere(nodes, "j-2", true), wire.JobCancelled, "503")
 			cluster.resync(leader)
-			worker.End("j-1/0", wire.CauseDone)
+			worker.EndTask("j-1/0", wire.CauseDone)
 			heartbeat(t, leader, worker)
 			cluster.settle(leader)
 			if _, status := cluster.askUntilAnswered(nodes, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobDone {
 				t.Fatalf("ended: %+v", status)
 			}
 			cluster.checkAnswers("done", cluster.askEverywhere(nodes, "j-1", true), wire.JobDone, "503")
-			cluster.state.Deliver()
-			cluster.state.Repeat()
+			cluster.state.DeliverDelayed()
+			cluster.state.RepeatTransactions()
 			cluster.checkAnswers("cancelled, after late transactions", cluster.askEverywhere(nodes, "j-2", true), wire.JobCancelled)
 			cluster.checkAnswers("done, after late transactions", cluster.askEverywhere(nodes, "j-1", true), wire.JobDone)
 			for _, k := range cluster.state.Keys(store.PrefixJob) {
