--- a/concurrent_failures_test.go
+++ b/concurrent_failures_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -84,7 +83,7 @@
 		defer sim.mu.Unlock()
 		began := map[string]time.Time{}
 		for p, when := range sim.observed.firstStarts {
-			uid, _, _ := strings.Cut(p, "/")
+			uid := jobOf(p)
 			if b, ok := began[uid]; !ok || when.Before(b) {
 				began[uid] = when
 			}
@@ -149,7 +148,7 @@
 	limits := map[string]float64{"tight": tightLimit, "narrow": 4}
 	schedule := faultSchedule{seed: 4, duration: seconds(80), limits: map[string]float64{"narrow": 4}, firstLeader: 1}
 	for i, when := range []float64{25.6, 29, 36, 47} {
-		schedule.faults = append(schedule.faults, scheduledFault{kind: controllerKilled, at: seconds(when), duration: seconds(0.5), controller: 3, machine: i})
+		schedule.faults = append(schedule.faults, scheduledFault{kind: controllerKilled, at: seconds(when), duration: seconds(0.5), controller: currentLeader, machine: i})
 	}
 	n := 0
 	var cancelled []string
@@ -174,10 +173,10 @@
 	schedule.setup = func(sim *simulation) {
 		sim.runAt(25, func() { // the machines of what is cancelled: every other hangs, or is cut off
 			for i, machine := range sim.cloud.Machines() {
-				if slices.ContainsFunc(machine.RunningTasks(), func(p string) bool { uid, _, _ := strings.Cut(p, "/"); return slices.Contains(cancelled, uid) }) {
-					kinds := []string{machineHangs}
+				if slices.ContainsFunc(machine.RunningTasks(), func(p string) bool { uid := jobOf(p); return slices.Contains(cancelled, uid) }) {
+					kinds := []faultKind{machineHangs}
 					if i%2 == 1 {
-						kinds = []string{machineReceivesNothing, machineSendsNothing}
+						kinds = []faultKind{machineReceivesNothing, machineSendsNothing}
 					}
 					for k, kind := range kinds {
 						sim.wg.Go(func() {
@@ -236,7 +235,7 @@
 			lost++
 			sim.wg.Go(func() {
 				time.Sleep(200 * time.Millisecond)
-				sim.injectFault(100+lost, scheduledFault{kind: controllerKilled, controller: 3, duration: seconds(3)})
+				sim.injectFault(100+lost, scheduledFault{kind: controllerKilled, controller: currentLeader, duration: seconds(3)})
 			})
 			return false, time.Minute
 		}
--- a/fleet_of_four_thousand_test.go
+++ b/fleet_of_four_thousand_test.go
@@ -14,7 +14,7 @@
 		timing: workerTiming{report: 6 * time.Second, lease: 24 * time.Second, cancel: 60 * time.Second}}
 	schedule.submissions[0].cancelAfter = seconds(60) // in the outage, or right after it
 	schedule.faults = []scheduledFault{
-		{kind: controllerKilled, at: seconds(32), duration: seconds(1), controller: 3},
+		{kind: controllerKilled, at: seconds(32), duration: seconds(1), controller: currentLeader},
 		{kind: stateRefusesAll, at: seconds(50), duration: seconds(12)},
 		{kind: zoneIsolated, at: seconds(70), duration: seconds(30), machine: 0},
 	}
--- a/harness_checks_test.go
+++ b/harness_checks_test.go
@@ -4,91 +4,98 @@
 	"fmt"
 	"net/http"
 	"slices"
-	"strings"
 	"time"
 
 	"cedardoor/fleet"
+	"cedardoor/internal/standin"
 	"cedardoor/planinput"
 	"cedardoor/store"
 	"cedardoor/wire"
 )
 
-func (w *simulation) logf(format string, args ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.history = append(w.history, fmt.Sprintf("%8.3f ", time.Since(w.startedAt).Seconds())+fmt.Sprintf(format, args...))
+// logf adds an entry to the history, which is logged when the test fails.
+func (s *simulation) logf(format string, args ...any) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.history = append(s.history, fmt.Sprintf("%8.3f ", time.Since(s.startedAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (w *simulation) recordViolation(rule, format string, args ...any) {
+// recordViolation records that a rule of the protocol was violated.
+func (s *simulation) recordViolation(rule, format string, args ...any) {
 	text := rule + ": " + fmt.Sprintf(format, args...)
-	w.logf("BROKEN %s", text)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.violations = append(w.violations, fmt.Sprintf("at %.3f s ", time.Since(w.startedAt).Seconds())+text)
+	s.logf("VIOLATION %s", text)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.violations = append(s.violations, fmt.Sprintf("at %.3f s ", time.Since(s.startedAt).Seconds())+text)
 }
 
-// monitor looks at the machines, and lets holds of the state service lapse, all the time.
-func (w *simulation) monitor() {
-	for w.ctx.Err() == nil {
-		time.Sleep(100 * time.Millisecond)
-		w.state.Keys("lead")
-		for uid, since := range w.overdueCancellations() {
-			for _, machine := range w.hostsOf(uid) {
-				for _, p := range liveTasks(machine, uid) {
-					w.mu.Lock()
-					told := w.observed.reportedLate[p]
-					w.observed.reportedLate[p] = true
-					w.mu.Unlock()
-					if !told {
-						w.recordViolation("ran_cancelled", "%s is on %s %v after its user was told that it is cancelled", p, machine.Info.UID, time.Since(since))
-					}
-				}
-			}
+// monitorInterval is how often a simulation checks the running tasks.
+const monitorInterval = 100 * time.Millisecond
+
+// monitor checks the running tasks, and lets leases of the state service expire, until the
+// simulation ends.
+func (s *simulation) monitor() {
+	for s.ctx.Err() == nil {
+		time.Sleep(monitorInterval)
+		s.state.Keys("lead")
+		for uid, since := range s.overdueCancellations() {
+			s.checkNotRunning(uid, since)
 		}
 	}
 }
 
-// overdueCancellations lists the jobs whose users were told longer than the allowed time ago that
-// they are cancelled, with when that was.
-func (w *simulation) overdueCancellations() map[string]time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	out := map[string]time.Time{}
-	for uid, view := range w.observed.views {
-		if view.cancelled && time.Since(view.cancelledAt) > w.schedule.timing.cancel {
-			out[uid] = view.cancelledAt
+// checkNotRunning records a violation, once, for each task of a cancelled job that still runs.
+func (s *simulation) checkNotRunning(uid string, cancelledAt time.Time) {
+	for _, machine := range s.hostsOf(uid) {
+		for _, task := range runningTasksOf(machine, uid) {
+			s.mu.Lock()
+			reported := s.observed.reportedLate[task]
+			s.observed.reportedLate[task] = true
+			s.mu.Unlock()
+			if !reported {
+				s.recordViolation("ran_cancelled", "%s is on %s %v after its user was told that it is cancelled", task, machine.Info.UID, time.Since(cancelledAt))
+			}
 		}
 	}
-	return out
 }
 
-// describeLeaderState tells what the leader thinks of a job and the machines, to explain a
-// breach that was found without it.
-func (w *simulation) describeLeaderState(uid string) string {
-	process := w.runningProcess(controllerName(w.leaderIndex()))
-	if process == nil {
-		return "nobody leads"
+// overdueCancellations returns the jobs whose tasks may no longer run, and when their users were
+// told that they are cancelled.
+func (s *simulation) overdueCancellations() map[string]time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	overdue := map[string]time.Time{}
+	for uid, view := range s.observed.views {
+		if view.cancelled && time.Since(view.cancelledAt) > s.schedule.timing.cancel {
+			overdue[uid] = view.cancelledAt
+		}
 	}
-	leader := process.current.Load()
+	return overdue
+}
+
+// describeLeaderState describes the leader's state of a job and the machines, to explain a
+// violation that was found without it.
+func (s *simulation) describeLeaderState(uid string) string {
+	leader := s.activeLeader()
 	if leader == nil {
 		return "nobody leads"
 	}
 	leader.mu.Lock()
 	defer leader.mu.Unlock()
-	spec, _ := w.Job(uid)
-	text := fmt.Sprintf("%+v; leader %s; ", spec, process.name)
+	spec, _ := s.Job(uid)
+	text := fmt.Sprintf("%+v; leader %s; ", spec, leader.cfg.Node)
 	if job := leader.jobs.Get(uid); job == nil {
 		text += "job unknown; "
 	} else {
 		text += fmt.Sprintf("waiting %v of %d queued jobs; ", job.Waiting, leader.jobs.WaitingLen())
 	}
-	record, token := store.TokenRecord{}, uint64(0)
-	w.state.Value(store.KeyToken, &record)
-	token, _ = leader.elector.HoldsLease()
+	var record store.TokenRecord
+	s.state.Value(store.KeyToken, &record)
+	token, _ := leader.elector.HoldsLease()
 	text += fmt.Sprintf("token %d, on record %d; ", token, record.Token)
 	for _, machine := range leader.fleet.Machines() {
-		text += fmt.Sprintf("\n%s %s %s cores %v banned %q cordoned %v usable %v tally %d token %d unheard %d;", machine.Name, machine.Type, machine.Zone, machine.UsedCores, machine.QuarantineReason, machine.Cordoned,
-			planinput.Usable(machine, leader.clock.Now()), machine.Sequence, machine.Token, machine.Unacknowledged)
+		text += fmt.Sprintf("\n%s %s %s cores %v quarantined %q cordoned %v usable %v sequence %d token %d unacknowledged %d;", machine.Name, machine.Type, machine.Zone,
+			machine.UsedCores, machine.QuarantineReason, machine.Cordoned, planinput.Usable(machine, leader.clock.Now()), machine.Sequence, machine.Token, machine.Unacknowledged)
 		machine.EachAllocation(func(allocation *fleet.Allocation) {
 			text += fmt.Sprintf("\n  %v#%d %+v", allocation.Task, allocation.Attempt, *allocation)
 		})
@@ -96,141 +103,179 @@
 	return text
 }
 
-// checkFinalState looks at what is left when all has been quiet for a while.
-func (w *simulation) checkFinalState() {
-	for _, submission := range w.schedule.submissions {
+// checkFinalState checks, after the fault-free tail, that every accepted job is known to all
+// controllers and that no task waits that could run.
+func (s *simulation) checkFinalState() {
+	for _, submission := range s.schedule.submissions {
 		uid := submission.spec.UID
-		w.mu.Lock()
-		view := *w.observed.views[uid]
-		w.mu.Unlock()
+		s.mu.Lock()
+		view := *s.observed.views[uid]
+		s.mu.Unlock()
 		if !view.accepted {
 			continue
 		}
-		for n := range 3 {
-			if status, v := w.request(n, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); status != http.StatusOK {
-				w.recordViolation("forgotten", "%s: %d %+v from node %d after all troubles", uid, status, v, n+1)
+		for controller := range controllerCount {
+			if code, status := s.request(controller, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); code != http.StatusOK {
+				s.recordViolation("forgotten", "%s: %d %+v from node %d after all faults", uid, code, status, controller+1)
 			}
 		}
 	}
-	// What came free a moment ago is on its way to somebody, and a task that is being
-	// moved does not wait: what counts is the same room for the same task, all the time.
-	still := w.unplacedTasks(false)
+	for task, reasons := range s.lastingUnplacedTasks() {
+		uid := jobOf(task)
+		// Its user may have stopped polling before it was done.
+		if _, status := s.request(0, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); status.Status != wire.JobDone {
+			s.recordViolation("waits", "%s waits %v: %s", task, reasons, s.describeLeaderState(uid))
+		}
+	}
+}
+
+// lastingUnplacedTasks returns the unplaced tasks with the capacity that remains free for them for
+// five seconds: capacity that has just become free may be allocated already, and a task that is
+// being moved is not unplaced for long.
+func (s *simulation) lastingUnplacedTasks() map[string][]string {
+	lasting := s.unplacedTasks(false)
 	for range 20 {
 		time.Sleep(250 * time.Millisecond)
-		now := w.unplacedTasks(false)
-		for p, why := range still {
-			if why = slices.DeleteFunc(why, func(x string) bool { return !slices.Contains(now[p], x) }); len(why) == 0 {
-				delete(still, p)
+		now := s.unplacedTasks(false)
+		for task, reasons := range lasting {
+			reasons = slices.DeleteFunc(reasons, func(reason string) bool { return !slices.Contains(now[task], reason) })
+			if len(reasons) == 0 {
+				delete(lasting, task)
 			} else {
-				still[p] = why
+				lasting[task] = reasons
 			}
 		}
 	}
-	for p, why := range still {
-		uid, _, _ := strings.Cut(p, "/")
-		// Its user may have stopped asking before it was done.
-		if _, status := w.request(0, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); status.Status != wire.JobDone {
-			w.recordViolation("waits", "%s waits %v: %s", p, why, w.describeLeaderState(uid))
-		}
-	}
+	return lasting
 }
 
-// maxGangWait is how long no task of a job may begin that could have a machine: the
-// rules give it 90 s while a machine has room, and one for it takes some to boot.
+// maxGangWait is for how long no task of a same-zone or spread job may start that could have a
+// machine: 90 s while a machine has capacity, less the time in which a machine boots.
 const maxGangWait = 80 * time.Second
 
-// unplacedTasks names the tasks that are on no machine though one has room for them
-// and their team's limit allows it, with all such room; with rent also those for which the cloud would
-// rent one, and without it those of a job that is to be in one zone or apart of which
-// nothing has begun for long, too. A task that was done on a machine that was lost
-// with the result must run again, unless its job is called done.
-func (w *simulation) unplacedTasks(rent bool) map[string][]string {
-	out := map[string][]string{}
-	on := map[string]bool{}
-	used := map[string]float64{}
-	zones := map[string]map[string]int{} // of each job's tasks
-	all := w.cloud.Machines()
-	for _, machine := range all {
-		for _, p := range machine.RunningTasks() {
-			on[p] = true
-			uid, _, _ := strings.Cut(p, "/")
-			spec, _ := w.Job(uid)
-			used[spec.Team] += spec.Cores
-			if zones[uid] == nil {
-				zones[uid] = map[string]int{}
+// placements is where tasks run at a moment.
+type placements struct {
+	machines []*standin.Machine
+	placed   map[string]bool           // tasks
+	cores    map[string]float64        // used, by team
+	zones    map[string]map[string]int // how many tasks of a job run in each zone
+}
+
+// currentPlacements returns where tasks run now.
+func (s *simulation) currentPlacements() placements {
+	now := placements{machines: s.cloud.Machines(), placed: map[string]bool{}, cores: map[string]float64{}, zones: map[string]map[string]int{}}
+	for _, machine := range now.machines {
+		for _, task := range machine.RunningTasks() {
+			now.placed[task] = true
+			uid := jobOf(task)
+			spec, _ := s.Job(uid)
+			now.cores[spec.Team] += spec.Cores
+			if now.zones[uid] == nil {
+				now.zones[uid] = map[string]int{}
 			}
-			zones[uid][machine.Info.Zone]++
+			now.zones[uid][machine.Info.Zone]++
 		}
 	}
-	for _, submission := range w.schedule.submissions {
+	return now
+}
+
+// unplacedTasks returns the tasks that run on no machine although their team's limit allows it and
+// a machine has room for them, with all such machines. It includes tasks for which the cloud
+// would rent a machine if countRentable is set, or if they belong to a same-zone or spread job
+// of which nothing has started for maxGangWait. A task that was done on a machine that was lost with the result must
+// run again, unless its job is done.
+func (s *simulation) unplacedTasks(countRentable bool) map[string][]string {
+	unplaced := map[string][]string{}
+	now := s.currentPlacements()
+	for _, submission := range s.schedule.submissions {
 		spec := &submission.spec
-		w.mu.Lock()
-		view := *w.observed.views[spec.UID]
-		over := w.observed.remainingTasks[spec.UID] == 0
-		w.mu.Unlock()
-		if limit := w.teamLimit(spec.Team); !view.accepted || view.done || view.cancelled || view.cancelRequested || submission.alwaysFails || limit > 0 && used[spec.Team]+spec.Cores > limit {
+		s.mu.Lock()
+		view := *s.observed.views[spec.UID]
+		allDone := s.observed.remainingTasks[spec.UID] == 0
+		s.mu.Unlock()
+		if !view.accepted || view.done || view.cancelled || view.cancelRequested || submission.alwaysFails {
 			continue
 		}
+		if limit := s.teamLimit(spec.Team); limit > 0 && now.cores[spec.Team]+spec.Cores > limit {
+			continue
+		}
+		waitsLong := (spec.SameZone || spec.Spread) && time.Since(view.lastProgress) > maxGangWait
+		rentable := (countRentable || waitsLong) && len(now.machines) < s.cloud.MaxMachines
 		for i := range spec.Tasks {
-			p := fmt.Sprintf("%s/%d", spec.UID, i)
-			w.mu.Lock()
-			done := w.observed.doneTasks[p] && !over
-			w.mu.Unlock()
-			if done || on[p] {
+			task := fmt.Sprintf("%s/%d", spec.UID, i)
+			s.mu.Lock()
+			done := s.observed.doneTasks[task] && !allDone
+			s.mu.Unlock()
+			if done || now.placed[task] {
 				continue
 			}
-			if (rent || (spec.SameZone || spec.Spread) && time.Since(view.lastProgress) > maxGangWait) && len(all) < w.cloud.MaxMachines {
-				out[p] = append(out[p], "though the cloud rents machines")
+			if rentable {
+				unplaced[task] = append(unplaced[task], "though the cloud rents machines")
 			}
-			for _, machine := range all {
-				host := machine.Info
-				w.mu.Lock()
-				faulty := w.injected.failsTasks[machine]
-				w.mu.Unlock()
-				z := zones[spec.UID]
-				if spec.SameZone && len(z) > 0 && z[host.Zone] == 0 || spec.Spread && z[host.Zone] >= (spec.Tasks+1)/2 {
-					continue
-				}
-				if !faulty && (spec.Zone == "" || spec.Zone == host.Zone) && (spec.MachineTypes == nil || slices.Contains(spec.MachineTypes, host.Type)) &&
-					(spec.Preemptible || !host.Preemptible) && machine.HasRoom(spec) {
-					out[p] = append(out[p], "while "+host.UID+" has room")
+			for _, machine := range now.machines {
+				if s.hasRoomFor(machine, spec, now.zones[spec.UID]) {
+					unplaced[task] = append(unplaced[task], "while "+machine.Info.UID+" has room")
 				}
 			}
 		}
 	}
-	return out
+	return unplaced
+}
+
+// hasRoomFor reports whether one more task of a job may run on a machine and has room there.
+func (s *simulation) hasRoomFor(machine *standin.Machine, spec *wire.Spec, zones map[string]int) bool {
+	info := machine.Info
+	s.mu.Lock()
+	failsTasks := s.injected.failsTasks[machine]
+	s.mu.Unlock()
+	switch {
+	case failsTasks:
+		return false
+	case spec.SameZone && len(zones) > 0 && zones[info.Zone] == 0:
+		return false
+	case spec.Spread && zones[info.Zone] >= (spec.Tasks+1)/2:
+		return false
+	case spec.Zone != "" && spec.Zone != info.Zone:
+		return false
+	case spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, info.Type):
+		return false
+	case !spec.Preemptible && info.Preemptible:
+		return false
+	}
+	return machine.HasRoom(spec)
 }
 
-// checkAllServed fails the test unless every batch job is done and all replicas run, but
-// for what was cancelled.
-func (w *simulation) checkAllServed() {
-	for _, submission := range w.schedule.submissions {
-		w.mu.Lock()
-		view := *w.observed.views[submission.spec.UID]
-		w.mu.Unlock()
+// checkAllServed fails the test unless every batch job is done and all replicas run, and no
+// task of a cancelled job does.
+func (s *simulation) checkAllServed() {
+	for _, submission := range s.schedule.submissions {
+		s.mu.Lock()
+		view := *s.observed.views[submission.spec.UID]
+		s.mu.Unlock()
 		running := 0
-		for _, n := range w.tasksByZone(submission.spec.UID) {
+		for _, n := range s.tasksByZone(submission.spec.UID) {
 			running += n
 		}
 		switch {
 		case view.cancelled && running > 0:
-			w.t.Errorf("%s is cancelled, and %d tasks run", submission.spec.UID, running)
+			s.t.Errorf("%s is cancelled, and %d tasks run", submission.spec.UID, running)
 		case !view.cancelled && submission.spec.Kind == wire.KindBatch && !view.done:
-			w.t.Errorf("%s is not done", submission.spec.UID)
+			s.t.Errorf("%s is not done", submission.spec.UID)
 		case !view.cancelled && submission.spec.Kind == wire.KindService && running != submission.spec.Tasks:
-			w.t.Errorf("%s has %d replicas, want %d", submission.spec.UID, running, submission.spec.Tasks)
+			s.t.Errorf("%s has %d replicas, want %d", submission.spec.UID, running, submission.spec.Tasks)
 		}
 	}
 }
 
-// hasUnplacedTasks tells whether tasks of a job that its user knows to be accepted are on no machine.
-func (w *simulation) hasUnplacedTasks(uid string) bool {
+// hasUnplacedTasks reports whether tasks of a job that its user knows to be accepted run on no
+// machine.
+func (s *simulation) hasUnplacedTasks(uid string) bool {
 	running := 0
-	for _, n := range w.tasksByZone(uid) {
+	for _, n := range s.tasksByZone(uid) {
 		running += n
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	view := w.observed.views[uid]
-	return view.accepted && !view.cancelRequested && !view.done && w.observed.remainingTasks[uid] > running
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	view := s.observed.views[uid]
+	return view.accepted && !view.cancelRequested && !view.done && s.observed.remainingTasks[uid] > running
 }
--- a/harness_controllers_test.go
+++ b/harness_controllers_test.go
@@ -33,30 +33,42 @@
 	return names
 }
 
+// stateAddress and cloudAddress are the addresses of the platform's services in a simulation.
+const (
+	stateAddress = "state:1"
+	cloudAddress = "cloud:1"
+)
+
+// peerAddress returns the address at which a controller listens for the others.
+func peerAddress(controller string) string { return controller + ":90" }
+
+// processName returns the name under which the n-th process uses the network.
+func processName(controller string, n int) string { return fmt.Sprintf("%s/%d", controller, n) }
+
 // controllerProcess is one process of a controller.
 type controllerProcess struct {
 	*Service
-	name    string
+	name    string // of the controller
 	stop    func()
 	stopped bool
 }
 
-// runningProcess gives the process that a controller runs, if any.
-func (w *simulation) runningProcess(name string) *controllerProcess {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, process := range w.processes {
-		if process.name == name && !process.stopped {
+// runningProcess returns the process that a controller runs, or nil.
+func (s *simulation) runningProcess(controller string) *controllerProcess {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, process := range s.processes {
+		if process.name == controller && !process.stopped {
 			return process
 		}
 	}
 	return nil
 }
 
-// leaderIndex is the place of the controller that leads, or 0.
-func (w *simulation) leaderIndex() int {
-	for i := range 3 {
-		if process := w.runningProcess(controllerName(i)); process != nil {
+// leaderIndex returns the index of the controller that leads, or 0.
+func (s *simulation) leaderIndex() int {
+	for i, name := range controllerNames() {
+		if process := s.runningProcess(name); process != nil {
 			if _, ok := process.elector.HoldsLease(); ok {
 				return i
 			}
@@ -65,80 +77,107 @@
 	return 0
 }
 
-// leaderToken is what the leader was given when it took the lead, or 0.
-func (w *simulation) leaderToken() uint64 {
-	if process := w.runningProcess(controllerName(w.leaderIndex())); process != nil {
-		if leader := process.current.Load(); leader != nil {
-			return leader.term.Token
-		}
+// leadingProcess returns the process that leads, or, where none does, that of the first
+// controller; nil if that doesn't run.
+func (s *simulation) leadingProcess() *controllerProcess {
+	return s.runningProcess(controllerName(s.leaderIndex()))
+}
+
+// activeLeader returns the state of the leader, or nil.
+func (s *simulation) activeLeader() *leader {
+	if process := s.leadingProcess(); process != nil {
+		return process.current.Load()
+	}
+	return nil
+}
+
+// leaderToken returns the fencing token of the leader's term, or 0.
+func (s *simulation) leaderToken() uint64 {
+	if leader := s.activeLeader(); leader != nil {
+		return leader.term.Token
 	}
 	return 0
 }
 
-// dialMutex keeps meetings that are played at the same time from taking each other's network.
+// dialMutex guards link.Dial, which simulations that run at the same time replace.
 var dialMutex sync.Mutex
 
-// startController starts a controller as a new process, in the place of an earlier one.
-func (w *simulation) startController(i int) {
-	name := controllerName(i)
-	w.mu.Lock()
-	w.processCount++
-	from := fmt.Sprintf("%s/%d", name, w.processCount)
-	w.mu.Unlock()
-	cfg := &config.Platform{Node: name, Area: "x", ClientListen: name + ":80", Back: name + ":90"}
-	cfg.Outside.State, cfg.Outside.Cloud = "state:1", "cloud:1"
-	for o := range 3 {
-		if o != i {
-			other := controllerName(o)
-			cfg.Others = append(cfg.Others, config.Node{Node: other, Area: "x", Addr: other + ":90"})
+// startController starts a new process of a controller, in place of an earlier one.
+func (s *simulation) startController(index int) {
+	s.mu.Lock()
+	s.processCount++
+	from := processName(controllerName(index), s.processCount)
+	s.mu.Unlock()
+	cfg := s.controllerConfig(index)
+	node := s.newNode(cfg, from)
+	if node == nil {
+		return
+	}
+	ctx, cancel := context.WithCancel(s.ctx)
+	process := &controllerProcess{Service: node, name: cfg.Node}
+	process.stop = func() {
+		s.mu.Lock()
+		process.stopped = true
+		s.mu.Unlock()
+		s.network.SetCut(from, "", true) // a killed process sends nothing any more
+		cancel()
+	}
+	peers := s.network.Listen(cfg.Back)
+	s.wg.Go(func() { peer.Serve(ctx, peers, node.answerPeer, node.log) })
+	s.wg.Go(func() { node.elector.Run(ctx, node.serveTerm) })
+	s.mu.Lock()
+	s.processes = append(s.processes, process)
+	s.mu.Unlock()
+}
+
+// controllerConfig returns the platform's settings of a controller.
+func (s *simulation) controllerConfig(index int) *config.Platform {
+	name := controllerName(index)
+	cfg := &config.Platform{Node: name, Area: "x", ClientListen: name + ":80", Back: peerAddress(name)}
+	cfg.Outside.State, cfg.Outside.Cloud = stateAddress, cloudAddress
+	for _, other := range controllerNames() {
+		if other != name {
+			cfg.Others = append(cfg.Others, config.Node{Node: other, Area: "x", Addr: peerAddress(other)})
 		}
 	}
+	timing := s.schedule.timing
 	cfg.Facts = config.Facts{InitialSize: 3, Zones: []string{"x", "y"},
 		Teams:   []config.Team{{Name: "free"}, {Name: "tight", CPUsMax: tightLimit}},
-		Workers: config.Workers{ReportS: w.schedule.timing.report.Seconds(), LeaseS: w.schedule.timing.lease.Seconds(), CancelS: w.schedule.timing.cancel.Seconds()},
+		Workers: config.Workers{ReportS: timing.report.Seconds(), LeaseS: timing.lease.Seconds(), CancelS: timing.cancel.Seconds()},
 		State:   config.State{RPS: 2000, WriteRPS: 1000, ValueKB: 8, TxnOps: 24},
 		Cloud:   config.Cloud{RPS: 100, ListLagS: 2},
 		Limits:  config.Limits{CoreShare: 1, MemMB: 200, FDLimit: 500}}
-	for _, team := range slices.Sorted(maps.Keys(w.schedule.limits)) {
-		cfg.Facts.Teams = append(cfg.Facts.Teams, config.Team{Name: team, CPUsMax: w.schedule.limits[team], CPUs: w.schedule.guarantees[team]})
+	for _, team := range slices.Sorted(maps.Keys(s.schedule.limits)) {
+		cfg.Facts.Teams = append(cfg.Facts.Teams, config.Team{Name: team, CPUsMax: s.schedule.limits[team], CPUs: s.schedule.guarantees[team]})
 	}
+	return cfg
+}
+
+// newNode returns a controller that uses the network under a name, or nil after a failure.
+func (s *simulation) newNode(cfg *config.Platform, from string) *Service {
 	operator, err := config.LoadOperator("")
 	if err != nil {
-		w.t.Error(err)
-		return
+		s.t.Error(err)
+		return nil
 	}
 	dialMutex.Lock()
 	realDial := link.Dial
-	link.Dial = w.network.Dialer(from)
+	link.Dial = s.network.Dialer(from)
 	node := newService(cfg, operator, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(standin.NewSynctestClock()))
 	link.Dial = realDial
 	dialMutex.Unlock()
-	if w.schedule.newLedger != nil {
-		node.newLedger = w.schedule.newLedger
+	if s.schedule.newLedger != nil {
+		node.newLedger = s.schedule.newLedger
 	}
-	if w.schedule.alterRecords != nil {
+	if s.schedule.alterRecords != nil {
 		node.readRecords = func(ctx context.Context, source recovery.Source) (*recovery.Records, error) {
 			records, err := recovery.Read(ctx, source)
 			if err == nil {
-				w.schedule.alterRecords(records)
+				s.schedule.alterRecords(records)
 			}
 			return records, err
 		}
 	}
 	node.router.Post(wire.PathHeartbeat, agent.ServeHeartbeat(node, func() bool { return false }))
-	ctx, cancel := context.WithCancel(w.ctx)
-	process := &controllerProcess{Service: node, name: name}
-	process.stop = func() {
-		w.mu.Lock()
-		process.stopped = true
-		w.mu.Unlock()
-		w.network.SetCut(from, "", true) // it says nothing more, also no farewell
-		cancel()
-	}
-	back := w.network.Listen(cfg.Back)
-	w.wg.Go(func() { peer.Serve(ctx, back, node.answerPeer, node.log) })
-	w.wg.Go(func() { node.elector.Run(ctx, node.serveTerm) })
-	w.mu.Lock()
-	w.processes = append(w.processes, process)
-	w.mu.Unlock()
+	return node
 }
--- a/harness_faults_test.go
+++ b/harness_faults_test.go
@@ -9,11 +9,11 @@
 	"cedardoor/internal/standin"
 )
 
-// activeFault gives a trouble of a kind that goes on now.
-func (w *simulation) activeFault(kind string) (scheduledFault, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, fault := range w.injected.active {
+// activeFault returns a fault of a kind that is active now.
+func (s *simulation) activeFault(kind faultKind) (scheduledFault, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, fault := range s.injected.active {
 		if fault.kind == kind {
 			return fault, true
 		}
@@ -21,214 +21,272 @@
 	return scheduledFault{}, false
 }
 
-// scheduleHas tells whether the schedule holds a kind of trouble.
-func (w *simulation) scheduleHas(kinds ...string) bool {
-	return slices.ContainsFunc(w.schedule.faults, func(fault scheduledFault) bool { return slices.Contains(kinds, fault.kind) })
+// hasFault reports whether the schedule has a fault of one of the kinds.
+func (s faultSchedule) hasFault(kinds ...faultKind) bool {
+	return slices.ContainsFunc(s.faults, func(fault scheduledFault) bool { return slices.Contains(kinds, fault.kind) })
 }
 
-// totalHoldTime is for how long messages are held, all in all.
-func (w *simulation) totalHoldTime() (sum time.Duration) {
-	for _, fault := range w.schedule.faults {
-		if slices.Contains([]string{zoneMessagesHeld, stateMessagesHeld, peerMessagesHeld, fleetMessagesHeld, workerMessagesHeld}, fault.kind) {
+// totalHoldTime returns for how long messages that may be commands are held in total.
+func (s faultSchedule) totalHoldTime() (sum time.Duration) {
+	for _, fault := range s.faults {
+		switch fault.kind {
+		case zoneMessagesHeld, stateMessagesHeld, peerMessagesHeld, fleetMessagesHeld, workerMessagesHeld:
 			sum += fault.duration
 		}
 	}
 	return sum
 }
 
-// heldPairs lists the pairs of hosts whose messages a trouble holds.
-func (w *simulation) heldPairs(fault scheduledFault, name string, machine *standin.Machine) (pairs [][2]string) {
+// injectFault begins a fault, waits for its duration and ends it. The ID tells active
+// faults apart.
+func (s *simulation) injectFault(id int, fault scheduledFault) {
+	if fault.controller == currentLeader {
+		fault.controller = s.leaderIndex()
+	}
+	s.logf("BEGINS %v", fault)
+	s.mu.Lock()
+	s.injected.active[id] = fault
+	s.mu.Unlock()
+	controller := controllerName(fault.controller)
+	var machine *standin.Machine
+	if all := s.cloud.Machines(); len(all) > 0 {
+		machine = all[fault.machine%len(all)]
+	}
+	end := s.beginFault(fault, controller, machine)
+	key := faultKey(id, fault, controller, machine)
+	s.mu.Lock()
+	s.injected.counts[key]++
+	s.mu.Unlock()
+	time.Sleep(fault.duration)
+	s.mu.Lock()
+	delete(s.injected.active, id)
+	s.injected.counts[key]--
+	last := s.injected.counts[key] == 0
+	s.mu.Unlock()
+	if last || fault.kind == controllerKilled || fault.kind == spotReclaimedWithNotice {
+		end() // otherwise another fault of the kind is still active
+	}
+	s.logf("ENDS %s (%s)", fault.kind, controller)
+}
+
+// faultKey returns the key under which active faults with the same effect are counted: the
+// effect ends with the last of them.
+func faultKey(id int, fault scheduledFault, controller string, machine *standin.Machine) string {
+	kind := string(fault.kind)
+	switch {
+	case slices.Contains(holdFaultKinds, fault.kind):
+		return fmt.Sprintf("%s %d", kind, id) // each ends by itself
+	case fault.kind == stateRefusesAll:
+		return kind
+	case fault.kind == zoneIsolated:
+		return kind + " " + isolatedZone(fault)
+	case machine != nil && (fault.kind == machineHangs || fault.kind == machineReceivesNothing || fault.kind == machineSendsNothing):
+		return kind + " " + machine.Info.UID
+	}
+	return kind + " " + controller
+}
+
+// isolatedZone returns the zone, one of those with machines, that a fault isolates.
+func isolatedZone(fault scheduledFault) string { return controllerZones[fault.machine%2] }
+
+// beginFault begins a fault of a controller or machine, if it exists. Faults that only delay,
+// repeat or lose messages are looked up by those that send them, and need no beginning.
+func (s *simulation) beginFault(fault scheduledFault, controller string, machine *standin.Machine) (end func()) {
 	switch fault.kind {
-	case stateMessagesHeld:
-		pairs = append(pairs, [2]string{name, "state"})
-	case cloudMessagesHeld:
-		pairs = append(pairs, [2]string{name, "cloud"})
-	case peerMessagesHeld:
-		for o := range 3 {
-			if other := controllerName(o); other != name {
-				pairs = append(pairs, [2]string{name, other})
-			}
+	case stateRefusesNode:
+		s.state.Refuse(controller, true)
+		return func() { s.state.Refuse(controller, false) }
+	case stateRefusesAll:
+		s.state.Refuse("", true)
+		return func() { s.state.Refuse("", false) }
+	case controllerKilled:
+		if process := s.runningProcess(controller); process != nil {
+			process.stop()
+			return func() { s.startController(fault.controller) }
 		}
-	case fleetMessagesHeld:
-		for _, machine := range w.cloud.Machines() {
-			pairs = append(pairs, [2]string{name, machine.Info.UID})
+	case controllerIsolated:
+		// The setup of the schedule has given each controller a zone with its own name.
+		s.network.Isolate(controller, true)
+		return func() { s.network.Isolate(controller, false) }
+	case controllerCutFromPeers, controllerCutFromState:
+		if s.runningProcess(controller) != nil {
+			return s.cutController(fault, controller)
 		}
-	case workerMessagesHeld:
-		if machine != nil && fault.machine < 4 {
-			pairs = append(pairs, [2]string{name, machine.Info.UID})
-		} else if machine != nil { // it is held apart from every controller
-			for o := range 3 {
-				pairs = append(pairs, [2]string{controllerName(o), machine.Info.UID})
-			}
+	case zoneIsolated:
+		zone := isolatedZone(fault)
+		s.network.Isolate(zone, true)
+		return func() { s.network.Isolate(zone, false) }
+	case zoneMessagesHeld:
+		zone := controllerZones[fault.machine%len(controllerZones)]
+		s.network.HoldZone(zone, fault.direction, true)
+		return func() { s.network.HoldZone(zone, fault.direction, false) }
+	case stateMessagesHeld, peerMessagesHeld, fleetMessagesHeld, workerMessagesHeld, cloudMessagesHeld:
+		return s.holdMessages(fault, controller, machine)
+	default:
+		if machine != nil {
+			return s.beginMachineFault(fault, machine)
 		}
 	}
-	return pairs
+	return func() {}
 }
 
-// injectFault begins a trouble and ends it.
-func (w *simulation) injectFault(i int, fault scheduledFault) {
-	if fault.controller == 3 {
-		fault.controller = w.leaderIndex()
-	}
-	w.logf("BEGINS %v", fault)
-	w.mu.Lock()
-	w.injected.active[i] = fault
-	w.mu.Unlock()
-	name := controllerName(fault.controller)
-	var machine *standin.Machine
-	if all := w.cloud.Machines(); len(all) > 0 {
-		machine = all[fault.machine%len(all)]
-	}
-	end := func() {}
-	switch process := w.runningProcess(name); {
-	case fault.kind == stateRefusesNode:
-		w.state.Refuse(name, true)
-		end = func() { w.state.Refuse(name, false) }
-	case fault.kind == stateRefusesAll:
-		w.state.Refuse("", true)
-		end = func() { w.state.Refuse("", false) }
-	case fault.kind == machineHangs && machine != nil && machine.IsBooted():
-		w.mu.Lock()
-		w.injected.hangTimes[machine] += fault.duration
-		w.mu.Unlock()
-		machine.SetHung(true)
-		end = func() { machine.SetHung(false) }
-	case fault.kind == machineReceivesNothing && machine != nil:
+// beginMachineFault begins a fault of one machine.
+func (s *simulation) beginMachineFault(fault scheduledFault, machine *standin.Machine) (end func()) {
+	switch fault.kind {
+	case machineHangs:
+		if machine.IsBooted() {
+			s.mu.Lock()
+			s.injected.hangTimes[machine] += fault.duration
+			s.mu.Unlock()
+			machine.SetHung(true)
+			return func() { machine.SetHung(false) }
+		}
+	case machineReceivesNothing:
 		machine.SetUnreachable(true)
-		end = func() { machine.SetUnreachable(false) }
-	case fault.kind == machineSendsNothing && machine != nil:
-		w.mu.Lock()
-		w.injected.sendsNothing[machine] = true
-		w.mu.Unlock()
-		end = func() { w.mu.Lock(); delete(w.injected.sendsNothing, machine); w.mu.Unlock() }
-	case fault.kind == zoneIsolated:
-		zone := controllerZones[fault.machine%2]
-		w.network.Isolate(zone, true)
-		end = func() { w.network.Isolate(zone, false) }
-	case fault.kind == zoneMessagesHeld:
-		zone := controllerZones[fault.machine%len(controllerZones)]
-		w.network.HoldZone(zone, fault.direction, true)
-		end = func() { w.network.HoldZone(zone, fault.direction, false) }
-	case slices.Contains([]string{stateMessagesHeld, peerMessagesHeld, fleetMessagesHeld, workerMessagesHeld, cloudMessagesHeld}, fault.kind):
-		apart := w.heldPairs(fault, name, machine)
-		for _, c := range apart {
-			w.network.Hold(c[0], c[1], fault.direction, true)
-		}
-		end = func() {
-			for _, c := range apart {
-				w.network.Hold(c[0], c[1], fault.direction, false)
-			}
+		return func() { machine.SetUnreachable(false) }
+	case machineSendsNothing:
+		s.mu.Lock()
+		s.injected.sendsNothing[machine] = true
+		s.mu.Unlock()
+		return func() {
+			s.mu.Lock()
+			delete(s.injected.sendsNothing, machine)
+			s.mu.Unlock()
 		}
-	case fault.kind == workerRestarts && machine != nil:
+	case machineFailsTasks:
+		s.mu.Lock()
+		s.injected.failsTasks[machine] = true
+		s.mu.Unlock()
+	case workerRestarts:
 		machine.RestartWorker()
-		w.mu.Lock()
-		delete(w.connections, machine)
-		w.mu.Unlock()
-	case fault.kind == machineFailsTasks && machine != nil:
-		w.mu.Lock()
-		w.injected.failsTasks[machine] = true
-		w.mu.Unlock()
-	case (fault.kind == spotReclaimedWithNotice || fault.kind == spotReclaimed) && machine != nil && machine.Info.Preemptible:
-		if fault.kind == spotReclaimedWithNotice {
+		s.mu.Lock()
+		delete(s.connections, machine)
+		s.mu.Unlock()
+	case spotReclaimedWithNotice:
+		if machine.Info.Preemptible {
 			machine.GiveNotice(fault.duration)
-			end = func() { w.cloud.Reclaim(machine) }
-			break
+			return func() { s.cloud.Reclaim(machine) }
 		}
-		w.cloud.Reclaim(machine)
-	case fault.kind == controllerKilled && process != nil:
-		process.stop()
-		end = func() { w.startController(fault.controller) }
-	case fault.kind == controllerIsolated:
-		// The schedule's setup has given each controller a zone of its own, by its name.
-		w.network.Isolate(name, true)
-		end = func() { w.network.Isolate(name, false) }
-	case (fault.kind == controllerCutFromPeers || fault.kind == controllerCutFromState) && process != nil:
-		var pairs [][2]string
-		w.mu.Lock()
-		for n := range w.processCount {
-			from := fmt.Sprintf("%s/%d", name, n+1)
-			if fault.kind == controllerCutFromState {
-				pairs = append(pairs, [2]string{from, "state:1"})
-				continue
-			}
-			for o := range 3 {
-				other := controllerName(o)
-				if other != name {
-					pairs = append(pairs, [2]string{from, other + ":90"}, [2]string{fmt.Sprintf("%s/%d", other, n+1), name + ":90"})
-				}
-			}
+	case spotReclaimed:
+		if machine.Info.Preemptible {
+			s.cloud.Reclaim(machine)
 		}
-		w.mu.Unlock()
-		for _, c := range pairs {
-			w.network.SetCut(c[0], c[1], true)
+	}
+	return func() {}
+}
+
+// cutController cuts all processes of a controller from the state service or from the
+// other controllers.
+func (s *simulation) cutController(fault scheduledFault, controller string) (end func()) {
+	var pairs [][2]string // from, to
+	s.mu.Lock()
+	for n := range s.processCount {
+		from := processName(controller, n+1)
+		if fault.kind == controllerCutFromState {
+			pairs = append(pairs, [2]string{from, stateAddress})
+			continue
 		}
-		end = func() {
-			for _, c := range pairs {
-				w.network.SetCut(c[0], c[1], false)
+		for _, other := range controllerNames() {
+			if other != controller {
+				pairs = append(pairs, [2]string{from, peerAddress(other)}, [2]string{processName(other, n+1), peerAddress(controller)})
 			}
 		}
 	}
-	key := fmt.Sprintf("%s %s", fault.kind, name)
-	switch {
-	case slices.Contains(holdFaultKinds, fault.kind):
-		key = fmt.Sprintf("%s %d", fault.kind, i) // each ends by itself
-	case fault.kind == stateRefusesAll:
-		key = fault.kind
-	case fault.kind == zoneIsolated:
-		key = fault.kind + " " + controllerZones[fault.machine%2]
-	case machine != nil && slices.Contains([]string{machineHangs, machineReceivesNothing, machineSendsNothing}, fault.kind):
-		key = fault.kind + " " + machine.Info.UID
+	s.mu.Unlock()
+	set := func(cut bool) {
+		for _, pair := range pairs {
+			s.network.SetCut(pair[0], pair[1], cut)
+		}
 	}
-	w.mu.Lock()
-	w.injected.counts[key]++
-	w.mu.Unlock()
-	time.Sleep(fault.duration)
-	w.mu.Lock()
-	delete(w.injected.active, i)
-	w.injected.counts[key]--
-	last := w.injected.counts[key] == 0
-	w.mu.Unlock()
-	if last || fault.kind == controllerKilled || fault.kind == spotReclaimedWithNotice {
-		end() // otherwise another of the kind goes on
+	set(true)
+	return func() { set(false) }
+}
+
+// holdMessages holds the messages between the pairs of hosts of a fault.
+func (s *simulation) holdMessages(fault scheduledFault, controller string, machine *standin.Machine) (end func()) {
+	pairs := s.heldPairs(fault, controller, machine)
+	set := func(held bool) {
+		for _, pair := range pairs {
+			s.network.Hold(pair[0], pair[1], fault.direction, held)
+		}
 	}
-	w.logf("ENDS %s (%s)", fault.kind, name)
+	set(true)
+	return func() { set(false) }
 }
 
-// runAt runs look at a moment of a scene.
-func (w *simulation) runAt(when float64, look func()) {
-	w.wg.Go(func() {
-		time.Sleep(time.Until(w.startedAt.Add(seconds(when))))
-		if w.ctx.Err() == nil {
+// heldPairs lists the pairs of hosts between which a fault holds messages.
+func (s *simulation) heldPairs(fault scheduledFault, controller string, machine *standin.Machine) (pairs [][2]string) {
+	switch fault.kind {
+	case stateMessagesHeld:
+		pairs = append(pairs, [2]string{controller, "state"})
+	case cloudMessagesHeld:
+		pairs = append(pairs, [2]string{controller, "cloud"})
+	case peerMessagesHeld:
+		for _, other := range controllerNames() {
+			if other != controller {
+				pairs = append(pairs, [2]string{controller, other})
+			}
+		}
+	case fleetMessagesHeld:
+		for _, machine := range s.cloud.Machines() {
+			pairs = append(pairs, [2]string{controller, machine.Info.UID})
+		}
+	case workerMessagesHeld:
+		if machine != nil && fault.machine < 4 {
+			pairs = append(pairs, [2]string{controller, machine.Info.UID})
+		} else if machine != nil { // between the worker and every controller
+			for _, other := range controllerNames() {
+				pairs = append(pairs, [2]string{other, machine.Info.UID})
+			}
+		}
+	}
+	return pairs
+}
+
+// runAt calls look at a moment of the simulation, in seconds after its start.
+func (s *simulation) runAt(atS float64, look func()) {
+	s.wg.Go(func() {
+		time.Sleep(time.Until(s.startedAt.Add(seconds(atS))))
+		if s.ctx.Err() == nil {
 			look()
 		}
 	})
 }
 
-// crashLeaders ends whoever leads, or is about to, right before the n-th request to the state service that the
-// controllers make from a moment on, and again as often, half a second after each end at the earliest.
-func (w *simulation) crashLeaders(from time.Time, n, times int) {
+// crashInterval is how soon after a crash the next may follow, and restartDelay when a crashed
+// controller starts again.
+const (
+	crashInterval = 500 * time.Millisecond
+	restartDelay  = 300 * time.Millisecond
+)
+
+// crashLeaders crashes the controller that leads, or is about to, right before the n-th request to the
+// state service that the controllers make from a moment on. Each further crash, up to the given number,
+// follows right before the n-th request after crashInterval.
+func (s *simulation) crashLeaders(from time.Time, n, crashes int) {
 	var mu sync.Mutex
-	asked, next := 0, from
-	w.state.BeforeRequest(func(string) {
+	requests, next := 0, from
+	s.state.BeforeRequest(func(string) {
 		mu.Lock()
 		defer mu.Unlock()
-		if times == 0 || time.Now().Before(next) {
+		if crashes == 0 || time.Now().Before(next) {
 			return
 		}
-		if asked++; asked < n {
+		if requests++; requests < n {
 			return
 		}
-		asked, times, next = 0, times-1, time.Now().Add(500*time.Millisecond)
-		process := w.runningProcess(controllerName(w.leaderIndex()))
+		requests, crashes, next = 0, crashes-1, time.Now().Add(crashInterval)
+		leader := s.leaderIndex()
+		process := s.runningProcess(controllerName(leader))
 		if process == nil {
 			return
 		}
-		w.logf("%s ends right before a request", process.name)
+		s.logf("%s crashes right before a request", process.name)
 		process.stop()
-		w.wg.Go(func() {
-			time.Sleep(300 * time.Millisecond)
-			if w.ctx.Err() == nil {
-				w.startController(int(process.name[len(process.name)-1] - '1'))
+		s.wg.Go(func() {
+			time.Sleep(restartDelay)
+			if s.ctx.Err() == nil {
+				s.startController(leader)
 			}
 		})
 	})
--- a/harness_guarantees_test.go
+++ b/harness_guarantees_test.go
@@ -101,7 +101,7 @@
 // how the guarantees were kept.
 func playTeamSchedule(t *testing.T, schedule faultSchedule) (broken []string, watch *guaranteeMonitor) {
 	schedule.setup = func(sim *simulation) {
-		for i := range 3 {
+		for i := range controllerCount {
 			name := controllerName(i)
 			sim.network.Place(name, name)
 		}
--- a/harness_large_test.go
+++ b/harness_large_test.go
@@ -37,26 +37,26 @@
 }
 
 // rentSmallMachinesOnly lets the cloud have machines for one large task each only.
-func (w *simulation) rentSmallMachinesOnly() {
-	w.cloud.MachineTypes = []wire.MachineType{smallMachineType()}
+func (s *simulation) rentSmallMachinesOnly() {
+	s.cloud.MachineTypes = []wire.MachineType{smallMachineType()}
 }
 
 // checkLargeServices fails the test unless the replicas of all services that were not
 // cancelled run.
-func (w *simulation) checkLargeServices(when string) {
-	for _, submission := range w.schedule.submissions {
-		w.mu.Lock()
-		asked := w.observed.views[submission.spec.UID].cancelRequested
-		w.mu.Unlock()
+func (s *simulation) checkLargeServices(when string) {
+	for _, submission := range s.schedule.submissions {
+		s.mu.Lock()
+		asked := s.observed.views[submission.spec.UID].cancelRequested
+		s.mu.Unlock()
 		if submission.spec.Kind != wire.KindService || asked {
 			continue
 		}
 		running := 0
-		for _, n := range w.tasksByZone(submission.spec.UID) {
+		for _, n := range s.tasksByZone(submission.spec.UID) {
 			running += n
 		}
 		if running < submission.spec.Tasks {
-			w.t.Errorf("%s has %d of %d replicas %s", submission.spec.UID, running, submission.spec.Tasks, when)
+			s.t.Errorf("%s has %d of %d replicas %s", submission.spec.UID, running, submission.spec.Tasks, when)
 		}
 	}
 }
--- a/harness_observer_test.go
+++ b/harness_observer_test.go
@@ -10,23 +10,29 @@
 	"cedardoor/wire"
 )
 
-// Job implements standin.Ledger.
-func (w *simulation) Job(uid string) (wire.Spec, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	spec, ok := w.observed.specs[uid]
+// jobOf returns the job of a task.
+func jobOf(task string) string {
+	uid, _, _ := strings.Cut(task, "/")
+	return uid
+}
+
+// Job implements standin.Observer.
+func (s *simulation) Job(uid string) (wire.Spec, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	spec, ok := s.observed.specs[uid]
 	return spec, ok
 }
 
-// RunTime implements standin.Ledger.
-func (w *simulation) RunTime(piece string) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.observed.doneTasks[piece] {
+// RunTime implements standin.Observer.
+func (s *simulation) RunTime(task string) time.Duration {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.observed.doneTasks[task] {
 		return 0
 	}
-	uid, _, _ := strings.Cut(piece, "/")
-	for _, submission := range w.schedule.submissions {
+	uid := jobOf(task)
+	for _, submission := range s.schedule.submissions {
 		if submission.spec.UID == uid {
 			return submission.runTime
 		}
@@ -34,169 +40,183 @@
 	return time.Second
 }
 
-// Completed implements standin.Ledger.
-func (w *simulation) Completed(piece string) {
-	w.logf("%s done", piece)
-	uid, _, _ := strings.Cut(piece, "/")
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.observed.doneTasks[piece] {
+// Completed implements standin.Observer.
+func (s *simulation) Completed(task string) {
+	s.logf("%s done", task)
+	uid := jobOf(task)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.observed.doneTasks[task] {
 		return
 	}
-	w.observed.doneTasks[piece] = true
-	if w.observed.remainingTasks[uid]--; w.observed.remainingTasks[uid] == 0 {
-		close(w.observed.allTasksDone[uid])
+	s.observed.doneTasks[task] = true
+	if s.observed.remainingTasks[uid]--; s.observed.remainingTasks[uid] == 0 {
+		close(s.observed.allTasksDone[uid])
 	}
 }
 
-// Accepted implements standin.Ledger.
-func (w *simulation) Accepted(machine *standin.Machine, piece string) {
-	uid, _, _ := strings.Cut(piece, "/")
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.observed.acceptedBy[uid] == nil {
-		w.observed.acceptedBy[uid] = map[*standin.Machine]bool{}
+// Accepted implements standin.Observer.
+func (s *simulation) Accepted(machine *standin.Machine, task string) {
+	uid := jobOf(task)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.observed.acceptedBy[uid] == nil {
+		s.observed.acceptedBy[uid] = map[*standin.Machine]bool{}
 	}
-	w.observed.acceptedBy[uid][machine] = true
+	s.observed.acceptedBy[uid][machine] = true
 }
 
-// Started implements standin.Ledger: a task's place, its team's limit and its
-// user's cancel are checked at the moment of its start.
-func (w *simulation) Started(machine *standin.Machine, piece string) {
-	w.logf("%s starts on %s", piece, machine.Info.UID)
-	uid, _, _ := strings.Cut(piece, "/")
-	spec, _ := w.Job(uid)
-	if spec.Zone != "" && spec.Zone != machine.Info.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machine.Info.Type) || !spec.Preemptible && machine.Info.Preemptible {
-		w.recordViolation("wrong_place", "%s on %+v", piece, machine.Info)
+// Started implements standin.Observer: the task's place, its team's limit and its user's
+// cancellation are checked at the moment of its start.
+func (s *simulation) Started(machine *standin.Machine, task string) {
+	s.logf("%s starts on %s", task, machine.Info.UID)
+	uid := jobOf(task)
+	spec, _ := s.Job(uid)
+	s.mu.Lock()
+	s.observed.views[uid].lastProgress = time.Now()
+	s.observed.lastTeamStarts[spec.Team] = time.Now()
+	if _, began := s.observed.firstStarts[task]; !began {
+		s.observed.firstStarts[task] = time.Now()
+	}
+	s.mu.Unlock()
+	s.checkPlace(machine, task, &spec)
+	if limit := s.teamLimit(spec.Team); limit > 0 {
+		if used := s.teamCores(spec.Team); used > limit {
+			s.recordViolation("quota", "%s: team uses %v of %v as %s starts", spec.Team, used, limit, task)
+		}
 	}
-	w.mu.Lock()
-	w.observed.views[uid].lastProgress = time.Now()
-	w.observed.lastTeamStarts[spec.Team] = time.Now()
-	if _, began := w.observed.firstStarts[piece]; !began {
-		w.observed.firstStarts[piece] = time.Now()
+	s.mu.Lock()
+	view := *s.observed.views[uid]
+	hung := s.injected.hangTimes[machine]
+	s.mu.Unlock()
+	if !view.cancelled {
+		return
+	}
+	allowed := s.maxStartAfterCancel(hung)
+	if late := time.Since(view.cancelledAt); late > allowed {
+		s.recordViolation("ran_cancelled", "%s starts %v after its user was told that it is cancelled (allowed: %v)", task, late, allowed)
+	}
+}
+
+// checkPlace checks that a task that starts may run on a machine, beside the job's others.
+func (s *simulation) checkPlace(machine *standin.Machine, task string, spec *wire.Spec) {
+	info := machine.Info
+	if spec.Zone != "" && spec.Zone != info.Zone || spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, info.Type) || !spec.Preemptible && info.Preemptible {
+		s.recordViolation("wrong_place", "%s on %+v", task, info)
 	}
-	w.mu.Unlock()
 	zones := map[string]int{} // of this job's tasks
-	for _, other := range w.hostsOf(uid) {
-		for _, p := range liveTasks(other, uid) {
+	for _, other := range s.hostsOf(spec.UID) {
+		for _, running := range runningTasksOf(other, spec.UID) {
 			zones[other.Info.Zone]++
-			if p == piece && other != machine {
-				w.recordViolation("ran_twice", "%s starts on %s while on %s", piece, machine.Info.UID, other.Info.UID)
+			if running == task && other != machine {
+				s.recordViolation("ran_twice", "%s starts on %s while on %s", task, info.UID, other.Info.UID)
 			}
 		}
 	}
-	if limit := w.teamLimit(spec.Team); limit > 0 {
-		if used := w.teamCores(spec.Team); used > limit {
-			w.recordViolation("quota", "%s: team uses %v of %v as %s starts", spec.Team, used, limit, piece)
-		}
-	}
 	if spec.SameZone && len(zones) > 1 {
-		w.recordViolation("wrong_place", "%s starts in %s, its job is to be in one zone: %v", piece, machine.Info.Zone, zones)
+		s.recordViolation("wrong_place", "%s starts in %s, its job is to be in one zone: %v", task, info.Zone, zones)
 	}
-	if spec.Spread && zones[machine.Info.Zone] > (spec.Tasks+1)/2 {
-		w.recordViolation("wrong_place", "%s starts in %s, its job of %d is to be apart: %v", piece, machine.Info.Zone, spec.Tasks, zones)
-	}
-	w.mu.Lock()
-	view := *w.observed.views[uid]
-	hung := w.injected.hangTimes[machine]
-	w.mu.Unlock()
-	if !view.cancelled {
-		return
+	if spec.Spread && zones[info.Zone] > (spec.Tasks+1)/2 {
+		s.recordViolation("wrong_place", "%s starts in %s, its job of %d is to be spread: %v", task, info.Zone, spec.Tasks, zones)
 	}
-	span := maxCommandDelay + hung
-	for _, fault := range w.schedule.faults {
+}
+
+// maxStartAfterCancel returns how long after a user was told that a job is cancelled a task of it
+// may start, on a machine that has hung for some time.
+func (s *simulation) maxStartAfterCancel(hung time.Duration) time.Duration {
+	allowed := maxCommandDelay + hung
+	for _, fault := range s.schedule.faults {
 		if fault.kind == commandsDelayed || fault.kind == commandsRepeated {
-			span = max(span, maxCommandDelay+hung+fault.delay)
+			allowed = max(allowed, maxCommandDelay+hung+fault.delay)
 		}
 	}
-	// A leader that is cut from the state service or the others can't hear of a
-	// cancel, and may answer heartbeats with the run again while its lease lasts.
-	if w.scheduleHas(controllerCutFromState, controllerCutFromPeers, zoneIsolated) {
-		span = max(span, w.schedule.timing.lease)
-	}
-	// A command that is held runs late, and a leader that is held apart from all
-	// that could tell it of a cancel gives commands on while its lease lasts.
-	if w.schedule.buffersMessages {
-		span = max(span, min(w.schedule.timing.cancel, w.schedule.timing.lease+maxCommandDelay+hung+w.totalHoldTime()))
+	// A leader that is cut from the state service or the others can't learn of a
+	// cancellation, and may respond to heartbeats with the run again while its lease lasts.
+	if s.schedule.hasFault(controllerCutFromState, controllerCutFromPeers, zoneIsolated) {
+		allowed = max(allowed, s.schedule.timing.lease)
 	}
-	if late := time.Since(view.cancelledAt); late > span {
-		w.recordViolation("ran_cancelled", "%s starts %v after its user was told that it is cancelled (allowed: %v)", piece, late, span)
+	// A command that is held runs late, and a leader whose messages are held gives
+	// commands while its lease lasts.
+	if s.schedule.buffersMessages {
+		allowed = max(allowed, min(s.schedule.timing.cancel, s.schedule.timing.lease+maxCommandDelay+hung+s.schedule.totalHoldTime()))
 	}
+	return allowed
 }
 
-// Fails implements standin.Ledger.
-func (w *simulation) Fails(machine *standin.Machine, piece string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	uid, _, _ := strings.Cut(piece, "/")
-	return w.injected.failsTasks[machine] || slices.ContainsFunc(w.schedule.submissions, func(submission scheduledSubmission) bool { return submission.alwaysFails && submission.spec.UID == uid })
+// Fails implements standin.Observer.
+func (s *simulation) Fails(machine *standin.Machine, task string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	uid := jobOf(task)
+	return s.injected.failsTasks[machine] || slices.ContainsFunc(s.schedule.submissions, func(submission scheduledSubmission) bool {
+		return submission.alwaysFails && submission.spec.UID == uid
+	})
 }
 
-// tightLimit is the limit of the team that has one.
+// tightLimit is the CPU limit of the team "tight", which every simulation has.
 const tightLimit = 6.0
 
-// teamLimit is a team's, or 0.
-func (w *simulation) teamLimit(team string) float64 {
+// teamLimit returns the CPU limit of a team, or 0.
+func (s *simulation) teamLimit(team string) float64 {
 	if team == "tight" {
 		return tightLimit
 	}
-	return w.schedule.limits[team]
+	return s.schedule.limits[team]
 }
 
-// hostsOf lists the machines that ever took a task of a job: no other can have one.
-// Those that are gone have none either.
-func (w *simulation) hostsOf(uid string) []*standin.Machine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Collect(maps.Keys(w.observed.acceptedBy[uid]))
+// hostsOf lists the machines that have accepted tasks of a job: no others can run any.
+func (s *simulation) hostsOf(uid string) []*standin.Machine {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return slices.Collect(maps.Keys(s.observed.acceptedBy[uid]))
 }
 
-// liveTasks lists a job's tasks that are on a machine.
-func liveTasks(machine *standin.Machine, uid string) []string {
-	return slices.DeleteFunc(machine.RunningTasks(), func(p string) bool { return !strings.HasPrefix(p, uid+"/") })
+// runningTasksOf lists the tasks of a job that run on a machine.
+func runningTasksOf(machine *standin.Machine, uid string) []string {
+	return slices.DeleteFunc(machine.RunningTasks(), func(task string) bool { return jobOf(task) != uid })
 }
 
-// tasksByZone counts the tasks of a job that are on machines, by zone.
-func (w *simulation) tasksByZone(uid string) map[string]int {
+// tasksByZone returns how many tasks of a job run in each zone.
+func (s *simulation) tasksByZone(uid string) map[string]int {
 	zones := map[string]int{}
-	for _, machine := range w.hostsOf(uid) {
-		if n := len(liveTasks(machine, uid)); n > 0 {
+	for _, machine := range s.hostsOf(uid) {
+		if n := len(runningTasksOf(machine, uid)); n > 0 {
 			zones[machine.Info.Zone] += n
 		}
 	}
 	return zones
 }
 
-// teamCores is how many cores a team's tasks take.
-func (w *simulation) teamCores(team string) (cores float64) {
-	for _, submission := range w.schedule.submissions {
+// teamCores returns how many cores the running tasks of a team use.
+func (s *simulation) teamCores(team string) (cores float64) {
+	for _, submission := range s.schedule.submissions {
 		if submission.spec.Team != team {
 			continue
 		}
-		for _, n := range w.tasksByZone(submission.spec.UID) {
+		for _, n := range s.tasksByZone(submission.spec.UID) {
 			cores += float64(n) * submission.spec.Cores
 		}
 	}
 	return cores
 }
 
-// replicaCounts counts the replicas that run, and those that there should be.
-func (w *simulation) replicaCounts() (run, want int) {
-	for _, submission := range w.schedule.submissions {
+// replicaCounts returns how many replicas of services run, and how many are to run.
+func (s *simulation) replicaCounts() (running, want int) {
+	for _, submission := range s.schedule.submissions {
 		if submission.spec.Kind != wire.KindService {
 			continue
 		}
 		want += submission.spec.Tasks
-		for _, n := range w.tasksByZone(submission.spec.UID) {
-			run += n
+		for _, n := range s.tasksByZone(submission.spec.UID) {
+			running += n
 		}
 	}
-	return run, want
+	return running, want
 }
 
-// bootedMachines is how many machines have booted.
-func (w *simulation) bootedMachines() (n int) {
-	for _, machine := range w.cloud.Machines() {
+// bootedMachines returns how many machines have booted.
+func (s *simulation) bootedMachines() (n int) {
+	for _, machine := range s.cloud.Machines() {
 		if machine.IsBooted() {
 			n++
 		}
--- a/harness_random_test.go
+++ b/harness_random_test.go
@@ -10,115 +10,136 @@
 	"cedardoor/wire"
 )
 
-var basicFaultKinds = []string{stateRefusesNode, stateRefusesAll, transactionAnswersLost, transactionsDelayed, stateSlow, machineHangs, machineReceivesNothing, machineSendsNothing,
-	heartbeatCopiesDelayed, commandsDelayed, controllerKilled, controllerCutFromPeers, controllerCutFromState}
+// randomSource draws the parts of a schedule. Each stream of a seed is independent of the others.
+type randomSource struct{ *rand.Rand }
 
+func newRandomSource(seed, stream uint64) randomSource {
+	return randomSource{rand.New(rand.NewPCG(seed, stream))}
+}
+
+// duration draws a duration between two numbers of seconds, in whole milliseconds.
+func (r randomSource) duration(low, high float64) time.Duration {
+	return time.Duration((low + r.Float64()*(high-low)) * float64(time.Second)).Truncate(time.Millisecond)
+}
+
+// basicFaultKinds are the kinds of faults that every random schedule draws from.
+var basicFaultKinds = []faultKind{stateRefusesNode, stateRefusesAll, transactionAnswersLost, transactionsDelayed, stateSlow, machineHangs,
+	machineReceivesNothing, machineSendsNothing, heartbeatCopiesDelayed, commandsDelayed, controllerKilled, controllerCutFromPeers, controllerCutFromState}
+
+// randomSchedule draws a schedule of basic faults and of jobs, some of which are cancelled.
 func randomSchedule(seed uint64) faultSchedule {
-	r := rand.New(rand.NewPCG(seed, 7))
-	seconds := func(lo, hi float64) time.Duration {
-		return time.Duration((lo + r.Float64()*(hi-lo)) * float64(time.Second)).Truncate(time.Millisecond)
-	}
-	schedule := faultSchedule{seed: seed, duration: seconds(30, 90)}
-	add := func(at time.Duration) {
-		fault := scheduledFault{kind: basicFaultKinds[r.IntN(len(basicFaultKinds))], at: at, duration: seconds(1, 15), controller: r.IntN(4), machine: r.IntN(8), delay: seconds(0.3, 8)}
-		switch fault.kind {
-		case controllerKilled:
-			fault.duration = seconds(0.2, 5)
-		case transactionsDelayed:
-			fault.delay = seconds(2, 12)
-		case heartbeatCopiesDelayed:
-			fault.delay = seconds(2, 25)
-		case stateSlow:
-			fault.delay = seconds(0.1, 3)
+	random := newRandomSource(seed, 7)
+	schedule := faultSchedule{seed: seed, duration: random.duration(30, 90)}
+	for at := random.duration(6, 16); at < schedule.duration-time.Second; at += random.duration(4, 22) {
+		schedule.addRandomFault(random, at)
+		for range random.IntN(3) {
+			schedule.addRandomFault(random, min(at+random.duration(0, 3), schedule.duration-time.Second))
 		}
-		fault.duration = min(fault.duration, schedule.duration-fault.at)
-		schedule.faults = append(schedule.faults, fault)
 	}
-	for at := seconds(6, 16); at < schedule.duration-time.Second; at += seconds(4, 22) {
-		add(at)
-		for range r.IntN(3) {
-			add(min(at+seconds(0, 3), schedule.duration-time.Second))
+	// Cancellations between the refusal of the leader and that of all controllers are the hardest
+	// to learn of: a leader with the attestations of all others goes on.
+	attested := random.IntN(3) == 0
+	if attested {
+		at := random.duration(20, schedule.duration.Seconds()-5)
+		leaderOnly := random.duration(0.2, 4)
+		outage := random.duration(2, 25)
+		schedule.faults = append(schedule.faults,
+			scheduledFault{kind: stateRefusesNode, at: at, duration: min(leaderOnly+outage, schedule.duration-at), controller: currentLeader},
+			scheduledFault{kind: stateRefusesAll, at: min(at+leaderOnly, schedule.duration-time.Second),
+				duration: min(outage, max(time.Second, schedule.duration-at-leaderOnly)), controller: currentLeader})
+	}
+	for i := range 4 + random.IntN(7) {
+		submission := schedule.randomSubmission(random, i+1)
+		if attested && random.IntN(3) == 0 {
+			submission.cancelAfter, submission.cancelOnDone, submission.cancelOnFault = 0, false, stateRefusesNode
 		}
+		schedule.submissions = append(schedule.submissions, submission)
 	}
-	// Cancels that fall between the refusal of the leader and that of all nodes
-	// are the hardest to hear of: a leader that all others vouch for goes on.
-	gap := r.IntN(3) == 0
-	if gap {
-		at := seconds(20, schedule.duration.Seconds()-5)
-		alone := seconds(0.2, 4)
-		lasts := seconds(2, 25)
-		schedule.faults = append(schedule.faults, scheduledFault{kind: stateRefusesNode, at: at, duration: min(alone+lasts, schedule.duration-at), controller: 3},
-			scheduledFault{kind: stateRefusesAll, at: min(at+alone, schedule.duration-time.Second), duration: min(lasts, max(time.Second, schedule.duration-at-alone)), controller: 3})
+	return schedule
+}
+
+// addRandomFault adds a basic fault at a moment. It ends with the schedule at the latest.
+func (s *faultSchedule) addRandomFault(random randomSource, at time.Duration) {
+	fault := scheduledFault{kind: basicFaultKinds[random.IntN(len(basicFaultKinds))], at: at, duration: random.duration(1, 15),
+		controller: random.IntN(controllerCount + 1), machine: random.IntN(8), delay: random.duration(0.3, 8)}
+	switch fault.kind {
+	case controllerKilled:
+		fault.duration = random.duration(0.2, 5)
+	case transactionsDelayed:
+		fault.delay = random.duration(2, 12)
+	case heartbeatCopiesDelayed:
+		fault.delay = random.duration(2, 25)
+	case stateSlow:
+		fault.delay = random.duration(0.1, 3)
 	}
-	for i := range 4 + r.IntN(7) {
-		submission := scheduledSubmission{after: seconds(0, schedule.duration.Seconds()*0.8), runTime: seconds(2, 20), resubmits: r.IntN(3) == 0}
-		submission.spec = jobSpec(fmt.Sprintf("j-%d", i+1), func(spec *wire.Spec) {
-			spec.Team = []string{"free", "tight"}[r.IntN(2)]
-			spec.Cores, spec.RAM = float64(1+r.IntN(3)), float64(1+r.IntN(8))
-			spec.Priority = []string{"low", "standard", "high", "critical"}[r.IntN(4)]
-			spec.ExpectedS = submission.runTime.Seconds()
-			switch r.IntN(3) {
-			case 0:
-				spec.Tasks = 2 + r.IntN(4)
-			case 1:
-				spec.Kind, spec.Tasks, spec.ExpectedS = wire.KindService, 1+r.IntN(2), 0
-			}
-			switch r.IntN(5) {
-			case 0:
-				spec.Zone = []string{"x", "y"}[r.IntN(2)]
-			case 1:
-				spec.MachineTypes = []string{"b"}
-			case 2:
-				spec.Preemptible = false
-			}
-		})
-		switch r.IntN(6) {
+	fault.duration = min(fault.duration, s.duration-fault.at)
+	s.faults = append(s.faults, fault)
+}
+
+// randomSubmission draws the n-th job of a schedule whose faults have been drawn.
+func (s *faultSchedule) randomSubmission(random randomSource, n int) scheduledSubmission {
+	submission := scheduledSubmission{after: random.duration(0, s.duration.Seconds()*0.8), runTime: random.duration(2, 20), resubmits: random.IntN(3) == 0}
+	submission.spec = jobSpec(fmt.Sprintf("j-%d", n), func(spec *wire.Spec) {
+		spec.Team = []string{"free", "tight"}[random.IntN(2)]
+		spec.Cores, spec.RAM = float64(1+random.IntN(3)), float64(1+random.IntN(8))
+		spec.Priority = []string{"low", "standard", "high", "critical"}[random.IntN(4)]
+		spec.ExpectedS = submission.runTime.Seconds()
+		switch random.IntN(3) {
 		case 0:
-			submission.cancelAfter = time.Millisecond // right after it was accepted
+			spec.Tasks = 2 + random.IntN(4)
 		case 1:
-			submission.cancelAfter = seconds(1, 30)
-		case 2:
-			submission.cancelOnDone = submission.spec.Kind == wire.KindBatch
-		case 3:
-			submission.cancelOnFault = schedule.faults[r.IntN(len(schedule.faults))].kind
+			spec.Kind, spec.Tasks, spec.ExpectedS = wire.KindService, 1+random.IntN(2), 0
 		}
-		if gap && r.IntN(3) == 0 {
-			submission.cancelAfter, submission.cancelOnDone, submission.cancelOnFault = 0, false, stateRefusesNode
+		switch random.IntN(5) {
+		case 0:
+			spec.Zone = []string{"x", "y"}[random.IntN(2)]
+		case 1:
+			spec.MachineTypes = []string{"b"}
+		case 2:
+			spec.Preemptible = false
 		}
-		schedule.submissions = append(schedule.submissions, submission)
+	})
+	switch random.IntN(6) {
+	case 0:
+		submission.cancelAfter = time.Millisecond // right after it was accepted
+	case 1:
+		submission.cancelAfter = random.duration(1, 30)
+	case 2:
+		submission.cancelOnDone = submission.spec.Kind == wire.KindBatch
+	case 3:
+		submission.cancelOnFault = s.faults[random.IntN(len(s.faults))].kind
 	}
-	return schedule
+	return submission
 }
 
-var furtherFaultKinds = []string{zoneIsolated, heartbeatCopiesToNextLeader, commandsRepeated, workerRestarts, machineFailsTasks, spotReclaimedWithNotice, spotReclaimed, rentalsRefused, rentalAnswersDelayed}
+// furtherFaultKinds are the kinds of faults of schedules with further faults.
+var furtherFaultKinds = []faultKind{zoneIsolated, heartbeatCopiesToNextLeader, commandsRepeated, workerRestarts, machineFailsTasks,
+	spotReclaimedWithNotice, spotReclaimed, rentalsRefused, rentalAnswersDelayed}
 
-// randomFurtherSchedule adds the further troubles, and jobs with further constraints, to
-// the schedule of a seed, which stays the same for all else.
+// randomFurtherSchedule adds further kinds of faults, and constraints of jobs, to the
+// random schedule of a seed.
 func randomFurtherSchedule(seed uint64) faultSchedule {
 	schedule := randomSchedule(seed)
-	r := rand.New(rand.NewPCG(seed, 11))
-	seconds := func(lo, hi float64) time.Duration {
-		return time.Duration((lo + r.Float64()*(hi-lo)) * float64(time.Second)).Truncate(time.Millisecond)
-	}
+	random := newRandomSource(seed, 11)
 	schedule.listLags = true
-	for range 2 + r.IntN(4) {
-		fault := scheduledFault{kind: furtherFaultKinds[r.IntN(len(furtherFaultKinds))], at: seconds(5, schedule.duration.Seconds()-2), duration: seconds(1, 12), controller: r.IntN(3),
-			machine: r.IntN(8), delay: seconds(0.3, 8)}
+	for range 2 + random.IntN(4) {
+		fault := scheduledFault{kind: furtherFaultKinds[random.IntN(len(furtherFaultKinds))], at: random.duration(5, schedule.duration.Seconds()-2), duration: random.duration(1, 12), controller: random.IntN(controllerCount),
+			machine: random.IntN(8), delay: random.duration(0.3, 8)}
 		if fault.kind == zoneIsolated {
-			fault.duration = seconds(2, 2*simulatedLease.Seconds())
+			fault.duration = random.duration(2, 2*simulatedLease.Seconds())
 		}
 		fault.duration = min(fault.duration, schedule.duration-fault.at)
 		schedule.faults = append(schedule.faults, fault)
 	}
 	for i := range schedule.submissions {
 		submission := &schedule.submissions[i]
-		switch spec := &submission.spec; r.IntN(8) {
+		switch spec := &submission.spec; random.IntN(8) {
 		case 0, 1:
 			spec.SameZone = spec.Tasks > 1
 		case 2, 3:
 			spec.Spread = spec.Tasks > 1 && spec.Zone == ""
 		case 4, 5:
-			spec.CheckpointIntervalS, spec.CheckpointGraceS = 3, 1+4*r.Float64()
+			spec.CheckpointIntervalS, spec.CheckpointGraceS = 3, 1+4*random.Float64()
 		case 6:
 			submission.alwaysFails = submission.spec.Kind == wire.KindBatch && !submission.cancelOnDone
 		}
@@ -126,86 +147,63 @@
 	return schedule
 }
 
-var holdFaultKinds = []string{zoneMessagesHeld, zoneMessagesHeld, stateMessagesHeld, stateMessagesHeld, peerMessagesHeld, fleetMessagesHeld, fleetMessagesHeld, workerMessagesHeld, workerMessagesHeld, cloudMessagesHeld,
+// holdFaultKinds are the kinds of faults of schedules with held messages. Those that are
+// named twice are twice as frequent.
+var holdFaultKinds = []faultKind{zoneMessagesHeld, zoneMessagesHeld, stateMessagesHeld, stateMessagesHeld, peerMessagesHeld,
+	fleetMessagesHeld, fleetMessagesHeld, workerMessagesHeld, workerMessagesHeld, cloudMessagesHeld,
 	returnsDelayed, returnsDelayed, rentalsDelayed, stateLinksSlow}
 
-// randomHeldSchedule adds messages that are held and delivered afterwards, and requests to
-// the cloud that are carried out late, to the schedule of a seed with further troubles.
+// randomHeldSchedule adds messages that are held and delivered afterwards, and delayed
+// requests to the cloud, to the schedule of a seed with further faults.
 func randomHeldSchedule(seed uint64) faultSchedule {
 	schedule := randomFurtherSchedule(seed)
-	r := rand.New(rand.NewPCG(seed, 13))
-	seconds := func(lo, hi float64) time.Duration {
-		return time.Duration((lo + r.Float64()*(hi-lo)) * float64(time.Second)).Truncate(time.Millisecond)
-	}
+	random := newRandomSource(seed, 13)
 	schedule.buffersMessages = true
-	for range 2 + r.IntN(5) {
-		fault := scheduledFault{kind: holdFaultKinds[r.IntN(len(holdFaultKinds))], at: seconds(4, schedule.duration.Seconds()-2), duration: seconds(1, 8), controller: r.IntN(4),
-			machine: r.IntN(8)}
+	for range 2 + random.IntN(5) {
+		fault := scheduledFault{kind: holdFaultKinds[random.IntN(len(holdFaultKinds))], at: random.duration(4, schedule.duration.Seconds()-2), duration: random.duration(1, 8), controller: random.IntN(controllerCount + 1),
+			machine: random.IntN(8)}
 		switch fault.kind {
 		case returnsDelayed, rentalsDelayed:
-			fault.duration, fault.delay = seconds(2, 20), seconds(1, 15)
+			fault.duration, fault.delay = random.duration(2, 20), random.duration(1, 15)
 		case stateLinksSlow:
-			fault.duration, fault.delay = seconds(10, 40), seconds(0.05, 0.4)
+			fault.duration, fault.delay = random.duration(10, 40), random.duration(0.05, 0.4)
 		default:
-			if r.IntN(3) == 0 {
-				fault.duration = seconds(8, 2*simulatedLease.Seconds())
+			if random.IntN(3) == 0 {
+				fault.duration = random.duration(8, 2*simulatedLease.Seconds())
 			}
 		}
 		fault.duration = min(fault.duration, schedule.duration-fault.at)
 		schedule.faults = append(schedule.faults, fault)
 	}
-	// Replicas run all the time, so that every hold finds some.
+	// Replicas that run throughout, so that every hold affects some.
 	schedule.submissions = append(schedule.submissions, scheduledSubmission{spec: jobSpec(fmt.Sprintf("j-%d", len(schedule.submissions)+1), func(spec *wire.Spec) {
-		spec.Team, spec.Kind, spec.Tasks, spec.ExpectedS = "free", wire.KindService, 2+r.IntN(3), 0
+		spec.Team, spec.Kind, spec.Tasks, spec.ExpectedS = "free", wire.KindService, 2+random.IntN(3), 0
 		spec.Cores, spec.RAM, spec.Preemptible = 1, 2, false
-	}), after: seconds(0, 3)})
+	}), after: random.duration(0, 3)})
 	return schedule
 }
 
-// randomOneWaySchedule is the schedule of a seed with held messages, each hold in one
-// direction only: what is sent over it arrives late while the other side is heard.
+// randomOneWaySchedule is the schedule of a seed with held messages, with each hold in one
+// direction only.
 func randomOneWaySchedule(seed uint64) faultSchedule {
 	schedule := randomHeldSchedule(seed)
-	r := rand.New(rand.NewPCG(seed, 17))
+	random := newRandomSource(seed, 17)
 	for i := range schedule.faults {
-		if x := &schedule.faults[i]; slices.Contains(holdFaultKinds, x.kind) {
-			x.direction = standin.Outbound + standin.Direction(r.IntN(2))
+		if fault := &schedule.faults[i]; slices.Contains(holdFaultKinds, fault.kind) {
+			fault.direction = standin.Outbound + standin.Direction(random.IntN(2))
 		}
 	}
 	return schedule
 }
 
 // randomLossSchedule is a schedule of several losses of all controllers, each with returns and further
-// ends within a second or some, while the state service is slow, refuses or is out.
+// crashes within seconds, while the state service is slow, refuses the leader or is out.
 func randomLossSchedule(seed uint64) faultSchedule {
 	schedule := randomSchedule(seed)
-	r := rand.New(rand.NewPCG(seed, 22))
-	seconds := func(lo, hi float64) time.Duration {
-		return time.Duration((lo + r.Float64()*(hi-lo)) * float64(time.Second)).Truncate(time.Millisecond)
-	}
-	schedule.faults = slices.DeleteFunc(schedule.faults, func(fault scheduledFault) bool { return fault.kind == controllerKilled || r.IntN(2) == 0 })
-	for from := seconds(12, 25); from < schedule.duration; from += seconds(20, 50) {
-		spell := []time.Duration{seconds(0, 0.9), seconds(1, 9), seconds(10, 22), seconds(24, 35)}[r.IntN(4)]
-		for node := range 3 {
-			away := spell + []time.Duration{0, seconds(0, 0.5), seconds(0, 12), 40 * time.Second}[r.IntN(4)]
-			if node == int(seed%3) {
-				away = spell
-			}
-			schedule.faults = append(schedule.faults, scheduledFault{kind: controllerKilled, at: from, duration: away, controller: node})
-		}
-		again := from + spell
-		for range r.IntN(5) { // whoever leads by then ends once more
-			again += []time.Duration{seconds(0.02, 0.4), seconds(0.2, 3)}[r.IntN(2)]
-			schedule.faults = append(schedule.faults, scheduledFault{kind: controllerKilled, at: again, duration: seconds(0.05, 2), controller: 3})
-		}
-		switch r.IntN(4) {
-		case 0:
-			schedule.faults = append(schedule.faults, scheduledFault{kind: stateRefusesAll, at: from + spell + seconds(0, 3), duration: seconds(0.5, 15)})
-		case 1:
-			schedule.faults = append(schedule.faults, scheduledFault{kind: stateSlow, at: from + spell, duration: seconds(1, 8), delay: seconds(0.1, 1.5)})
-		case 2:
-			schedule.faults = append(schedule.faults, scheduledFault{kind: controllerCutFromPeers, at: from + spell, duration: seconds(1, 12), controller: r.IntN(3)})
-		}
+	random := newRandomSource(seed, 22)
+	schedule.faults = slices.DeleteFunc(schedule.faults, func(fault scheduledFault) bool { return fault.kind == controllerKilled || random.IntN(2) == 0 })
+	for from := random.duration(12, 25); from < schedule.duration; from += random.duration(20, 50) {
+		schedule.addRandomLoss(random, from)
 	}
 	last := time.Duration(0)
 	for _, fault := range schedule.faults {
@@ -215,53 +213,78 @@
 	return schedule
 }
 
-// jobsPerRound is how many jobs the teams submit in a minute, with one round of troubles,
-// and cycleSpan after how many seconds the next round begins: all of one can be done by then.
+// addRandomLoss adds one loss of all controllers, with faults after their return.
+func (s *faultSchedule) addRandomLoss(random randomSource, from time.Duration) {
+	outage := []time.Duration{random.duration(0, 0.9), random.duration(1, 9), random.duration(10, 22), random.duration(24, 35)}[random.IntN(4)]
+	for controller := range controllerCount {
+		away := outage + []time.Duration{0, random.duration(0, 0.5), random.duration(0, 12), 40 * time.Second}[random.IntN(4)]
+		if controller == int(s.seed%controllerCount) {
+			away = outage
+		}
+		s.faults = append(s.faults, scheduledFault{kind: controllerKilled, at: from, duration: away, controller: controller})
+	}
+	back := from + outage
+	again := back
+	for range random.IntN(5) { // whoever leads by then crashes once more
+		again += []time.Duration{random.duration(0.02, 0.4), random.duration(0.2, 3)}[random.IntN(2)]
+		s.faults = append(s.faults, scheduledFault{kind: controllerKilled, at: again, duration: random.duration(0.05, 2), controller: currentLeader})
+	}
+	switch random.IntN(4) {
+	case 0:
+		s.faults = append(s.faults, scheduledFault{kind: stateRefusesAll, at: back + random.duration(0, 3), duration: random.duration(0.5, 15)})
+	case 1:
+		s.faults = append(s.faults, scheduledFault{kind: stateSlow, at: back, duration: random.duration(1, 8), delay: random.duration(0.1, 1.5)})
+	case 2:
+		s.faults = append(s.faults, scheduledFault{kind: controllerCutFromPeers, at: back, duration: random.duration(1, 12), controller: random.IntN(controllerCount)})
+	}
+}
+
+// Schedules of several teams consist of rounds of submissions and faults.
 const (
-	jobsPerRound  = 150
-	roundInterval = 130
+	jobsPerRound  = 150 // submitted within a minute
+	roundInterval = 130 // seconds; all jobs of a round can be done by then
 )
 
 // randomTeamSchedule draws submissions of four teams, two with guarantees and two with limits, at
 // all controllers at the same moments, with more work than the cloud has machines for, while
-// leaders are killed, cut off and refused.
+// leaders are killed, isolated and refused by the state service.
 func randomTeamSchedule(seed uint64) faultSchedule {
-	r := rand.New(rand.NewPCG(seed, 21))
-	cycles := max(1, *quotaJobs/jobsPerRound)
-	lasts := 70 + roundInterval*float64(cycles-1)
-	if cycles > 1 {
-		lasts += 60 // what earlier rounds have left comes to the last one's
+	random := newRandomSource(seed, 21)
+	rounds := max(1, *quotaJobs/jobsPerRound)
+	durationS := 70 + roundInterval*float64(rounds-1)
+	if rounds > 1 {
+		durationS += 60 // work that earlier rounds left is done after the last one's
 	}
-	schedule := faultSchedule{seed: seed, duration: seconds(lasts), maxMachines: 6,
+	schedule := faultSchedule{seed: seed, duration: seconds(durationS), maxMachines: 6,
 		limits:     map[string]float64{"alpha": 0, "beta": 10, "gamma": 6, "greedy": 0},
 		guarantees: map[string]float64{"alpha": 8, "beta": 6}}
 	submit := func(from float64, runs float64, mod func(spec *wire.Spec)) {
 		submission := newSubmission(len(schedule.submissions)+1, from, runs, mod)
-		submission.firstController, submission.stopsPolling = r.IntN(3), true
+		submission.firstController, submission.stopsPolling = random.IntN(controllerCount), true
 		schedule.submissions = append(schedule.submissions, submission)
 	}
-	for cycle := range cycles {
-		began := roundInterval * float64(cycle)
+	for round := range rounds {
+		began := roundInterval * float64(round)
 		for range 4 {
-			submit(began+1+2*r.Float64(), 40, func(spec *wire.Spec) {
+			submit(began+1+2*random.Float64(), 40, func(spec *wire.Spec) {
 				spec.Team, spec.Priority, spec.Tasks, spec.Cores, spec.Preemptible = "greedy", "high", 6, 2, true
 			})
 		}
 		schedule.faults = append(schedule.faults,
-			scheduledFault{kind: controllerKilled, at: seconds(began + 14 + 6*r.Float64()), duration: seconds(0.3 + 4*r.Float64()), controller: 3},
-			scheduledFault{kind: controllerIsolated, at: seconds(began + 28 + 4*r.Float64()), duration: seconds(6 + 10*r.Float64()), controller: 3},
-			scheduledFault{kind: stateRefusesNode, at: seconds(began + 46 + 4*r.Float64()), duration: seconds(8), controller: 3},
-			scheduledFault{kind: controllerKilled, at: seconds(began + 58 + 4*r.Float64()), duration: seconds(0.3), controller: 3})
+			scheduledFault{kind: controllerKilled, at: seconds(began + 14 + 6*random.Float64()), duration: seconds(0.3 + 4*random.Float64()), controller: currentLeader},
+			scheduledFault{kind: controllerIsolated, at: seconds(began + 28 + 4*random.Float64()), duration: seconds(6 + 10*random.Float64()), controller: currentLeader},
+			scheduledFault{kind: stateRefusesNode, at: seconds(began + 46 + 4*random.Float64()), duration: seconds(8), controller: currentLeader},
+			scheduledFault{kind: controllerKilled, at: seconds(began + 58 + 4*random.Float64()), duration: seconds(0.3), controller: currentLeader})
 	}
 	for range *quotaJobs {
-		team := []string{"alpha", "alpha", "alpha", "alpha", "beta", "beta", "gamma"}[r.IntN(7)]
-		// Several at the same moment, at different controllers. Every machine fits them: what
-		// waits under its team's guarantee has no other cause.
-		submit(8+roundInterval*float64(r.IntN(cycles))+2*float64(r.IntN(30)), 2+5*r.Float64(), func(spec *wire.Spec) {
-			spec.Team, spec.Priority, spec.Cores, spec.Tasks, spec.Preemptible = team, []string{"low", "standard"}[r.IntN(2)], float64(1+r.IntN(2)), 1+r.IntN(2), true
+		team := []string{"alpha", "alpha", "alpha", "alpha", "beta", "beta", "gamma"}[random.IntN(7)]
+		// Several at the same moment, at different controllers. They fit every machine, so that
+		// only other teams' work can keep a team under its guarantee.
+		submit(8+roundInterval*float64(random.IntN(rounds))+2*float64(random.IntN(30)), 2+5*random.Float64(), func(spec *wire.Spec) {
+			spec.Team, spec.Priority, spec.Cores, spec.Tasks, spec.Preemptible = team, []string{"low", "standard"}[random.IntN(2)], float64(1+random.IntN(2)), 1+random.IntN(2), true
 		})
-		if r.IntN(8) == 0 {
-			schedule.submissions[len(schedule.submissions)-1].cancelAfter = seconds(10 * r.Float64())
+		if random.IntN(8) == 0 {
+			schedule.submissions[len(schedule.submissions)-1].cancelAfter = seconds(10 * random.Float64())
 		}
 	}
 	return schedule
--- a/harness_simulation_test.go
+++ b/harness_simulation_test.go
@@ -14,11 +14,11 @@
 	"cedardoor/wire"
 )
 
-// jobView is the most that users were told of a job.
+// jobView is what users have requested of a job, and the most that they were told of it.
 type jobView struct {
 	submitted, accepted, done, cancelled, cancelRequested bool
 	cancelledAt                                           time.Time
-	lastProgress                                          time.Time // when it was accepted, or one of its tasks began last
+	lastProgress                                          time.Time // when it was accepted, or one of its tasks started last
 }
 
 // simulation is a whole platform on virtual time, and what is observed of it from outside.
@@ -86,48 +86,48 @@
 }
 
 // bootMachine boots a rented machine and runs it until it is removed.
-func (w *simulation) bootMachine(info wire.Machine, machineType wire.MachineType) *standin.Machine {
-	machine := &standin.Machine{MachineConfig: standin.MachineConfig{Info: info, Type: machineType, ReportInterval: w.schedule.timing.report,
-		LeaseTime: w.schedule.timing.lease, Controllers: controllerNames(), SendHeartbeat: w.sendHeartbeat, Observer: w, OnEvent: w.schedule.onEvent}}
+func (s *simulation) bootMachine(info wire.Machine, machineType wire.MachineType) *standin.Machine {
+	machine := &standin.Machine{MachineConfig: standin.MachineConfig{Info: info, Type: machineType, ReportInterval: s.schedule.timing.report,
+		LeaseTime: s.schedule.timing.lease, Controllers: controllerNames(), SendHeartbeat: s.sendHeartbeat, Observer: s, OnEvent: s.schedule.onEvent}}
 	machine.CommandDelay = func() time.Duration {
-		if fault, ok := w.activeFault(commandsDelayed); ok {
-			w.logf("command to %s delayed by %v", info.UID, fault.delay)
+		if fault, ok := s.activeFault(commandsDelayed); ok {
+			s.logf("command to %s delayed by %v", info.UID, fault.delay)
 			return fault.delay
 		}
-		return w.latency("", info.UID)
+		return s.latency("", info.UID)
 	}
 	machine.CommandRepeats = func() []time.Duration {
-		if fault, ok := w.activeFault(commandsRepeated); ok {
+		if fault, ok := s.activeFault(commandsRepeated); ok {
 			return []time.Duration{10 * time.Millisecond, fault.delay / 2, fault.delay}
 		}
 		return nil
 	}
-	w.network.Place(info.UID, info.Zone)
-	after := time.Second + 400*(w.latency("boot", info.UID)-w.schedule.extraLatency)
-	if w.schedule.bootTime > 0 {
-		after = w.schedule.bootTime
+	s.network.Place(info.UID, info.Zone)
+	after := time.Second + 400*(s.latency("boot", info.UID)-s.schedule.extraLatency)
+	if s.schedule.bootTime > 0 {
+		after = s.schedule.bootTime
 	}
-	w.wg.Go(func() {
+	s.wg.Go(func() {
 		time.Sleep(after)
-		if w.ctx.Err() != nil {
+		if s.ctx.Err() != nil {
 			return
 		}
-		w.logf("%s is up (%s, preemptible %v)", info.UID, info.Zone, info.Preemptible)
-		machine.Boot(w.ctx)
-		stop := w.network.Serve(info.Endpoint, machine)
+		s.logf("%s is up (%s, preemptible %v)", info.UID, info.Zone, info.Preemptible)
+		machine.Boot(s.ctx)
+		stop := s.network.Serve(info.Endpoint, machine)
 		defer stop()
 		machine.Run()
 	})
 	return machine
 }
 
-// controllerZones are the zones of the controllers: each has one, the third without machines.
+// controllerZones are the zones of the controllers. There are no machines in the third.
 var controllerZones = []string{"x", "y", "z"}
 
-// listLag is by how much the cloud's list lags, at times twice as much.
+// listLag is by how much the cloud's list lags at the least, and half of the most.
 const listLag = 2 * time.Second
 
-// newSimulation sets a whole platform up. It ends with ctx.
+// newSimulation returns a platform for a schedule. It ends with ctx.
 func newSimulation(ctx context.Context, t *testing.T, schedule faultSchedule) *simulation {
 	if schedule.timing == (workerTiming{}) {
 		schedule.timing = defaultTiming
@@ -147,23 +147,23 @@
 }
 
 // newCloud returns the simulation's cloud, with the faults of its schedule.
-func (w *simulation) newCloud() *standin.SimulatedCloud {
+func (s *simulation) newCloud() *standin.SimulatedCloud {
 	small := smallMachineType()
 	large := largeMachineType
 	large.BootS, large.FetchGBs, large.CacheGB = 2, 4, 100
-	cloud := &standin.SimulatedCloud{MachineTypes: []wire.MachineType{large, small}, MaxMachines: 12, BootMachine: w.bootMachine,
-		OnChange: func(what string) { w.logf("cloud: %s", what) }}
-	if w.schedule.maxMachines > 0 {
-		cloud.MaxMachines = w.schedule.maxMachines
+	cloud := &standin.SimulatedCloud{MachineTypes: []wire.MachineType{large, small}, MaxMachines: 12, BootMachine: s.bootMachine,
+		OnChange: func(what string) { s.logf("cloud: %s", what) }}
+	if s.schedule.maxMachines > 0 {
+		cloud.MaxMachines = s.schedule.maxMachines
 	}
-	if w.schedule.listLags {
+	if s.schedule.listLags {
 		cloud.ListLag = func() time.Duration {
-			return listLag + listLag*time.Duration(w.latency("list", "").Microseconds()%1000)/1000
+			return listLag + listLag*time.Duration(s.latency("list", "").Microseconds()%1000)/1000
 		}
 	}
 	cloud.RentalFault = func() (refused bool, delay time.Duration) {
-		_, refused = w.activeFault(rentalsRefused)
-		fault, _ := w.activeFault(rentalAnswersDelayed)
+		_, refused = s.activeFault(rentalsRefused)
+		fault, _ := s.activeFault(rentalAnswersDelayed)
 		return refused, fault.delay
 	}
 	cloud.ExecutionDelay = func(path string) time.Duration {
@@ -171,9 +171,9 @@
 		if path == wire.PathReturn {
 			kind = returnsDelayed
 		}
-		fault, ok := w.activeFault(kind)
+		fault, ok := s.activeFault(kind)
 		if ok {
-			w.logf("cloud: %s in %v", kind, fault.delay)
+			s.logf("cloud: %s in %v", kind, fault.delay)
 		}
 		return fault.delay
 	}
@@ -188,65 +188,65 @@
 	return small
 }
 
-// run runs the schedule and its quiet tail.
-func (w *simulation) run() {
-	// Each process reaches the state service by its own name.
+// run runs the schedule and the fault-free tail, and checks the final state.
+func (s *simulation) run() {
+	// Each controller reaches the state service under its own name.
 	handlers := map[string]http.Handler{}
-	for i := range 3 {
+	for i := range controllerCount {
 		name := controllerName(i)
-		handlers[name] = w.stateService(name)
+		handlers[name] = s.stateService(name)
 	}
-	stopState := w.network.Serve("state:1", http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		node, _, _ := strings.Cut(standin.Caller(r), "/")
-		handlers[node].ServeHTTP(rw, r)
+	stopState := s.network.Serve(stateAddress, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		controller, _, _ := strings.Cut(standin.Caller(r), "/")
+		handlers[controller].ServeHTTP(w, r)
 	}))
-	stopCloud := w.network.Serve("cloud:1", w.cloud)
-	if first := w.schedule.firstLeader; first > 0 {
-		w.startController(first - 1)
+	stopCloud := s.network.Serve(cloudAddress, s.cloud)
+	if first := s.schedule.firstLeader; first > 0 {
+		s.startController(first - 1)
 		time.Sleep(time.Second)
 	}
-	for i := range 3 {
-		if i != w.schedule.firstLeader-1 {
-			w.startController(i)
+	for i := range controllerCount {
+		if i != s.schedule.firstLeader-1 {
+			s.startController(i)
 		}
 	}
-	w.wg.Go(w.monitor)
-	for i, fault := range w.schedule.faults {
-		w.wg.Go(func() {
+	s.wg.Go(s.monitor)
+	for i, fault := range s.schedule.faults {
+		s.wg.Go(func() {
 			time.Sleep(fault.at)
-			w.injectFault(i, fault)
+			s.injectFault(i, fault)
 		})
 	}
-	for _, submission := range w.schedule.submissions {
-		w.wg.Go(func() {
+	for _, submission := range s.schedule.submissions {
+		s.wg.Go(func() {
 			time.Sleep(submission.after)
-			w.playUser(submission)
+			s.playUser(submission)
 		})
 	}
-	time.Sleep(w.schedule.duration + faultFreeTail)
-	w.checkFinalState()
-	w.mu.Lock()
-	all := slices.Clone(w.processes)
-	w.mu.Unlock()
+	time.Sleep(s.schedule.duration + faultFreeTail)
+	s.checkFinalState()
+	s.mu.Lock()
+	all := slices.Clone(s.processes)
+	s.mu.Unlock()
 	for _, process := range all {
 		process.stop()
 	}
 	stopState()
 	stopCloud()
-	w.network.CloseAll()
+	s.network.CloseAll()
 }
 
-// shutDown stops all that runs, and lets what was under way be given up.
-func (w *simulation) shutDown(cancel func()) {
+// shutDown stops everything, and waits until requests in flight have been given up.
+func (s *simulation) shutDown(cancel func()) {
 	cancel()
-	w.wg.Wait()
+	s.wg.Wait()
 	time.Sleep(10 * time.Second)
-	w.network.CloseAll()
+	s.network.CloseAll()
 	time.Sleep(time.Second)
 }
 
-// playSchedule plays a schedule, and fails for every rule that is broken. After the
-// quiet tail it lets after look at the world, which goes on then.
+// playSchedule plays a schedule, and fails the test for every violation. After the fault-free
+// tail it calls after, if that is not nil, while the simulation still runs.
 func playSchedule(t *testing.T, schedule faultSchedule, after func(sim *simulation)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -256,8 +256,8 @@
 			after(sim)
 		}
 		sim.shutDown(cancel)
-		for _, b := range sim.violations {
-			t.Error(b)
+		for _, violation := range sim.violations {
+			t.Error(violation)
 		}
 		if !t.Failed() {
 			return
--- a/harness_total_loss_test.go
+++ b/harness_total_loss_test.go
@@ -104,7 +104,7 @@
 	moved := map[string]bool{} // stopped for a cause
 	on := map[jobOnMachine]int{}
 	for _, event := range h.events {
-		uid, _, _ := strings.Cut(event.Task, "/")
+		uid := jobOf(event.Task)
 		within := !event.At.Before(from) && event.At.Before(to)
 		here := jobOnMachine{event.Machine, uid}
 		switch {
@@ -184,7 +184,7 @@
 	if x.timing != (workerTiming{}) {
 		schedule.timing = x.timing
 	}
-	for node := range 3 {
+	for node := range controllerCount {
 		away := seconds(x.outageS + 0.3*float64(node))
 		if node >= x.returning {
 			away = schedule.duration - seconds(x.lossAtS) // they are asked at the end
@@ -254,21 +254,19 @@
 }
 
 // measureLoss follows the recovery from the return of the first controller.
-func (w *simulation) measureLoss(loss totalLoss, events *eventLog, measured *lossMeasurements) {
-	back := loss.lostAt(w).Add(seconds(loss.outageS))
+func (s *simulation) measureLoss(loss totalLoss, events *eventLog, measured *lossMeasurements) {
+	back := loss.lostAt(s).Add(seconds(loss.outageS))
 	time.Sleep(time.Until(back))
-	requests, changes := w.state.RequestCount(), w.state.ChangeCount()
+	requests, changes := s.state.RequestCount(), s.state.ChangeCount()
 	const step = 250 * time.Millisecond
-	for w.ctx.Err() == nil && time.Since(back) < 60*time.Second && measured.AllGoingS == 0 {
+	for s.ctx.Err() == nil && time.Since(back) < 60*time.Second && measured.AllGoingS == 0 {
 		time.Sleep(step)
 		since := time.Since(back).Seconds()
 		var report recovery.Report
-		if process := w.runningProcess(controllerName(w.leaderIndex())); process != nil {
-			if leader := process.current.Load(); leader != nil {
-				report, _ = leader.recoveryReport()
-			}
+		if leader := s.activeLeader(); leader != nil {
+			report, _ = leader.recoveryReport()
 		}
-		run, want := w.replicaCounts()
+		run, want := s.replicaCounts()
 		measured.Progress = append(measured.Progress, progressPoint{AtS: since, Awaited: report.Machines.Awaited, Reconciled: report.Machines.Reconciled, Replicas: run})
 		measured.Machines = max(measured.Machines, report.Machines.Recorded)
 		settled := report.Machines.Reconciled + report.Machines.Gone
@@ -281,7 +279,7 @@
 			}
 			if run == want {
 				measured.AllGoingS = since
-				measured.StateRequests, measured.StateChanges = w.state.RequestCount()-requests, w.state.ChangeCount()-changes
+				measured.StateRequests, measured.StateChanges = s.state.RequestCount()-requests, s.state.ChangeCount()-changes
 			}
 		}
 	}
--- a/harness_transport_test.go
+++ b/harness_transport_test.go
@@ -15,195 +15,204 @@
 	"cedardoor/wire"
 )
 
-// latency is drawn from the seed, the pair and the moment.
-func (w *simulation) latency(from, to string) time.Duration {
-	h := fnv.New64a()
-	fmt.Fprintf(h, "%d %s %s %d", w.schedule.seed, from, to, time.Since(w.startedAt))
-	return w.schedule.extraLatency + 500*time.Microsecond + time.Duration(h.Sum64()%4000)*time.Microsecond
-}
+// errNoResponse is returned when no response to a message arrives.
+var errNoResponse = errors.New("no response")
 
-var errNoResponse = errors.New("lost")
+// latency returns how long a message takes that is sent now. It is derived from the seed, the
+// hosts and the moment, so that a schedule can be repeated.
+func (s *simulation) latency(from, to string) time.Duration {
+	hash := fnv.New64a()
+	fmt.Fprintf(hash, "%d %s %s %d", s.schedule.seed, from, to, time.Since(s.startedAt))
+	return s.schedule.extraLatency + 500*time.Microsecond + time.Duration(hash.Sum64()%4000)*time.Microsecond
+}
 
-// serveRequest lets one controller answer a request, from memory.
-func (w *simulation) serveRequest(ctx context.Context, node, method, path string, body []byte) (int, []byte, error) {
-	process := w.runningProcess(node)
+// serveRequest lets a controller serve a request directly, without connections.
+func (s *simulation) serveRequest(ctx context.Context, controller, method, path string, body []byte) (int, []byte, error) {
+	process := s.runningProcess(controller)
 	if process == nil {
 		return 0, nil, errNoResponse
 	}
-	return w.serveByProcess(ctx, process, method, path, body)
+	return s.serveByProcess(ctx, process, method, path, body)
 }
 
-// serveByProcess lets one process of a controller answer a request, from memory.
-func (w *simulation) serveByProcess(ctx context.Context, process *controllerProcess, method, path string, body []byte) (int, []byte, error) {
-	if w.runningProcess(process.name) != process {
+// serveByProcess lets one process of a controller serve a request directly.
+func (s *simulation) serveByProcess(ctx context.Context, process *controllerProcess, method, path string, body []byte) (int, []byte, error) {
+	if s.runningProcess(process.name) != process {
 		return 0, nil, errNoResponse
 	}
 	recorder := httptest.NewRecorder()
 	process.router.ServeHTTP(recorder, httptest.NewRequestWithContext(ctx, method, path, bytes.NewReader(body)))
-	if w.runningProcess(process.name) != process {
-		return 0, nil, errNoResponse // killed as it answered
+	if s.runningProcess(process.name) != process {
+		return 0, nil, errNoResponse // killed before it responded
 	}
 	return recorder.Code, recorder.Body.Bytes(), nil
 }
 
-// exchangeBuffered lets a controller answer a request over a network that can hold
-// messages. A request over an open connection arrives after the hold, though nobody
-// may wait for its answer any more; a connection can't be made meanwhile.
-func (w *simulation) exchangeBuffered(ctx context.Context, open *controllerProcess, from, node, method, path string, body []byte) (int, []byte, error) {
+// exchangeBuffered lets a controller serve a request over a network that can hold messages.
+// A request over an open connection, if there is one, arrives after a hold, even if its sender
+// has given up; a new connection can't be made during one.
+func (s *simulation) exchangeBuffered(ctx context.Context, open *controllerProcess, from, controller, method, path string, body []byte) (int, []byte, error) {
 	process := open
 	if process == nil {
-		if !w.network.AwaitBoth(ctx, from, node) {
+		if !s.network.AwaitBoth(ctx, from, controller) {
 			return 0, nil, errNoResponse
 		}
-		if process = w.runningProcess(node); process == nil {
+		if process = s.runningProcess(controller); process == nil {
 			return 0, nil, errNoResponse
 		}
 	}
-	type answer struct {
-		status int
-		body   []byte
-		err    error
-	}
-	done := make(chan answer, 1)
-	w.wg.Go(func() {
-		late := w.network.IsHeld(from, node)
-		w.network.Await(w.ctx, from, node)
-		status, encoded, err := w.serveByProcess(w.ctx, process, method, path, body)
-		if late {
-			w.logf("%s of %s to %s was held: %d", path, from, node, status)
+	type response struct {
+		code int
+		body []byte
+		err  error
+	}
+	done := make(chan response, 1)
+	s.wg.Go(func() {
+		held := s.network.IsHeld(from, controller)
+		s.network.Await(s.ctx, from, controller)
+		code, encoded, err := s.serveByProcess(s.ctx, process, method, path, body)
+		if held {
+			s.logf("%s of %s to %s was held: %d", path, from, controller, code)
 		}
-		time.Sleep(w.latency(node, from))
-		w.network.Await(w.ctx, node, from)
-		done <- answer{status, encoded, err}
+		time.Sleep(s.latency(controller, from))
+		s.network.Await(s.ctx, controller, from)
+		done <- response{code, encoded, err}
 	})
 	select {
-	case a := <-done:
-		return a.status, a.body, a.err
+	case response := <-done:
+		return response.code, response.body, response.err
 	case <-ctx.Done():
 		return 0, nil, errNoResponse
 	}
 }
 
-// sendBufferedHeartbeat carries a worker's report over its connection, or a new one.
-func (w *simulation) sendBufferedHeartbeat(ctx context.Context, machine *standin.Machine, node string, encoded []byte) (int, []byte, error) {
-	w.mu.Lock()
-	open := w.connections[machine]
-	w.mu.Unlock()
-	if open != nil && (open.name != node || w.runningProcess(node) != open) {
+// sendHeartbeat sends a worker's heartbeat to a controller and returns the response.
+func (s *simulation) sendHeartbeat(ctx context.Context, machine *standin.Machine, controller string, report wire.Heartbeat) (int, []byte, error) {
+	encoded, err := wire.Marshal(report)
+	if err != nil {
+		return 0, nil, err
+	}
+	if fault, ok := s.activeFault(heartbeatCopiesDelayed); ok {
+		s.wg.Go(func() { s.copyHeartbeatAfter(fault.delay, machine, encoded) })
+	}
+	if _, ok := s.activeFault(heartbeatCopiesToNextLeader); ok {
+		s.wg.Go(func() { s.copyHeartbeatToNextLeader(machine, encoded) })
+	}
+	time.Sleep(s.latency(machine.Info.UID, controller))
+	s.mu.Lock()
+	sendsNothing := s.injected.sendsNothing[machine]
+	s.mu.Unlock()
+	if sendsNothing || s.network.IsCut(machine.Info.UID, controller) {
+		return 0, nil, errNoResponse
+	}
+	var code int
+	var body []byte
+	if s.schedule.buffersMessages {
+		code, body, err = s.sendBufferedHeartbeat(ctx, machine, controller, encoded)
+	} else {
+		code, body, err = s.serveRequest(ctx, controller, http.MethodPost, wire.PathHeartbeat, encoded)
+		time.Sleep(s.latency(controller, machine.Info.UID))
+	}
+	if machine.IsUnreachable() || s.network.IsCut(controller, machine.Info.UID) {
+		return 0, nil, errNoResponse
+	}
+	return code, body, err
+}
+
+// sendBufferedHeartbeat sends a heartbeat over the worker's open connection, or a new one.
+func (s *simulation) sendBufferedHeartbeat(ctx context.Context, machine *standin.Machine, controller string, encoded []byte) (int, []byte, error) {
+	s.mu.Lock()
+	open := s.connections[machine]
+	s.mu.Unlock()
+	if open != nil && (open.name != controller || s.runningProcess(controller) != open) {
 		open = nil
 	}
-	status, body, err := w.exchangeBuffered(ctx, open, machine.Info.UID, node, http.MethodPost, wire.PathHeartbeat, encoded)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.connections, machine)
-	if err == nil && status == http.StatusOK {
-		for _, process := range w.processes {
-			if process.name == node && !process.stopped {
-				w.connections[machine] = process
+	code, body, err := s.exchangeBuffered(ctx, open, machine.Info.UID, controller, http.MethodPost, wire.PathHeartbeat, encoded)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.connections, machine)
+	if err == nil && code == http.StatusOK {
+		for _, process := range s.processes {
+			if process.name == controller && !process.stopped {
+				s.connections[machine] = process
 			}
 		}
 	}
-	return status, body, err
+	return code, body, err
 }
 
-// sendHeartbeat carries a worker's report to a controller.
-func (w *simulation) sendHeartbeat(ctx context.Context, machine *standin.Machine, node string, report wire.Heartbeat) (int, []byte, error) {
-	encoded, err := wire.Marshal(report)
-	if err != nil {
-		return 0, nil, err
-	}
-	if fault, ok := w.activeFault(heartbeatCopiesDelayed); ok {
-		w.wg.Go(func() {
-			select {
-			case <-time.After(fault.delay):
-			case <-w.ctx.Done():
-				return
-			}
-			for _, n := range machine.Controllers { // whoever leads then takes it in; its answer finds nobody
-				_, _, _ = w.serveRequest(w.ctx, n, http.MethodPost, wire.PathHeartbeat, encoded)
-			}
-		})
-	}
-	if _, ok := w.activeFault(heartbeatCopiesToNextLeader); ok {
-		w.wg.Go(func() {
-			for token := w.leaderToken(); w.leaderToken() <= token; {
-				select {
-				case <-time.After(50 * time.Millisecond):
-				case <-w.ctx.Done():
-					return
-				}
-			}
-			for _, n := range machine.Controllers {
-				_, _, _ = w.serveRequest(w.ctx, n, http.MethodPost, wire.PathHeartbeat, encoded)
-			}
-		})
+// copyHeartbeatAfter sends copies of a heartbeat to all controllers after a delay, so that the
+// leader of that moment receives one. The responses are lost.
+func (s *simulation) copyHeartbeatAfter(delay time.Duration, machine *standin.Machine, encoded []byte) {
+	select {
+	case <-time.After(delay):
+	case <-s.ctx.Done():
+		return
 	}
-	time.Sleep(w.latency(machine.Info.UID, node))
-	w.mu.Lock()
-	mute := w.injected.sendsNothing[machine]
-	w.mu.Unlock()
-	if mute || w.network.IsCut(machine.Info.UID, node) {
-		return 0, nil, errNoResponse
+	for _, controller := range machine.Controllers {
+		_, _, _ = s.serveRequest(s.ctx, controller, http.MethodPost, wire.PathHeartbeat, encoded)
 	}
-	if w.schedule.buffersMessages {
-		status, body, err := w.sendBufferedHeartbeat(ctx, machine, node, encoded)
-		if machine.IsUnreachable() || w.network.IsCut(node, machine.Info.UID) {
-			return 0, nil, errNoResponse
+}
+
+// copyHeartbeatToNextLeader sends copies of a heartbeat to all controllers when the leader has
+// changed. The responses are lost.
+func (s *simulation) copyHeartbeatToNextLeader(machine *standin.Machine, encoded []byte) {
+	for token := s.leaderToken(); s.leaderToken() <= token; {
+		select {
+		case <-time.After(50 * time.Millisecond):
+		case <-s.ctx.Done():
+			return
 		}
-		return status, body, err
 	}
-	status, body, err := w.serveRequest(ctx, node, http.MethodPost, wire.PathHeartbeat, encoded)
-	time.Sleep(w.latency(node, machine.Info.UID))
-	if machine.IsUnreachable() || w.network.IsCut(node, machine.Info.UID) {
-		return 0, nil, errNoResponse
+	for _, controller := range machine.Controllers {
+		_, _, _ = s.serveRequest(s.ctx, controller, http.MethodPost, wire.PathHeartbeat, encoded)
 	}
-	return status, body, err
 }
 
-// stateService is the state service as one process reaches it.
-func (w *simulation) stateService(node string) http.Handler {
-	inner := w.state.Handler(node)
-	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+// stateService returns the state service as one controller reaches it.
+func (s *simulation) stateService(controller string) http.Handler {
+	inner := s.state.Handler(controller)
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		encoded, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
-		handle := func(ctx context.Context) *httptest.ResponseRecorder {
+		execute := func(ctx context.Context) *httptest.ResponseRecorder {
 			recorder := httptest.NewRecorder()
-			q := r.Clone(ctx)
-			q.Body = io.NopCloser(bytes.NewReader(encoded))
-			inner.ServeHTTP(recorder, q)
+			request := r.Clone(ctx)
+			request.Body = io.NopCloser(bytes.NewReader(encoded))
+			inner.ServeHTTP(recorder, request)
 			return recorder
 		}
-		time.Sleep(w.latency(node, "state"))
-		if fault, ok := w.activeFault(stateSlow); ok {
+		time.Sleep(s.latency(controller, "state"))
+		if fault, ok := s.activeFault(stateSlow); ok {
 			time.Sleep(fault.delay)
 		}
-		if fault, ok := w.activeFault(stateLinksSlow); ok {
+		if fault, ok := s.activeFault(stateLinksSlow); ok {
 			time.Sleep(fault.delay)
 			defer time.Sleep(fault.delay)
 		}
 		if r.URL.Path == wire.PathCommit {
-			if fault, ok := w.activeFault(transactionsDelayed); ok {
-				w.wg.Go(func() {
+			if fault, ok := s.activeFault(transactionsDelayed); ok {
+				s.wg.Go(func() {
 					select {
 					case <-time.After(fault.delay):
-						recorder := handle(w.ctx)
-						w.logf("late transaction of %s: %d", node, recorder.Code)
-					case <-w.ctx.Done():
+						recorder := execute(s.ctx)
+						s.logf("delayed transaction of %s: %d", controller, recorder.Code)
+					case <-s.ctx.Done():
 					}
 				})
 				<-r.Context().Done()
 				return
 			}
-			if _, ok := w.activeFault(transactionAnswersLost); ok {
-				handle(w.ctx)
+			if _, ok := s.activeFault(transactionAnswersLost); ok {
+				execute(s.ctx)
 				panic(http.ErrAbortHandler)
 			}
 		}
-		recorder := handle(r.Context())
-		time.Sleep(w.latency("state", node))
-		rw.WriteHeader(recorder.Code)
-		_, _ = rw.Write(recorder.Body.Bytes())
+		recorder := execute(r.Context())
+		time.Sleep(s.latency("state", controller))
+		w.WriteHeader(recorder.Code)
+		_, _ = w.Write(recorder.Body.Bytes())
 	})
 }
--- a/harness_users_test.go
+++ b/harness_users_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"net/http"
 	"strings"
 	"time"
@@ -10,15 +9,45 @@
 	"cedardoor/wire"
 )
 
-// request sends a user's request to a node and holds its answer against all that
-// was told before it was sent.
-func (w *simulation) request(node int, method, path, uid string, body []byte) (int, wire.JobStatus) {
-	name := fmt.Sprintf("node-%d", node%3+1)
-	w.mu.Lock()
-	view := w.observed.views[uid]
+// Timing of users.
+const (
+	userTimeout  = 5 * time.Second
+	pollInterval = 3 * time.Second
+	retryDelay   = time.Second
+)
+
+// request sends a user's request to a controller and checks the response against all that users
+// were told before the request was sent. It returns 0 when there is no response.
+func (s *simulation) request(controller int, method, path, uid string, body []byte) (int, wire.JobStatus) {
+	name := controllerName(controller % controllerCount)
+	view, before := s.beginRequest(method, path, uid)
+	code, encoded, err := s.sendRequest(name, method, path, uid, body)
+	if err != nil {
+		return 0, wire.JobStatus{}
+	}
+	var status wire.JobStatus
+	if code == http.StatusOK || code == http.StatusCreated {
+		_ = wire.Unmarshal(encoded, &status)
+	}
+	s.logf("%s %s at %s: %d %s", method, path, name, code, status.Status)
+	s.checkResponse(name, uid, code, status, view, before)
+	if code == http.StatusOK || code == http.StatusCreated {
+		if s.observeStatus(view, status) {
+			s.pollEverywhere(uid)
+		}
+	}
+	return code, status
+}
+
+// beginRequest notes what the user asks for. It returns the view of the job, and a copy of it
+// from before the request.
+func (s *simulation) beginRequest(method, path, uid string) (view *jobView, before jobView) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	view = s.observed.views[uid]
 	if view == nil {
 		view = &jobView{}
-		w.observed.views[uid] = view
+		s.observed.views[uid] = view
 	}
 	if method == http.MethodPost {
 		if strings.HasSuffix(path, wire.SuffixCancel) {
@@ -27,133 +56,147 @@
 			view.submitted = true
 		}
 	}
-	before := *view
-	w.mu.Unlock()
-	ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
+	return view, *view
+}
+
+// sendRequest sends a user's request over the network.
+func (s *simulation) sendRequest(controller, method, path, uid string, body []byte) (code int, encoded []byte, err error) {
+	ctx, cancel := context.WithTimeout(s.ctx, userTimeout)
 	defer cancel()
-	time.Sleep(w.latency("user", name))
-	if w.network.IsCut("user", name) {
-		return 0, wire.JobStatus{}
+	time.Sleep(s.latency("user", controller))
+	if s.network.IsCut("user", controller) {
+		return 0, nil, errNoResponse
 	}
-	var status int
-	var encoded []byte
-	var err error
-	if w.schedule.buffersMessages {
-		// Half of the requests come over connections that are open already.
+	if s.schedule.buffersMessages {
+		// Half of the requests are sent over connections that are open already.
 		var open *controllerProcess
-		if w.latency(uid, name).Microseconds()%2 == 0 {
-			open = w.runningProcess(name)
+		if s.latency(uid, controller).Microseconds()%2 == 0 {
+			open = s.runningProcess(controller)
 		}
-		status, encoded, err = w.exchangeBuffered(ctx, open, "user", name, method, path, body)
+		code, encoded, err = s.exchangeBuffered(ctx, open, "user", controller, method, path, body)
 	} else {
-		status, encoded, err = w.serveRequest(ctx, name, method, path, body)
-		time.Sleep(w.latency(name, "user"))
-	}
-	if w.network.IsCut(name, "user") {
-		return 0, wire.JobStatus{}
-	}
-	if err != nil {
-		return 0, wire.JobStatus{}
+		code, encoded, err = s.serveRequest(ctx, controller, method, path, body)
+		time.Sleep(s.latency(controller, "user"))
 	}
-	var v wire.JobStatus
-	if status == http.StatusOK || status == http.StatusCreated {
-		_ = wire.Unmarshal(encoded, &v)
+	if s.network.IsCut(controller, "user") {
+		return 0, nil, errNoResponse
 	}
-	w.logf("%s %s at %s: %d %s", method, path, name, status, v.Status)
-	w.mu.Lock()
-	all := w.observed.remainingTasks[uid] == 0
+	return code, encoded, err
+}
+
+// checkResponse checks a response against what was known when the request was sent.
+func (s *simulation) checkResponse(controller, uid string, code int, status wire.JobStatus, view *jobView, before jobView) {
+	s.mu.Lock()
+	allDone := s.observed.remainingTasks[uid] == 0
 	submitted := view.submitted
-	cancels := view.cancelRequested
-	w.mu.Unlock()
+	cancelRequested := view.cancelRequested
+	s.mu.Unlock()
 	switch {
-	case status == http.StatusNotFound && before.accepted:
-		w.recordViolation("forgotten", "%s: 404 from %s", uid, name)
-	case (status == 400 || status == 422) && before.accepted:
-		w.recordViolation("forgotten", "%s: %d to a repeat at %s", uid, status, name)
-	case status == http.StatusCreated && before.accepted:
-		w.recordViolation("forgotten", "%s accepted again by %s", uid, name)
-	case status == http.StatusOK && !submitted:
-		w.recordViolation("invented", "%s: %+v from %s", uid, v, name)
-	case status == http.StatusOK && v.Status == wire.JobDone && !all:
-		w.recordViolation("not_done", "%s: done from %s, and tasks are left", uid, name)
-	case status == http.StatusOK && v.Status == wire.JobCancelled && !cancels:
-		w.recordViolation("went_back", "%s: cancelled from %s, and nobody asked for it", uid, name)
-	case status == http.StatusOK && (before.done && v.Status != wire.JobDone || before.cancelled && v.Status != wire.JobCancelled):
-		w.recordViolation("went_back", "%s: %s from %s after done %v, cancelled %v", uid, v.Status, name, before.done, before.cancelled)
-	}
-	if status == http.StatusOK || status == http.StatusCreated {
-		w.mu.Lock()
-		news := !view.accepted || !view.done && v.Status == wire.JobDone || !view.cancelled && v.Status == wire.JobCancelled
-		if !view.accepted {
-			view.lastProgress = time.Now()
-		}
-		view.accepted = true
-		view.done = view.done || v.Status == wire.JobDone
-		if !view.cancelled && v.Status == wire.JobCancelled {
-			view.cancelled, view.cancelledAt = true, time.Now()
-		}
-		w.mu.Unlock()
-		if news {
-			for n := range 3 {
-				for _, after := range []time.Duration{time.Millisecond, 40 * time.Millisecond} {
-					w.wg.Go(func() {
-						time.Sleep(after)
-						w.request(n, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil)
-					})
-				}
-			}
+	case code == http.StatusNotFound && before.accepted:
+		s.recordViolation("forgotten", "%s: 404 from %s", uid, controller)
+	case (code == http.StatusBadRequest || code == http.StatusUnprocessableEntity) && before.accepted:
+		s.recordViolation("forgotten", "%s: %d to a repeat at %s", uid, code, controller)
+	case code == http.StatusCreated && before.accepted:
+		s.recordViolation("forgotten", "%s accepted again by %s", uid, controller)
+	case code == http.StatusOK && !submitted:
+		s.recordViolation("invented", "%s: %+v from %s", uid, status, controller)
+	case code == http.StatusOK && status.Status == wire.JobDone && !allDone:
+		s.recordViolation("not_done", "%s: done from %s, and tasks are left", uid, controller)
+	case code == http.StatusOK && status.Status == wire.JobCancelled && !cancelRequested:
+		s.recordViolation("went_back", "%s: cancelled from %s, and nobody asked for it", uid, controller)
+	case code == http.StatusOK && (before.done && status.Status != wire.JobDone || before.cancelled && status.Status != wire.JobCancelled):
+		s.recordViolation("went_back", "%s: %s from %s after done %v, cancelled %v", uid, status.Status, controller, before.done, before.cancelled)
+	}
+}
+
+// observeStatus adds a job's status to what users know of it, and reports whether it is news.
+func (s *simulation) observeStatus(view *jobView, status wire.JobStatus) (news bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	done, cancelled := status.Status == wire.JobDone, status.Status == wire.JobCancelled
+	news = !view.accepted || !view.done && done || !view.cancelled && cancelled
+	if !view.accepted {
+		view.lastProgress = time.Now()
+	}
+	view.accepted = true
+	view.done = view.done || done
+	if !view.cancelled && cancelled {
+		view.cancelled, view.cancelledAt = true, time.Now()
+	}
+	return news
+}
+
+// pollEverywhere polls a job at all controllers soon after users have learned news of it.
+func (s *simulation) pollEverywhere(uid string) {
+	for controller := range controllerCount {
+		for _, after := range []time.Duration{time.Millisecond, 40 * time.Millisecond} {
+			s.wg.Go(func() {
+				time.Sleep(after)
+				s.request(controller, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil)
+			})
 		}
 	}
-	return status, v
 }
 
-// playUser plays one user.
-func (w *simulation) playUser(submission scheduledSubmission) {
+// playUser submits a job until it is accepted, then polls it and does what else the
+// submission says.
+func (s *simulation) playUser(submission scheduledSubmission) {
 	uid := submission.spec.UID
-	body := submissionBody(w.t, submission.spec, nil)
-	path := wire.PathJobs + "/" + uid
-	over := w.startedAt.Add(w.schedule.duration + faultFreeTail - 5*time.Second)
+	body := submissionBody(s.t, submission.spec, nil)
+	deadline := s.startedAt.Add(s.schedule.duration + faultFreeTail - 5*time.Second)
 	for n := 0; ; n++ {
-		status, _ := w.request(n+submission.firstController+int(w.schedule.seed), http.MethodPost, wire.PathJobs, uid, body)
-		if status == http.StatusCreated || status == http.StatusOK {
+		code, _ := s.request(n+submission.firstController+int(s.schedule.seed), http.MethodPost, wire.PathJobs, uid, body)
+		if code == http.StatusCreated || code == http.StatusOK {
 			break
 		}
-		if status == http.StatusBadRequest || status == http.StatusUnprocessableEntity || time.Now().After(over) {
-			w.logf("%s given up: %d", uid, status)
+		if code == http.StatusBadRequest || code == http.StatusUnprocessableEntity || time.Now().After(deadline) {
+			s.logf("%s given up: %d", uid, code)
 			return
 		}
-		time.Sleep(time.Second)
+		time.Sleep(retryDelay)
 	}
 	if submission.cancelAfter > 0 || submission.cancelOnDone || submission.cancelOnFault != "" {
-		w.wg.Go(func() {
-			switch {
-			case submission.cancelOnDone:
-				select {
-				case <-w.observed.allTasksDone[uid]:
-				case <-w.ctx.Done():
-					return
-				}
-			case submission.cancelOnFault != "":
-				for time.Now().Before(over) {
-					if _, ok := w.activeFault(submission.cancelOnFault); ok {
-						break
-					}
-					time.Sleep(5 * time.Millisecond)
-				}
-			default:
-				time.Sleep(submission.cancelAfter)
-			}
-			for n := 0; time.Now().Before(over); n++ {
-				if status, _ := w.request(n, http.MethodPost, path+"/"+wire.SuffixCancel, uid, nil); status == http.StatusOK {
-					return
-				}
-				time.Sleep(time.Second)
+		s.wg.Go(func() { s.cancelWhenDue(submission, deadline) })
+	}
+	s.pollUntil(submission, body, deadline)
+}
+
+// cancelWhenDue waits until a job is to be cancelled, and then requests it until a controller
+// confirms it.
+func (s *simulation) cancelWhenDue(submission scheduledSubmission, deadline time.Time) {
+	uid := submission.spec.UID
+	switch {
+	case submission.cancelOnDone:
+		select {
+		case <-s.observed.allTasksDone[uid]:
+		case <-s.ctx.Done():
+			return
+		}
+	case submission.cancelOnFault != "":
+		for time.Now().Before(deadline) {
+			if _, active := s.activeFault(submission.cancelOnFault); active {
+				break
 			}
-		})
+			time.Sleep(5 * time.Millisecond)
+		}
+	default:
+		time.Sleep(submission.cancelAfter)
 	}
-	for n := 0; time.Now().Before(over); n++ {
-		time.Sleep(3 * time.Second)
-		_, status := w.request(n+submission.firstController, http.MethodGet, path, uid, nil)
+	for n := 0; time.Now().Before(deadline); n++ {
+		if code, _ := s.request(n, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, uid, nil); code == http.StatusOK {
+			return
+		}
+		time.Sleep(retryDelay)
+	}
+}
+
+// pollUntil polls a job at one controller after another, and an unknown job besides.
+func (s *simulation) pollUntil(submission scheduledSubmission, body []byte, deadline time.Time) {
+	uid := submission.spec.UID
+	const unknown = "j-999"
+	for n := 0; time.Now().Before(deadline); n++ {
+		time.Sleep(pollInterval)
+		_, status := s.request(n+submission.firstController, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil)
 		if submission.stopsPolling {
 			if status.Status == wire.JobDone || status.Status == wire.JobCancelled {
 				return
@@ -161,9 +204,9 @@
 			continue
 		}
 		if submission.resubmits && n%4 == 1 {
-			w.request(n+1, http.MethodPost, wire.PathJobs, uid, body)
-			w.request(n+2, http.MethodPost, wire.PathJobs, uid, submissionBody(w.t, submission.spec, func(m map[string]any) { m["cores"] = -1 }))
+			s.request(n+1, http.MethodPost, wire.PathJobs, uid, body)
+			s.request(n+2, http.MethodPost, wire.PathJobs, uid, submissionBody(s.t, submission.spec, func(m map[string]any) { m["cores"] = -1 }))
 		}
-		w.request(n+2, http.MethodGet, wire.PathJobs+"/j-999", "j-999", nil)
+		s.request(n+2, http.MethodGet, wire.PathJobs+"/"+unknown, unknown, nil)
 	}
 }
--- a/team_reports_test.go
+++ b/team_reports_test.go
@@ -66,17 +66,17 @@
 }
 
 // askTeams asks a controller of a world for the teams' use as an operator does.
-func (w *simulation) askTeams(node int) (quota.Report, error) {
-	process := w.runningProcess(controllerName(node))
+func (s *simulation) askTeams(node int) (quota.Report, error) {
+	process := s.runningProcess(controllerName(node))
 	if process == nil {
 		return quota.Report{}, errNoResponse
 	}
 	server := httptest.NewRecorder()
-	process.operators().ServeHTTP(server, httptest.NewRequestWithContext(w.ctx, http.MethodGet, operator.PathTeams, nil))
+	process.operators().ServeHTTP(server, httptest.NewRequestWithContext(s.ctx, http.MethodGet, operator.PathTeams, nil))
 	if server.Code != http.StatusOK {
 		return quota.Report{}, fmt.Errorf("status %d", server.Code)
 	}
-	return process.Teams(w.ctx)
+	return process.Teams(s.ctx)
 }
 
 // Every controller tells what the leader's ledger holds; when nobody leads, what it saw
@@ -86,7 +86,7 @@
 	schedule.submissions = []scheduledSubmission{newSubmission(1, 2, 0, func(spec *wire.Spec) { asService(2)(spec); spec.Team = "tight" })}
 	schedule.faults = []scheduledFault{
 		{kind: stateRefusesAll, at: seconds(30), duration: seconds(25)},
-		{kind: controllerKilled, at: seconds(31), duration: seconds(20), controller: 3},
+		{kind: controllerKilled, at: seconds(31), duration: seconds(20), controller: currentLeader},
 	}
 	schedule.setup = func(sim *simulation) {
 		sim.runAt(25, func() {
