--- a/api/status_reader_test.go
+++ b/api/status_reader_test.go
@@ -47,7 +47,7 @@
 // readsOfQueries is the number of reads that a number of concurrent queries takes.
 func readsOfQueries(t *testing.T, r *statusReader, state *standin.State, queries int) int {
 	t.Helper()
-	before := state.Requests()
+	before := state.RequestCount()
 	release := state.Stall()
 	succeeded := make(chan bool)
 	query := func() {
@@ -55,7 +55,7 @@
 		succeeded <- record == recordUnfinished && err == nil
 	}
 	go query()
-	for state.Requests() == before { // until its read is in flight
+	for state.RequestCount() == before { // until its read is in flight
 		runtime.Gosched()
 	}
 	for range queries - 1 {
@@ -70,7 +70,7 @@
 			t.Fatal("a query failed")
 		}
 	}
-	return state.Requests() - before
+	return state.RequestCount() - before
 }
 
 // One read answers all queries that wait for it, and it starts after the last of them arrived.
--- /dev/null
+++ b/cancellation_outage_test.go
@@ -0,0 +1,284 @@
+package cedardoor
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"runtime"
+	"slices"
+	"testing"
+	"time"
+
+	"cedardoor/fleet"
+	"cedardoor/peer"
+	"cedardoor/wire"
+)
+
+// dropCancelHints lets no hint of a node's cancels reach the leader: they are hints.
+func dropCancelHints(node *Service) { node.users.OnCancelled = nil }
+
+// The cancellation gap: the state service refuses the leader alone, another
+// controller confirms a cancel, then it is down for all. The leader goes on
+// answering heartbeats on the others' word, which must carry the cancel: the task is
+// stopped by the answer to a heartbeat, without any hold, and no other is.
+func TestAttestationCarriesCancellations(t *testing.T) {
+	cluster, nodes, leader, worker := connectedCluster(t)
+	dropCancelHints(nodes[1])
+	cluster.state.Refuse(nodes[0].cfg.Node, true)
+	cluster.cancelJob(nodes[1], "j-1")
+	if got := worker.LiveTasks(); len(got) != 2 {
+		t.Fatalf("running %v: the leader can't know yet", got)
+	}
+	cluster.state.Refuse("", true)
+	cluster.advance(8 * time.Second) // the lease of the leader may have lapsed
+	if _, may := nodes[0].elector.HoldsLease(); may {
+		t.Fatal("the leader still has its lease")
+	}
+	if _, may := nodes[0].elector.MayAnswerHeartbeats(); !may {
+		t.Fatal("all attest the outage, and the leader answers no heartbeats")
+	}
+	heartbeat(t, leader, worker)
+	if got := worker.LiveTasks(); len(got) != 1 || got[0] != "j-2/0" {
+		t.Fatalf("running %v after the attested leader answered, want j-2/0 alone", got)
+	}
+	// What the leader was told is a hint: after the outage the store is the truth.
+	cluster.state.Refuse(nodes[0].cfg.Node, false)
+	cluster.state.Refuse("", false)
+	cluster.advance(2 * time.Second)
+	cluster.resync(leader)
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
+	if got := worker.StartedAttempts(); len(got) != 2 {
+		t.Errorf("starts %v, want each job's once", got)
+	}
+	cluster.checkStatus(nodes[0], "j-1", wire.JobCancelled)
+}
+
+// A controller that can't name every cancel since the leader last knew does not
+// attest: it began since, it has forgotten some, or they fit no message. Then
+// heartbeats go unanswered when the lease ends, and the leases do the rest.
+func TestNoAttestationWithoutCompleteCancellations(t *testing.T) {
+	tests := map[string]func(cluster *testCluster, node *Service) *Service{
+		"began since": func(cluster *testCluster, node *Service) *Service {
+			cluster.submit(node, jobSpec("j-7", nil))
+			cluster.nodeCount -= 2 // the same node again
+			again := cluster.node(nil)
+			cluster.nodeCount++
+			cluster.checkStatus(again, "j-7", wire.JobQueued)
+			return again
+		},
+		"never had an answer": func(cluster *testCluster, _ *Service) *Service { return cluster.node(nil) },
+		"has forgotten": func(cluster *testCluster, node *Service) *Service {
+			cluster.cancelJob(node, "j-1")
+			for i := range 9000 {
+				node.users.Cancellations.Record(fmt.Sprintf("j-%d", 100+i), 1)
+			}
+			return node
+		},
+		"too many for a message": func(_ *testCluster, node *Service) *Service {
+			for i := range 2000 {
+				node.users.Cancellations.Expect(fmt.Sprintf("j-%d", 100+i))
+			}
+			return node
+		},
+		"knows a later leader": func(cluster *testCluster, node *Service) *Service {
+			cluster.disconnect(cluster.firstLeader)
+			cluster.clock.Advance(6 * time.Second)
+			cluster.elect(node)
+			return node
+		},
+	}
+	for name, mod := range tests {
+		t.Run(name, func(t *testing.T) {
+			cluster, nodes, leader, _ := connectedCluster(t)
+			cluster.firstLeader = nodes[0]
+			o := peer.AttestationRequest{Requested: true, LeaderRevision: leader.term.Revision, KnownRevision: leader.syncedRevision()}
+			cluster.state.Refuse("", true)
+			if r := nodes[1].answerPeer(t.Context(), peer.Request{Attestation: o}); !r.Attestation.Attested {
+				t.Fatal("does not attest though it can vouch")
+			}
+			cluster.state.Refuse("", false)
+			if r := nodes[1].answerPeer(t.Context(), peer.Request{Attestation: o}); r.Attestation.Attested {
+				t.Fatal("attests though the state service serves it")
+			}
+			node := mod(cluster, nodes[1])
+			cluster.state.Refuse("", true)
+			if r := node.answerPeer(t.Context(), peer.Request{Attestation: o}); r.Attestation.Attested {
+				t.Errorf("attests, with cancels %v", r.Attestation.Cancelled)
+			}
+			// An old form of the question, or none, is no question at all.
+			if r := nodes[2].answerPeer(t.Context(), peer.Request{}); r.Attestation.Attested {
+				t.Error("attests unasked")
+			}
+		})
+	}
+}
+
+// A cancel counts as told whether this node made it, passed it on, read it, or
+// does not know yet what became of it.
+func TestConfirmedCancellationsAreRemembered(t *testing.T) {
+	cluster, nodes, leader, _ := connectedCluster(t)
+	since := leader.syncedRevision()
+	named := func(node *Service) []string {
+		uids, whole := node.users.Cancellations.Since(since, node.store.FirstRevision())
+		if !whole {
+			t.Fatalf("%s can't vouch", node.cfg.Node)
+		}
+		return uids
+	}
+	cluster.cancelJob(nodes[1], "j-1")
+	if got := named(nodes[1]); len(got) != 1 || got[0] != "j-1" {
+		t.Errorf("made: %v", got)
+	}
+	cluster.checkStatus(nodes[2], "j-1", wire.JobCancelled)
+	if got := named(nodes[2]); len(got) != 1 || got[0] != "j-1" {
+		t.Errorf("read: %v", got)
+	}
+	// The answer to the change is lost, and it may be done any time.
+	cluster.state.DelayNextTransaction()
+	if code, _, _ := cluster.ask(nodes[1], http.MethodPost, wire.PathJobs+"/j-2/abort", nil); code != http.StatusServiceUnavailable {
+		t.Fatalf("an abort of unknown outcome: %d", code)
+	}
+	if got := named(nodes[1]); !slices.Contains(got, "j-2") {
+		t.Errorf("of unknown outcome: %v", got)
+	}
+	// Last: it is asked of both other nodes, and the slower one may act on it later.
+	cluster.submit(nodes[1], jobSpec("j-3", nil))
+	cluster.state.Refuse(nodes[0].cfg.Node, true)
+	for nodes[0].store.Failing() == false {
+		nodes[0].store.Refused(t.Context(), 1_000_000)
+	}
+	cluster.cancelJob(nodes[0], "j-3") // passed on
+	if got := named(nodes[0]); len(got) != 1 || got[0] != "j-3" || nodes[0].users.Cancellations.Revision("j-3") == 0 {
+		t.Errorf("passed on: %v, of epoch %d", got, nodes[0].users.Cancellations.Revision("j-3"))
+	}
+}
+
+// A cancel made elsewhere is told to the leader at once, over the link between
+// controllers: its task is stopped directly before any change could be read.
+// Lost, repeated or untrue, the hint harms nothing.
+func TestCancellationHintStopsTask(t *testing.T) {
+	cluster, nodes, leader, worker := connectedCluster(t)
+	nodes[1].elector = nodes[0].elector // knows who leads
+	cluster.state.Refuse(nodes[0].cfg.Node, true)
+	cluster.cancelJob(nodes[1], "j-1")
+	for len(worker.LiveTasks()) != 1 {
+		runtime.Gosched()
+	}
+	if got := worker.LiveTasks(); got[0] != "j-2/0" {
+		t.Fatalf("running %v", got)
+	}
+	cluster.state.Refuse(nodes[0].cfg.Node, false)
+	// Repeated, of a job that is not known, and of one that was not cancelled.
+	nodes[0].answerPeer(t.Context(), peer.Request{CancelHints: []string{"j-1", "j-99", "j-2"}})
+	for len(worker.LiveTasks()) != 0 {
+		leader.dispatch(t.Context()) // as the loop does when the command before has landed
+		runtime.Gosched()
+	}
+	cluster.advance(time.Second)
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
+	if got := worker.StartedAttempts(); len(got) != 2 {
+		t.Fatalf("started %v before the state service was asked", got)
+	}
+	cluster.resync(leader)
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
+	heartbeat(t, leader, worker)
+	if got := worker.LiveTasks(); len(got) != 1 || got[0] != "j-2/0" {
+		t.Errorf("running %v, want the job that was not cancelled", got)
+	}
+	cluster.checkStatus(nodes[2], "j-2", wire.JobQueued)
+}
+
+// After a spell in which changes may have been missed, no run goes out before
+// they have been read, not even one that was recorded before the spell.
+func TestNoRunCommandsOnStaleState(t *testing.T) {
+	spells := map[string]func(cluster *testCluster, node *Service, leader *leader){
+		"refused alone": func(cluster *testCluster, node *Service, _ *leader) {
+			cluster.state.Refuse(node.cfg.Node, true)
+			cluster.advance(3 * time.Second)
+			cluster.state.Refuse(node.cfg.Node, false)
+		},
+		"stood still": func(cluster *testCluster, _ *Service, leader *leader) {
+			cluster.clock.Advance(4 * time.Second)
+			leader.checkPause()
+		},
+	}
+	for name, spell := range spells {
+		t.Run(name, func(t *testing.T) {
+			cluster := newTestCluster(t)
+			node, other := cluster.node(nil), cluster.node(nil)
+			leader, _ := cluster.elect(node)
+			worker := cluster.worker("n-1", "x", true)
+			heartbeat(t, leader, worker)
+			leader.checkPause()
+			cluster.submit(node, jobSpec("j-1", nil))
+			cluster.resync(leader)
+			leader.mu.Lock()
+			leader.runPlan(leader.clock.Now())
+			transaction := leader.buildTransaction()
+			leader.mu.Unlock()
+			if !leader.commit(t.Context(), transaction) { // recorded, not sent yet
+				t.Fatal("not recorded")
+			}
+			cluster.cancelJob(other, "j-1")
+			spell(cluster, node, leader)
+			cluster.advance(2 * time.Second)
+			if _, may := node.elector.HoldsLease(); !may {
+				t.Fatal("the lead was lost")
+			}
+			leader.mu.Lock()
+			scope := leader.commandScope()
+			leader.mu.Unlock()
+			if scope != fleet.NoRuns {
+				t.Fatalf("scope %v, want no runs", scope)
+			}
+			heartbeat(t, leader, worker)
+			leader.dispatch(t.Context())
+			if got := worker.StartedAttempts(); len(got) != 0 {
+				t.Fatalf("started %v, which was cancelled", got)
+			}
+			ctx, cancel := context.WithCancel(t.Context())
+			done := make(chan struct{})
+			go func() { defer close(done); leader.watchJobs(ctx, leader.syncedRevision()) }()
+			for scope != fleet.AllCommands { // it reads at once, and without waiting
+				leader.mu.Lock()
+				scope = leader.commandScope()
+				leader.mu.Unlock()
+				runtime.Gosched()
+			}
+			cancel()
+			<-done
+			heartbeat(t, leader, worker)
+			cluster.settle(leader)
+			if got := worker.StartedAttempts(); len(got) != 0 {
+				t.Errorf("started %v, which was cancelled", got)
+			}
+		})
+	}
+}
+
+// A cancel that the leader knows, of a task whose machine could not be told, stops
+// it also when the machine reports only in an outage that all attest.
+func TestKnownCancellationStopsTaskInOutage(t *testing.T) {
+	cluster, nodes, leader, worker := connectedCluster(t)
+	worker.SetUnreachable(true)
+	cluster.cancelJob(nodes[1], "j-1")
+	cluster.resync(leader)
+	cluster.settle(leader)
+	cluster.state.Refuse("", true)
+	cluster.advance(8 * time.Second)
+	if _, may := nodes[0].elector.HoldsLease(); may {
+		t.Fatal("the leader still has its lease")
+	}
+	heartbeat(t, leader, worker)
+	if got := worker.LiveTasks(); len(got) != 1 || got[0] != "j-2/0" {
+		t.Errorf("running %v after the attested leader answered, want j-2/0 alone", got)
+	}
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	if allocation := leader.jobs.Get("j-1").Tasks[0].Allocation; allocation == nil || allocation.Ended {
+		t.Error("freed without a proof")
+	}
+}
--- /dev/null
+++ b/cancellation_test.go
@@ -0,0 +1,339 @@
+package cedardoor
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"runtime"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"cedardoor/internal/standin"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+// A cancel accepted elsewhere, unseen by the leader, still keeps it from placing.
+func TestCancellationPrecedesPlacement(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	leader, _ := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
+	cluster.submit(nodeB, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || status.Status != wire.JobCancelled {
+		t.Fatalf("abort: %d %+v", code, status)
+	}
+	cluster.settle(leader)
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
+	if got := worker.StartedAttempts(); len(got) != 0 {
+		t.Fatalf("started after the cancel: %v", got)
+	}
+	if _, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobCancelled {
+		t.Fatalf("state %+v", status)
+	}
+}
+
+func TestCancellationStopsRunningTasks(t *testing.T) {
+	cluster, node, leader, worker := clusterWithWorker(t)
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
+		t.Fatalf("abort: %d", code)
+	}
+	cluster.resync(leader)
+	cluster.settle(leader)
+	if got := worker.LiveTasks(); len(got) != 0 {
+		t.Fatalf("still on the machine: %v", got)
+	}
+	if keys := cluster.state.Keys(store.PrefixAttempts); len(keys) != 0 {
+		t.Errorf("records left: %v", keys)
+	}
+}
+
+// Several users' requests meet while the state service is slow: one submits, others
+// repeat it at other nodes and cancel at once. Whoever is told that the job is
+// cancelled is told nothing else from then on, and it never runs.
+func TestImmediateCancellationWithSlowState(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodes := []*Service{cluster.node(nil), cluster.node(nil), cluster.node(nil)}
+	leader, _ := cluster.elect(nodes[0])
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
+	for k := range 8 {
+		uid := fmt.Sprintf("j-%d", k)
+		release := cluster.state.Stall()
+		var wg sync.WaitGroup
+		for _, node := range nodes {
+			wg.Go(func() { cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec(uid, nil)) })
+			wg.Go(func() {
+				code, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
+				if code == http.StatusOK && status.Status == wire.JobCancelled {
+					cluster.checkAnswers("told to be cancelled", cluster.askEverywhere(nodes, uid, true), wire.JobCancelled, "503")
+				} else if code != http.StatusNotFound {
+					t.Errorf("abort: %d %+v", code, status)
+				}
+			})
+		}
+		for range 20 {
+			runtime.Gosched()
+		}
+		release()
+		wg.Wait()
+		if _, status, _ := cluster.ask(nodes[k%3], http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
+			t.Fatalf("abort: %+v", status)
+		}
+		cluster.checkAnswers("cancelled", cluster.askEverywhere(nodes, uid, true), wire.JobCancelled)
+	}
+	cluster.resync(leader)
+	cluster.settle(leader)
+	if got := worker.StartedAttempts(); len(got) != 0 {
+		t.Errorf("started %v", got)
+	}
+}
+
+// A cancel meets the end of a job's last task: whichever is recorded first is what
+// every node says from then on, and the other comes to nothing.
+func TestCancellationRacesCompletion(t *testing.T) {
+	for _, pieces := range []int{1, 2} {
+		for _, first := range []string{"cancel", "end", "end between the cancel's reading and writing"} {
+			cluster := newTestCluster(t)
+			nodes := []*Service{cluster.node(nil), cluster.node(nil)}
+			leader, _ := cluster.elect(nodes[0])
+			worker := cluster.worker("n-1", "x", true)
+			heartbeat(t, leader, worker)
+			cluster.submit(nodes[1], jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = pieces }))
+			cluster.resync(leader)
+			cluster.settle(leader)
+			for _, p := range worker.LiveTasks() {
+				worker.EndTask(p, wire.CauseDone)
+			}
+			heartbeat(t, leader, worker)
+			leader.mu.Lock()
+			transaction := leader.buildTransaction() // about to be recorded
+			leader.mu.Unlock()
+			if transaction == nil || len(transaction.Finished()) != 1 {
+				t.Fatal("the end is not to be recorded")
+			}
+			want, other := wire.JobCancelled, wire.JobDone
+			if first != "cancel" {
+				want, other = other, want
+			}
+			switch first {
+			case "end":
+				leader.commit(t.Context(), transaction)
+			case "cancel":
+			default:
+				once := false
+				cluster.state.BeforeRequest(func(path string) {
+					if path == wire.PathCommit && !once {
+						once = true
+						leader.commit(t.Context(), transaction)
+					}
+				})
+			}
+			if _, status, _ := cluster.ask(nodes[1], http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); status.Status != want {
+				t.Errorf("%s first: the cancel is answered %q", first, status.Status)
+			}
+			if first == "cancel" {
+				leader.commit(t.Context(), transaction)
+			}
+			cluster.checkAnswers(first+" first", cluster.askEverywhere(nodes, "j-1", true), want)
+			cluster.resync(leader)
+			cluster.settle(leader)
+			cluster.checkAnswers(first+" first, not "+other, cluster.askEverywhere(append(nodes, cluster.node(nil)), "j-1", true), want)
+			if left := append(cluster.state.Keys(store.PrefixAttempts), cluster.state.Keys(store.PrefixJob)...); len(left) != 0 {
+				t.Errorf("%s first: left %v", first, left)
+			}
+		}
+	}
+}
+
+// A job is cancelled in the seconds in which one controller's work changes hands:
+// before the successor reads the records, after any of its reads, or between those
+// and its first watch. Its task is stopped in each case, its room is free after that
+// and not before, and what else the successor found goes on.
+func TestCancellationDuringFailover(t *testing.T) {
+	for _, pieces := range []int{1, 2} {
+		for _, moment := range []string{"before", "starts=j", "starts=p", "starts=s", "catalog", "demand", "watch"} {
+			t.Run(fmt.Sprintf("%d tasks, %s", pieces, moment), func(t *testing.T) {
+				cluster := newTestCluster(t)
+				nodeA, nodeB, nodeC := cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(8))
+				leader, stop := cluster.elect(nodeA)
+				worker := cluster.worker("n-1", "x", true)
+				heartbeat(t, leader, worker)
+				for _, uid := range []string{"j-1", "j-2"} {
+					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 4/float64(pieces) }))
+				}
+				cluster.submit(nodeA, jobSpec("j-3", func(spec *wire.Spec) { spec.Cores = 4 }))
+				cluster.resync(leader)
+				cluster.settle(leader)
+				stop()
+				cancelled := false
+				cancel := func() {
+					if code, status, _ := cluster.ask(nodeC, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+						t.Errorf("abort: %d %+v", code, status)
+					}
+					cancelled = true
+				}
+				if moment == "before" {
+					cancel()
+				} else {
+					cluster.state.BeforeRequest(func(path string) {
+						// Just before this read of the load is carried out.
+						if !cancelled && strings.Contains(path, moment) {
+							cancel()
+						}
+					})
+				}
+				ctx, end := context.WithCancel(t.Context())
+				term := cluster.acquireTerm(nodeB)
+				leader = newLeader(nodeB, term)
+				leader.ctx = ctx
+				epoch, err := leader.loadRecords(ctx)
+				if err != nil {
+					t.Fatal(err)
+				}
+				leader.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: cluster.cloud.MachineTypes})
+				if cancelled == (moment == "watch") {
+					t.Fatalf("cancelled by the end of the load: %t", cancelled)
+				}
+				cluster.state.BeforeRequest(nil)
+				if !cancelled {
+					cancel()
+				}
+				heartbeat(t, leader, worker)
+				leader.mu.Lock()
+				if used := leader.fleet.Machine("n-1").UsedCores; used != 8 && len(worker.LiveTasks()) == 2*pieces {
+					t.Errorf("%v cores in use while %v are there", used, worker.LiveTasks())
+				}
+				leader.mu.Unlock()
+				watching := make(chan struct{})
+				go func() { defer close(watching); leader.watchJobs(ctx, epoch) }()
+				for known := false; !known; runtime.Gosched() {
+					leader.mu.Lock()
+					job := leader.jobs.Get("j-2")
+					known = job == nil || job.Cancelled
+					leader.mu.Unlock()
+				}
+				end()
+				<-watching
+				for range 3 {
+					cluster.settle(leader)
+					heartbeat(t, leader, worker)
+				}
+				for _, p := range worker.LiveTasks() {
+					if strings.HasPrefix(p, "j-2/") {
+						t.Errorf("%s goes on", p)
+					}
+				}
+				workers := []*standin.Worker{worker}
+				if startCount(workers, "j-1") != pieces || startCount(workers, "j-2") != pieces || startCount(workers, "j-3") != 1 {
+					t.Errorf("starts %v", worker.StartedAttempts())
+				}
+				if left := cluster.state.Keys(store.PrefixAttempts + "j-2"); len(left) != 0 {
+					t.Errorf("records left: %v", left)
+				}
+			})
+		}
+	}
+}
+
+// A leader is cut from the state service and from the other controllers, while its
+// workers and users reach it. Another takes over and cancels a job. The old one tells
+// users nothing and answers no worker once another can act, a command of it that was
+// under way is void, and the task is stopped by the new leader.
+func TestCancellationThroughNewLeaderWhileOldIsPartitioned(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	nodeA.peers.Add("node-2", "127.0.0.1:1")
+	nodeA.users.Relay = nodeA.relay
+	oldLeader, _ := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, oldLeader, worker)
+	cluster.submit(nodeA, jobSpec("j-1", nil))
+	cluster.submit(nodeA, jobSpec("j-2", nil))
+	cluster.resync(oldLeader)
+	worker.HoldNextCommand()
+	cluster.settle(oldLeader) // the runs are on their way
+	cluster.state.Refuse(nodeA.cfg.Node, true)
+	for range 8 {
+		cluster.advance(time.Second)
+		report := worker.Report()
+		if response, ok := oldLeader.Heartbeat(&report); ok {
+			if !cluster.state.Value(store.KeyLeader, nil) {
+				t.Fatal("answers a heartbeat while another may lead")
+			}
+			worker.HandleResponse(response)
+		}
+	}
+	newLeader, _ := cluster.elect(nodeB)
+	if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+		t.Fatalf("abort: %d %+v", code, status)
+	}
+	cluster.resync(newLeader)
+	cluster.checkAnswers("asked at the cut node", cluster.askEverywhere([]*Service{nodeA}, "j-1", true), "503")
+	cluster.settle(oldLeader)
+	if report := worker.Report(); func() bool { _, ok := oldLeader.Heartbeat(&report); return ok }() {
+		t.Error("the cut leader still answers heartbeats")
+	}
+	for range 3 {
+		heartbeat(t, newLeader, worker)
+		cluster.settle(newLeader)
+	}
+	worker.DeliverHeldCommands()
+	heartbeat(t, newLeader, worker)
+	cluster.settle(newLeader)
+	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-2/0"}) {
+		t.Errorf("on the machine %v, want the job that was not cancelled", got)
+	}
+	if got := startCount([]*standin.Worker{worker}, "j-2"); got != 1 {
+		t.Errorf("starts %v", worker.StartedAttempts())
+	}
+}
+
+// A cancelled job's attempt stays on record until nothing of it can be anywhere,
+// whichever jobs share the record, and under the next leader too.
+func TestCancellationInSharedRecord(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	leader, stop := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
+	for _, uid := range []string{"j-1", "j-2", "j-3"} {
+		cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Cores = 2 }))
+	}
+	cluster.resync(leader)
+	cluster.settle(leader)
+	if got := worker.LiveTasks(); len(got) != 3 {
+		t.Fatalf("on the machine: %v", got)
+	}
+	worker.SetUnreachable(true)
+	if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK {
+		t.Fatalf("abort: %d", code)
+	}
+	stop()
+	leader, _ = cluster.elect(nodeB)
+	leader.mu.Lock()
+	if c := leader.fleet.Machine("n-1").UsedCores; c != 6 {
+		t.Errorf("%v cores in use, want 6: the cancelled task may still run", c)
+	}
+	leader.mu.Unlock()
+	worker.SetUnreachable(false)
+	for range 3 {
+		heartbeat(t, leader, worker)
+		cluster.settle(leader)
+	}
+	if got := worker.LiveTasks(); len(got) != 2 {
+		t.Errorf("on the machine: %v, want the two that were not cancelled", got)
+	}
+	if got := worker.StartedAttempts(); len(got) != 3 {
+		t.Errorf("started %v", got)
+	}
+}
--- /dev/null
+++ b/commands_test.go
@@ -0,0 +1,139 @@
+package cedardoor
+
+import (
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"cedardoor/wire"
+)
+
+// A run sent directly may arrive minutes after it was given up. The task must
+// not be started elsewhere, nor its room given away, before that is ruled out.
+func TestDelayedRunCommandKeepsTaskReserved(t *testing.T) {
+	cluster, node, leader, worker := clusterWithWorker(t)
+	other := cluster.worker("n-2", "y", true)
+	worker.HoldNextCommand()
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	cluster.settle(leader) // the run is kept back; the token is raised against it
+	heartbeat(t, leader, other)
+	leader.mu.Lock()
+	allocation := leader.jobs.Get("j-1").Tasks[0].Allocation
+	leader.stopAttempt(leader.jobs.Get("j-1"), allocation, leader.clock.Now())
+	still := leader.jobs.Get("j-1").Tasks[0].Allocation == allocation
+	leader.mu.Unlock()
+	if !still {
+		t.Fatal("freed while a run may still arrive")
+	}
+	cluster.settle(leader)
+	if len(other.StartedAttempts()) != 0 {
+		t.Fatal("started elsewhere while a run may still arrive")
+	}
+	// The worker reports without having seen the raised token: no proof yet.
+	report := worker.Report()
+	response, _ := leader.Heartbeat(&report)
+	cluster.settle(leader)
+	if len(other.StartedAttempts()) != 0 {
+		t.Fatal("absence believed before the worker saw a higher token")
+	}
+	worker.HandleResponse(response)
+	cluster.advance(5 * time.Second)
+	cluster.settle(leader)
+	heartbeat(t, leader, worker)
+	heartbeat(t, leader, worker)
+	heartbeat(t, leader, other)
+	cluster.settle(leader)
+	worker.DeliverHeldCommands()
+	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != 1 {
+		t.Fatalf("%d starts (%v, %v), want 1", got, worker.StartedAttempts(), other.StartedAttempts())
+	}
+	if len(worker.LiveTasks())+len(other.LiveTasks()) != 1 {
+		t.Fatalf("live on %v and %v", worker.LiveTasks(), other.LiveTasks())
+	}
+}
+
+// A forget must not go out while a copy of the run may: the worker would start it again.
+func TestNoForgetWhileRunCommandIsInFlight(t *testing.T) {
+	cluster, node, leader, worker := clusterWithWorker(t)
+	worker.HoldNextCommand()
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	report := worker.Report()
+	response, _ := leader.Heartbeat(&report) // carries the run again
+	low := response
+	low.Token = 1
+	worker.HandleResponse(low) // as if answered before the token was raised
+	worker.EndTask("j-1/0", wire.CauseDone)
+	report = worker.Report()
+	response, _ = leader.Heartbeat(&report)
+	cluster.settle(leader)
+	for _, command := range response.Commands {
+		if command.Verb == wire.VerbForget {
+			t.Fatal("forget sent while a run was still out")
+		}
+	}
+	worker.DeliverHeldCommands()
+	if got := worker.StartedAttempts(); len(got) != 1 {
+		t.Fatalf("started %v", got)
+	}
+	heartbeat(t, leader, worker)
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
+	heartbeat(t, leader, worker)
+	worker.DeliverHeldCommands()
+	if got := worker.StartedAttempts(); len(got) != 1 {
+		t.Fatalf("started %v", got)
+	}
+	if report := worker.Report(); len(report.Tasks) != 0 {
+		t.Fatalf("never forgotten: %v", report.Tasks)
+	}
+}
+
+// A worker can't open connections to any controller, while direct commands reach it.
+// They do not renew its lease: it gets nothing new beyond that, what it holds is
+// started elsewhere only then, and a cancel still stops a task there at once.
+func TestDirectCommandsDoNotRenewLease(t *testing.T) {
+	cluster, node, leader, worker := clusterWithWorker(t)
+	other := cluster.worker("n-2", "y", true)
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Cores = 4 }))
+	cluster.submit(node, jobSpec("j-2", func(spec *wire.Spec) { spec.Cores = 4 }))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	heartbeat(t, leader, other)
+	for range 2 {
+		cluster.advance(3 * time.Second)
+		heartbeat(t, leader, other)
+		cluster.settle(leader)
+	}
+	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK {
+		t.Fatalf("abort: %d", code)
+	}
+	cluster.resync(leader)
+	cluster.settle(leader)
+	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0"}) {
+		t.Errorf("on the mute machine %v after the cancel", got)
+	}
+	for range 4 {
+		cluster.advance(3 * time.Second)
+		heartbeat(t, leader, other)
+		cluster.settle(leader)
+		if got := other.StartedAttempts(); len(got) != 0 {
+			t.Fatalf("started elsewhere within the lease: %v", got)
+		}
+	}
+	worker.ExpireLease()
+	cluster.advance(3 * time.Second)
+	before := len(worker.StartedAttempts())
+	cluster.submit(node, jobSpec("j-3", nil))
+	cluster.resync(leader)
+	for range 2 {
+		heartbeat(t, leader, other)
+		cluster.settle(leader)
+	}
+	if got := other.LiveTasks(); !slices.Equal(got, []string{"j-1/0", "j-3/0"}) || len(worker.StartedAttempts()) != before {
+		t.Errorf("after the lease: %v on the other machine, %v started on the mute one", got, worker.StartedAttempts()[before:])
+	}
+}
--- /dev/null
+++ b/damaged_records_test.go
@@ -0,0 +1,304 @@
+package cedardoor
+
+import (
+	"net/http"
+	"runtime"
+	"slices"
+	"testing"
+	"time"
+
+	"cedardoor/config"
+	"cedardoor/recovery"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+// A job whose record can't be decoded stays known and its tasks run on; the others are served.
+func TestDamagedJobRecord(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	oldLeader, stop := cluster.elect(nodeA)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, oldLeader, worker)
+	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
+	cluster.resync(oldLeader)
+	cluster.settle(oldLeader)
+	cluster.writeRecord(nodeA, store.JobKey("j-1"), damagedRecord)
+	stop()
+	newLeader, _ := cluster.elect(nodeB)
+	cluster.submit(nodeB, jobSpec("j-2", nil))
+	cluster.resync(newLeader)
+	for range 3 {
+		heartbeat(t, newLeader, worker)
+		heartbeat(t, newLeader, other)
+		cluster.lookUpOrphans(newLeader)
+		cluster.settle(newLeader)
+		cluster.advance(15 * time.Second)
+	}
+	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0", "j-1/1"}) {
+		t.Errorf("on its machine: %v, want its tasks and nothing new", got)
+	}
+	if got := other.LiveTasks(); !slices.Equal(got, []string{"j-2/0"}) {
+		t.Errorf("on the other machine: %v, want the other job's", got)
+	}
+	for _, method := range []string{http.MethodGet, http.MethodPost} {
+		path := wire.PathJobs + "/j-1"
+		if method == http.MethodPost {
+			path += "/" + wire.SuffixCancel
+		}
+		if code, _, head := cluster.ask(nodeB, method, path, nil); code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
+			t.Errorf("%s of it: status %d, want that it can't be told now", method, code)
+		}
+	}
+	if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs, jobSpec("j-1", nil)); code != http.StatusServiceUnavailable {
+		t.Errorf("its submission again: status %d", code)
+	}
+	report := mustRecoveryReport(t, newLeader)
+	if len(report.Damaged) != 1 || report.Damaged[0].Kind != recovery.DamageJob || report.Damaged[0].Job != "j-1" || len(report.Unrecorded) != 2 {
+		t.Errorf("operators are told %+v", report)
+	}
+}
+
+// A record that is restored, or a job that is submitted again, comes to a leader that has passed over
+// its attempts: the next one reads them, and nothing starts a second time.
+func TestRestoredRecordIsReadWithAttempts(t *testing.T) {
+	for _, tt := range []struct {
+		name    string
+		tasks   int // one: its attempt is in a shared record
+		missing bool
+	}{{"unreadable", 2, false}, {"missing", 2, true}, {"unreadable, shared attempts", 1, false}, {"missing, shared attempts", 1, true}} {
+		t.Run(tt.name, func(t *testing.T) {
+			cluster := newTestCluster(t)
+			nodeA, nodeB, nodeC := cluster.node(nil), cluster.node(nil), cluster.node(nil)
+			oldLeader, stop := cluster.elect(nodeA)
+			worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+			heartbeat(t, oldLeader, worker)
+			cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tt.tasks }))
+			cluster.submit(nodeA, jobSpec("j-2", nil)) // shares the record, where there is one
+			cluster.resync(oldLeader)
+			cluster.settle(oldLeader)
+			var whole store.JobRecord
+			cluster.state.Value(store.JobKey("j-1"), &whole)
+			if tt.missing {
+				cluster.deleteRecord(nodeA, store.JobKey("j-1"))
+			} else {
+				cluster.writeRecord(nodeA, store.JobKey("j-1"), damagedRecord)
+			}
+			stop()
+			newLeader, _ := cluster.elect(nodeB)
+			heartbeat(t, newLeader, worker)
+			worker.EndTask("j-2/0", wire.CauseDone) // its record is written again without it
+			for range 3 {
+				heartbeat(t, newLeader, worker)
+				heartbeat(t, newLeader, other)
+				cluster.advance(3 * time.Second)
+				cluster.settle(newLeader)
+			}
+			cluster.writeRecord(nodeB, store.JobKey("j-1"), whole)
+			cluster.resync(newLeader)
+			for cluster.state.Value(store.KeyLeader, nil) { // it gives the lead up
+				runtime.Gosched()
+			}
+			cluster.disconnect(nodeB)
+			thirdLeader, _ := cluster.elect(nodeC)
+			for range 8 {
+				heartbeat(t, thirdLeader, other)
+				heartbeat(t, thirdLeader, worker)
+				cluster.advance(3 * time.Second)
+				cluster.settle(thirdLeader)
+			}
+			if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != tt.tasks+1 {
+				t.Errorf("%d starts, want those before the damage: %v, %v", got, worker.StartedAttempts(), other.StartedAttempts())
+			}
+			if got := worker.LiveTasks(); len(got) != tt.tasks {
+				t.Errorf("on its machine: %v", got)
+			}
+		})
+	}
+}
+
+// Where the record of attempts can't be decoded, what runs goes on under its own attempt and the
+// rest starts only once every machine is accounted for, under numbers that were never used.
+func TestDamagedAttemptRecord(t *testing.T) {
+	for _, shared := range []bool{false, true} {
+		cluster := newTestCluster(t)
+		tight := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 8 }
+		nodeA, nodeB := cluster.node(tight), cluster.node(tight)
+		oldLeader, stop := cluster.elect(nodeA)
+		worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+		heartbeat(t, oldLeader, worker)
+		jobs, tasks := []string{"j-1"}, []string{"j-1/0", "j-1/1", "j-1/2"}
+		if shared {
+			jobs, tasks = []string{"j-1", "j-2", "j-3"}, []string{"j-1/0", "j-2/0", "j-3/0"}
+		}
+		for _, uid := range jobs {
+			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = len(tasks) / len(jobs) }))
+		}
+		cluster.submit(nodeA, jobSpec("j-7", func(spec *wire.Spec) { spec.Kind, spec.Tasks = wire.KindService, 1 }))
+		cluster.resync(oldLeader)
+		cluster.settle(oldLeader)
+		key := store.ChunkKey("j-1", 0)
+		if shared {
+			key = cluster.state.Keys(store.PrefixShared)[0]
+		}
+		cluster.writeRecord(nodeA, key, damagedRecord)
+		stop()
+		worker.EndTask(tasks[2], "lost") // gone without a trace
+		forgetEnded(worker, oldLeader.term.Token)
+		newLeader, _ := cluster.elect(nodeB)
+		if use := newLeader.quota.Usage("team").Total.Cores.Decimal(); use < 8 {
+			t.Fatalf("shared %t: the team uses %v, want that what may run counts", shared, use)
+		}
+		cluster.submit(nodeB, jobSpec("j-8", nil))
+		cluster.resync(newLeader)
+		look := func() {
+			heartbeat(t, newLeader, worker)
+			heartbeat(t, newLeader, other)
+			cluster.lookUpOrphans(newLeader)
+			cluster.settle(newLeader)
+		}
+		look()
+		look()
+		if got := worker.LiveTasks(); !slices.Contains(got, tasks[0]) || !slices.Contains(got, tasks[1]) {
+			t.Fatalf("shared %t: what ran is stopped: %v", shared, got)
+		}
+		ofLost := func() []string {
+			return slices.DeleteFunc(append(worker.StartedAttempts(), other.StartedAttempts()...), func(start string) bool { return start[:5] != tasks[2] })
+		}
+		if got := ofLost(); len(got) != 1 {
+			t.Fatalf("shared %t: started before every machine was accounted for: %v", shared, got)
+		}
+		for range 4 {
+			cluster.advance(8 * time.Second)
+			look()
+		}
+		starts := append(worker.StartedAttempts(), other.StartedAttempts()...)
+		count := map[string]int{}
+		for _, start := range starts {
+			count[start]++
+			if count[start] > 1 {
+				t.Errorf("shared %t: %s is started twice", shared, start)
+			}
+		}
+		live := append(worker.LiveTasks(), other.LiveTasks()...)
+		for _, task := range tasks {
+			if !slices.Contains(live, task) {
+				t.Errorf("shared %t: %s does not run: %v, starts %v", shared, task, live, starts)
+			}
+		}
+		if again := ofLost(); len(again) != 2 || len(again[1]) < len("j-1/2#4294967296") {
+			t.Errorf("shared %t: attempts of the lost task: %v, want a new one far above the first", shared, again)
+		}
+		if keys := cluster.state.Keys(key); shared && len(keys) != 0 {
+			t.Errorf("the damaged record is still there: %v", keys)
+		}
+		// The next leader finds whole records.
+		records, err := recovery.Read(t.Context(), nodeB.store)
+		if err != nil || len(records.Damaged) != 0 {
+			t.Errorf("shared %t: left behind: %+v, %v", shared, records.Damaged, err)
+		}
+	}
+}
+
+// A machine that has not shown the new leader's token may yet get an old command: nothing of an
+// unreadable record starts while its lease may last, though it answers questions.
+func TestUnreconciledMachineDelaysUnreadableTasks(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	oldLeader, stop := cluster.elect(nodeA)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, oldLeader, worker)
+	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 3 }))
+	cluster.resync(oldLeader)
+	cluster.settle(oldLeader)
+	cluster.writeRecord(nodeA, store.ChunkKey("j-1", 0), damagedRecord)
+	worker.EndTask("j-1/2", "lost")
+	forgetEnded(worker, oldLeader.term.Token)
+	stop()
+	newLeader, _ := cluster.elect(nodeB)
+	for i := range 10 {
+		cluster.advance(3 * time.Second)
+		if i == 0 || i == 4 {
+			report := worker.Report()
+			newLeader.Heartbeat(&report) // the answer is lost, so the token is never shown
+		}
+		heartbeat(t, newLeader, other)
+		cluster.settle(newLeader)
+	}
+	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != 3 {
+		t.Fatalf("%d starts, want only those of the first leader", got)
+	}
+	if report := mustRecoveryReport(t, newLeader); report.Attempts.Unreadable != 1 {
+		t.Errorf("operators are told of %d unreadable tasks, want the one that is not seen to run", report.Attempts.Unreadable)
+	}
+	for range 8 {
+		cluster.advance(3 * time.Second)
+		heartbeat(t, newLeader, worker)
+		heartbeat(t, newLeader, other)
+		cluster.settle(newLeader)
+	}
+	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != 4 {
+		t.Errorf("%d starts, want the lost task's, too", got)
+	}
+}
+
+// The record that can't be decoded is not written over before all of its tasks are known: a
+// leader that ends in between leaves its successor what it found.
+func TestFailoverBeforeDamagedRecordIsRepaired(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB, nodeC := cluster.node(nil), cluster.node(nil), cluster.node(nil)
+	oldLeader, stop := cluster.elect(nodeA)
+	first, second, free := cluster.worker("n-1", "x", true), cluster.worker("n-2", "x", true), cluster.worker("n-3", "y", true)
+	heartbeat(t, oldLeader, first)
+	heartbeat(t, oldLeader, second)
+	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 8 }))
+	cluster.resync(oldLeader)
+	cluster.settle(oldLeader)
+	cluster.writeRecord(nodeA, store.ChunkKey("j-1", 0), damagedRecord)
+	stop()
+	newLeader, stop := cluster.elect(nodeB)
+	heartbeat(t, newLeader, first) // the other does not find this leader
+	first.EndTask(first.LiveTasks()[0], wire.CauseDone)
+	heartbeat(t, newLeader, first)
+	cluster.advance(5 * time.Second)
+	heartbeat(t, newLeader, first)
+	cluster.settle(newLeader)
+	stop()
+	thirdLeader, _ := cluster.elect(nodeC)
+	heartbeat(t, thirdLeader, free) // finds the new leader first, and has room
+	cluster.settle(thirdLeader)
+	if got := free.StartedAttempts(); len(got) != 0 {
+		t.Fatalf("started %v while it may run elsewhere", got)
+	}
+	for range 12 {
+		cluster.advance(3 * time.Second)
+		heartbeat(t, thirdLeader, first)
+		heartbeat(t, thirdLeader, second)
+		heartbeat(t, thirdLeader, free)
+		cluster.settle(thirdLeader)
+	}
+	if got := second.LiveTasks(); len(got) != 1 {
+		t.Errorf("on its machine: %v, want what ran all along", got)
+	}
+	if got := len(first.StartedAttempts()) + len(second.StartedAttempts()) + len(free.StartedAttempts()); got != 2 {
+		t.Errorf("%d starts, though one is done and one runs", got)
+	}
+}
+
+// Nothing of what can be made anew keeps a leader from leading.
+func TestDamagedCatalog(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	_, stop := cluster.elect(nodeA)
+	cluster.writeRecord(nodeA, store.KeyCatalog, damagedRecord)
+	cluster.writeRecord(nodeA, store.KeyDemand, damagedRecord)
+	cluster.writeRecord(nodeA, "j/not a job", damagedRecord)
+	stop()
+	leader, _ := cluster.elect(nodeB)
+	if report := mustRecoveryReport(t, leader); len(report.Damaged) != 3 || report.Stage != recovery.StageComplete {
+		t.Errorf("operators are told %+v", report)
+	}
+	if err := leader.readCatalog(t.Context()); err != nil || leader.catalogRevision == 0 {
+		t.Errorf("the catalogue is not written anew: %v", err)
+	}
+}
--- /dev/null
+++ b/failover_test.go
@@ -0,0 +1,483 @@
+package cedardoor
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"runtime"
+	"slices"
+	"testing"
+	"time"
+
+	"cedardoor/lead"
+	"cedardoor/store"
+	"cedardoor/wire"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// A new leader takes placements over and starts nothing twice, even for a
+// worker that it can't reach until the lease has run out.
+func TestFailoverKeepsPlacements(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	oldLeader, stop := cluster.elect(nodeA)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, oldLeader, worker)
+	cluster.submit(nodeA, jobSpec("j-1", nil))
+	cluster.resync(oldLeader)
+	cluster.settle(oldLeader)
+	stop()
+	newLeader, _ := cluster.elect(nodeB)
+	if newLeader.term.Token <= oldLeader.term.Token {
+		t.Fatalf("token %d after %d", newLeader.term.Token, oldLeader.term.Token)
+	}
+	// The old leader's pass writes nothing any more.
+	if report := worker.Report(); func() bool { _, ok := oldLeader.Heartbeat(&report); return ok }() {
+		t.Error("the old leader still answers heartbeats")
+	}
+	heartbeat(t, newLeader, other)
+	cluster.settle(newLeader)
+	cluster.advance(17 * time.Second)
+	heartbeat(t, newLeader, other)
+	cluster.settle(newLeader)
+	if len(other.StartedAttempts()) != 0 {
+		t.Fatal("moved before the predecessor's lease ran out")
+	}
+	worker.ExpireLease()
+	cluster.advance(6 * time.Second)
+	heartbeat(t, newLeader, other)
+	cluster.settle(newLeader)
+	if got := other.StartedAttempts(); len(got) != 1 {
+		t.Fatalf("starts after the lease: %v", got)
+	}
+	heartbeat(t, newLeader, worker)
+	if len(worker.LiveTasks()) != 0 {
+		t.Fatal("on two machines")
+	}
+}
+
+// Two leaders and a worker behind a cut: a late transaction of the old one fails.
+func TestDeposedLeadersDelayedTransactionFails(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	oldLeader, stop := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, oldLeader, worker)
+	cluster.submit(nodeA, jobSpec("j-1", nil))
+	cluster.resync(oldLeader)
+	oldLeader.mu.Lock()
+	oldLeader.runPlan(oldLeader.clock.Now())
+	transaction := oldLeader.buildTransaction()
+	oldLeader.mu.Unlock()
+	if transaction == nil {
+		t.Fatal("nothing planned")
+	}
+	stop()
+	newLeader, _ := cluster.elect(nodeB)
+	if _, err := nodeA.store.Commit(t.Context(), store.Urgent, transaction.Txn); err == nil {
+		t.Fatal("a deposed leader's transaction was applied")
+	}
+	heartbeat(t, newLeader, worker)
+	cluster.settle(newLeader)
+	if got := worker.StartedAttempts(); len(got) != 1 {
+		t.Fatalf("starts: %v", got)
+	}
+}
+
+// A controller back within a moment does not wait for its own earlier lease to
+// lapse, and nothing that its predecessor left under way counts for it.
+func TestControllerRestartWithinLease(t *testing.T) {
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	leader, _ := cluster.elect(node)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
+	before := leader.term
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	cluster.state.DelayNextTransaction() // the old process's record of a placement arrives late
+	ctx, cancel := context.WithCancel(t.Context())
+	go func() { // until it is killed, it goes on trying
+		for cluster.state.DelayedCount() == 0 {
+			runtime.Gosched()
+		}
+		cancel()
+	}()
+	leader.pass(ctx)
+	cluster.disconnect(node)
+	cluster.nodeCount-- // the same node again
+	again := cluster.node(nil)
+	oldLeader, _ := cluster.elect(again) // the clock stands still: no lease lapses
+	if oldLeader.term.Token <= before.Token {
+		t.Fatalf("token %d after %d", oldLeader.term.Token, before.Token)
+	}
+	cluster.state.DeliverDelayed()
+	if got := cluster.state.Keys(store.PrefixAttempts); len(got) != 0 {
+		t.Errorf("the earlier process's late record was written: %v", got)
+	}
+	heartbeat(t, oldLeader, worker)
+	cluster.settle(oldLeader)
+	if got := worker.StartedAttempts(); len(got) != 1 {
+		t.Errorf("starts %v, want one", got)
+	}
+}
+
+// Runs or stays known: after refusals, an outage and a change of leaders have
+// ended, each accepted job is answered for by every node, and runs.
+func TestAcceptedJobsSurviveOutageAndFailover(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	oldLeader, stop := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, oldLeader, worker)
+	uids := []string{"j-1", "j-2", "j-3"}
+	cluster.submit(nodeA, jobSpec("j-1", nil))
+	cluster.resync(oldLeader)
+	cluster.settle(oldLeader)
+	cluster.submit(nodeB, jobSpec("j-2", nil))
+	cluster.state.Refuse("", true)
+	for _, node := range []*Service{nodeA, nodeB} {
+		code, _, head := cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec("j-3", nil))
+		if code != http.StatusServiceUnavailable || head.Get("Retry-After") == "" {
+			t.Fatalf("submission in an outage: %d, Retry-After %q", code, head.Get("Retry-After"))
+		}
+	}
+	cluster.state.Refuse("", false)
+	stop()
+	// The same submission later succeeds, at any node.
+	cluster.submit(nodeB, jobSpec("j-3", nil))
+	newLeader, _ := cluster.elect(nodeB)
+	heartbeat(t, newLeader, worker)
+	cluster.resync(newLeader)
+	cluster.settle(newLeader)
+	for _, node := range []*Service{nodeA, nodeB} {
+		for _, uid := range uids {
+			if code, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); code != http.StatusOK || status.UID != uid {
+				t.Errorf("%s after all troubles: %d %+v", uid, code, status)
+			}
+		}
+		if code, _, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-9", nil); code != http.StatusNotFound {
+			t.Errorf("a job that nobody submitted: %d", code)
+		}
+	}
+	if got := worker.LiveTasks(); !cmp.Equal(got, []string{"j-1/0", "j-2/0", "j-3/0"}) {
+		t.Errorf("running: %v", got)
+	}
+}
+
+// The transaction that takes the lead is carried out and not answered, or late, and
+// so is one that raises the token, while another controller reads. Nobody answers a
+// worker under a lead that it does not know to have; the token under which one does
+// is the one on record and above all that were there before, also the next leader's.
+func TestElectionWithLostTransactionResponse(t *testing.T) {
+	for _, tr := range transactionFaults[1:] {
+		t.Run(tr.name, func(t *testing.T) {
+			cluster := newTestCluster(t)
+			nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+			token := func() uint64 {
+				var on store.TokenRecord
+				cluster.state.Value(store.KeyToken, &on)
+				return on.Token
+			}
+			tr.set(cluster.state)
+			ctx, cancel := context.WithCancel(t.Context())
+			ready, done := make(chan lead.Term, 1), make(chan struct{})
+			go func() {
+				defer close(done)
+				nodeA.elector.Run(ctx, func(ctx context.Context, term lead.Term) { ready <- term; <-ctx.Done() })
+			}()
+			for cluster.state.LostResponses() == 0 && cluster.state.DelayedCount() == 0 {
+				runtime.Gosched()
+			}
+			before := token()
+			if code, _, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusNotFound {
+				t.Errorf("another node answers %d", code)
+			}
+			// The candidate waits before it tries again.
+			if err := cluster.clock.BlockUntilContext(t.Context(), 1); err != nil {
+				t.Fatal(err)
+			}
+			if _, ok := nodeA.elector.MayAnswerHeartbeats(); ok {
+				t.Error("answers workers under a lead that it does not know to have")
+			}
+			cluster.clock.Advance(500 * time.Millisecond)
+			term := <-ready
+			cluster.state.DeliverDelayed() // the first attempt, under a lease that was given up
+			var key store.LeaderRecord
+			if !cluster.state.Value(store.KeyLeader, &key) || key.Node != nodeA.cfg.Node || term.Token <= before || term.Token != token() {
+				t.Fatalf("leads under %d, on record are %d, %d before, and %q", term.Token, token(), before, key.Node)
+			}
+			tr.set(cluster.state)
+			if _, err := nodeA.elector.RaiseToken(t.Context()); (err == nil) != (tr.name == "answer lost") {
+				t.Errorf("raise: %v", err)
+			}
+			if now, ok := nodeA.elector.MayAnswerHeartbeats(); !ok || now != token() {
+				t.Errorf("answers under %d, on record is %d", now, token())
+			}
+			cancel()
+			<-done
+			before = token()
+			leader, _ := cluster.elect(nodeB)
+			cluster.state.DeliverDelayed() // the predecessor's raise
+			if leader.term.Token <= before || leader.term.Token != token() {
+				t.Errorf("the next leads under %d, on record are %d, and %d before", leader.term.Token, token(), before)
+			}
+		})
+	}
+}
+
+// A raise of the token gets no answer and is carried out late. Later raises must
+// go through all the same: without them no run in doubt is ever ruled out, so that
+// what a cancelled task takes counts for ever while its machine reports.
+func TestFencingTokenRaisedAfterDelayedRaise(t *testing.T) {
+	cluster, node, leader, worker := clusterWithWorker(t)
+	worker.HoldNextCommand()
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	leader.mu.Lock()
+	leader.dispatcher.TokenRaised(leader.clock.Now()) // no raise yet
+	leader.mu.Unlock()
+	cluster.settle(leader) // the run is held back and in doubt
+	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
+		t.Fatalf("abort: %d", code)
+	}
+	cluster.resync(leader)
+	before, _ := node.elector.HoldsLease()
+	cluster.state.DelayNextTransaction()
+	if _, err := node.elector.RaiseToken(t.Context()); err == nil {
+		t.Fatal("raised without an answer")
+	}
+	cluster.state.DeliverDelayed()
+	for range 12 {
+		cluster.advance(time.Second)
+		heartbeat(t, leader, worker)
+		cluster.settle(leader)
+	}
+	if now, _ := node.elector.HoldsLease(); now <= before {
+		t.Errorf("the token is still %d", now)
+	}
+	var record store.TokenRecord
+	if now, _ := node.elector.HoldsLease(); !cluster.state.Value(store.KeyToken, &record) || record.Token != now {
+		t.Errorf("the leader's token is %d, on record is %d", now, record.Token)
+	}
+	leader.mu.Lock()
+	if used := leader.fleet.Machine("n-1").UsedCores; used != 0 {
+		t.Errorf("%v cores still count for a cancelled task", used)
+	}
+	leader.mu.Unlock()
+	worker.DeliverHeldCommands()
+	if got := worker.StartedAttempts(); len(got) != 0 {
+		t.Errorf("started %v after the cancel", got)
+	}
+}
+
+// A machine is up within a second: it reports before its rental is answered or any
+// list shows it, and gets work at once. The record of that gets no answer (it is
+// carried out late, or at once) and the leader ends. Its successor starts the task
+// once, on the machine that it was recorded for or on one that it trusts, and keeps
+// the machine though no list shows it.
+func TestFailoverDuringPlacementOnNewMachine(t *testing.T) {
+	for _, late := range []bool{true, false} {
+		for _, pieces := range []int{1, 2} {
+			t.Run(fmt.Sprintf("late %t, %d tasks", late, pieces), func(t *testing.T) {
+				cluster := newTestCluster(t)
+				nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+				leader, stop := cluster.elect(nodeA)
+				cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = pieces }))
+				cluster.resync(leader)
+				worker, other := cluster.worker("n-000200", "x", true), cluster.worker("n-000201", "y", true)
+				heartbeat(t, leader, worker)
+				lost := cluster.state.LostResponses()
+				if late {
+					cluster.state.DelayNextTransaction()
+				} else {
+					cluster.state.LoseResponses(1)
+				}
+				ctx, end := context.WithCancel(t.Context())
+				done := make(chan struct{})
+				go func() { defer close(done); leader.pass(ctx) }()
+				for cluster.state.DelayedCount() == 0 && cluster.state.LostResponses() == lost {
+					runtime.Gosched()
+				}
+				end()
+				<-done
+				stop()
+				if got := worker.StartedAttempts(); len(got) != 0 {
+					t.Fatalf("started before that was known to be recorded: %v", got)
+				}
+				leader, _ = cluster.elect(nodeB)
+				if err := leader.readMachineList(t.Context()); err != nil {
+					t.Fatal(err)
+				}
+				deliver := func() {
+					before := cluster.state.Keys("")
+					cluster.state.DeliverDelayed()
+					if after := cluster.state.Keys(""); !slices.Equal(before, after) {
+						t.Errorf("the earlier leader's late transaction was applied: %v, then %v", before, after)
+					}
+				}
+				if pieces == 2 {
+					deliver()
+				}
+				// The machine that holds nothing comes first: it may get the task only if
+				// the record of the first did not come about.
+				heartbeat(t, leader, other)
+				cluster.settle(leader)
+				deliver()
+				if !late && len(other.StartedAttempts()) != 0 {
+					t.Errorf("started on another machine than on record: %v", other.StartedAttempts())
+				}
+				for range 3 {
+					heartbeat(t, leader, worker)
+					heartbeat(t, leader, other)
+					cluster.settle(leader)
+				}
+				leader.autoscale(t.Context())
+				if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != pieces || len(worker.LiveTasks())+len(other.LiveTasks()) != pieces {
+					t.Errorf("starts %v and %v, want %d", worker.StartedAttempts(), other.StartedAttempts(), pieces)
+				}
+				for range 10 { // longer than three times the list's lag
+					cluster.advance(3 * time.Second)
+					heartbeat(t, leader, worker)
+					heartbeat(t, leader, other)
+				}
+				if err := leader.readMachineList(t.Context()); err != nil {
+					t.Fatal(err)
+				}
+				if got := cluster.cloud.Returns(); len(got) != 0 || !cluster.machineUsable(leader, "n-000200") {
+					t.Errorf("a machine that no list shows yet is given up: returned %v", got)
+				}
+			})
+		}
+	}
+}
+
+// Machines with long tasks report to a new leader and do not hear its answers. Each
+// answer may have been heard, so the tasks are started nowhere else for as long as
+// the sessions may go on, and as soon as the worker's new session proves the end.
+func TestMachineThatDoesNotReceiveNewLeadersResponses(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	leader, stop := cluster.elect(nodeA)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, leader, worker)
+	cluster.submit(nodeA, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	stop()
+	leader, _ = cluster.elect(nodeB)
+	leader.operator.Fleet.Enabled = false // nothing is returned: only the worker itself proves
+	worker.SetUnreachable(true)
+	for range 10 {
+		cluster.advance(3 * time.Second)
+		report := worker.Report()
+		leader.Heartbeat(&report) // the answer is lost
+		heartbeat(t, leader, other)
+		cluster.settle(leader)
+		if got := other.StartedAttempts(); len(got) != 0 {
+			t.Fatalf("started elsewhere while it may run: %v", got)
+		}
+	}
+	worker.ExpireLease()
+	report := worker.Report()
+	leader.Heartbeat(&report)
+	heartbeat(t, leader, other)
+	cluster.settle(leader)
+	if got := other.StartedAttempts(); len(got) != 1 || len(worker.LiveTasks()) != 0 {
+		t.Errorf("after its session ended: %v started", got)
+	}
+}
+
+// Leaders change ten times in two minutes, also inside an outage of the state
+// service, and controllers are back within a moment. Jobs of two and three tasks end
+// far apart meanwhile, each task once, and are done when all of them are.
+func TestTenFailoversWhileTasksComplete(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodes := []*Service{cluster.node(nil), cluster.node(nil)}
+	leader, stop := cluster.elect(nodes[0])
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
+	cluster.submit(nodes[0], jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
+	cluster.submit(nodes[0], jobSpec("j-2", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 3, 1 }))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	ends := map[int]string{1: "j-1/0", 3: "j-2/0", 5: "j-2/1", 7: "j-1/1", 9: "j-2/2"}
+	last := leader.term.Token
+	for k := 1; k <= 10; k++ {
+		if p := ends[k]; p != "" {
+			worker.EndTask(p, wire.CauseDone)
+			heartbeat(t, leader, worker)
+			if k != 5 { // this result is not recorded when the leader ends
+				cluster.settle(leader)
+				cluster.advance(3 * time.Second)
+				heartbeat(t, leader, worker)
+				cluster.settle(leader)
+			}
+		}
+		if k%4 == 0 {
+			cluster.state.Refuse("", true)
+			cluster.clock.Advance(9 * time.Second)
+			if report := worker.Report(); len(report.Tasks) == 0 {
+				t.Fatal("no tasks")
+			}
+		}
+		stop()
+		cluster.state.Refuse("", false)
+		cluster.clock.Advance(6 * time.Second) // what could not be dropped lapses
+		leader, stop = cluster.elect(nodes[k%2])
+		if leader.term.Token <= last {
+			t.Fatalf("token %d after %d", leader.term.Token, last)
+		}
+		last = leader.term.Token
+		heartbeat(t, leader, worker)
+		cluster.settle(leader)
+		want := map[string]string{"j-1": wire.JobQueued, "j-2": wire.JobQueued}
+		if k >= 7 {
+			want["j-1"] = wire.JobDone
+		}
+		if k >= 9 {
+			want["j-2"] = wire.JobDone
+		}
+		for uid, state := range want {
+			for _, node := range nodes {
+				if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); (status.Status == wire.JobDone) != (state == wire.JobDone) || status.Status == "" {
+					t.Errorf("leader %d: %s is %q, want %q", k, uid, status.Status, state)
+				}
+			}
+		}
+	}
+	if got := worker.StartedAttempts(); len(got) != 5 {
+		t.Errorf("starts %v, want each task once", got)
+	}
+}
+
+// All controllers are away for longer than the leases. The one that is back starts
+// nothing on the word of records, until the machines report or cannot have gone on,
+// and then everything once.
+func TestAllControllersDownBeyondLease(t *testing.T) {
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	leader, stop := cluster.elect(node)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, leader, worker)
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	stop()
+	cluster.clock.Advance(40 * time.Second)
+	cluster.nodeCount--
+	leader, _ = cluster.elect(cluster.node(nil))
+	heartbeat(t, leader, other)
+	cluster.settle(leader)
+	if got := other.StartedAttempts(); len(got) != 0 {
+		t.Fatalf("started before the machine on record reported: %v", got)
+	}
+	worker.ExpireLease()
+	heartbeat(t, leader, worker)
+	heartbeat(t, leader, other)
+	cluster.settle(leader)
+	if got := len(worker.LiveTasks()) + len(other.LiveTasks()); got != 2 || len(worker.StartedAttempts())+len(other.StartedAttempts()) != 4 {
+		t.Errorf("%d tasks run, starts %v and %v", got, worker.StartedAttempts(), other.StartedAttempts())
+	}
+}
--- /dev/null
+++ b/failure_attribution_test.go
@@ -0,0 +1,172 @@
+package cedardoor
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+
+	"cedardoor/internal/standin"
+	"cedardoor/wire"
+)
+
+// Jobs submitted with a mistake fail wherever they run. Machines that have run
+// nothing else must not be taken for sick by them, and once a few machines have
+// been tried, a task now and then is all that they cost; one machine that is
+// truly sick is found all the same, whichever comes first.
+func TestFailingJobsAndFailingMachine(t *testing.T) {
+	for _, badFirst := range []bool{true, false} {
+		cluster, node, leader, workers := clusterWithWorkers(t, 6, "j-1", "j-2")
+		workers[0].FailAllTasks(true)
+		bad := func() {
+			for _, uid := range []string{"j-1", "j-2"} {
+				cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 100, 1, 1 }))
+			}
+			cluster.resync(leader)
+			cluster.runSeconds(leader, workers, 8)
+		}
+		good := func() {
+			cluster.submit(node, jobSpec("j-3", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM, spec.Priority = 12, 1, 1, "high" }))
+			cluster.resync(leader)
+			cluster.runSeconds(leader, workers, 8)
+		}
+		if badFirst {
+			bad()
+			if got := quarantined(leader, workers); len(got) > 0 {
+				t.Fatalf("banned for bad jobs: %v", got)
+			}
+			good()
+		} else {
+			good()
+			bad()
+		}
+		if got := quarantined(leader, workers); len(got) != 1 || got[0] != "n-1 failing" {
+			t.Fatalf("bad jobs first: %t: banned %v, want n-1 alone", badFirst, got)
+		}
+		live := 0
+		for _, worker := range workers[1:] {
+			live += len(worker.LiveTasks())
+		}
+		if live != 12 {
+			t.Errorf("bad jobs first: %t: %d tasks of the good job run, want 12", badFirst, live)
+		}
+		before := startCount(workers, "j-1") + startCount(workers, "j-2")
+		cluster.runSeconds(leader, workers, 60)
+		if more := startCount(workers, "j-1") + startCount(workers, "j-2") - before; more < 2 || more > 16 {
+			t.Errorf("bad jobs first: %t: %d tries of two bad jobs in a minute, want a few", badFirst, more)
+		}
+		// They are known and can be cancelled.
+		for _, uid := range []string{"j-1", "j-2"} {
+			if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != wire.JobQueued {
+				t.Errorf("%s: %+v, want queued", uid, status)
+			}
+			if code, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+				t.Errorf("abort of %s: %d %+v", uid, code, status)
+			}
+		}
+	}
+}
+
+// Nothing is rented for a job that fails everywhere, and no room kept.
+func TestFailingJobDoesNotScaleOut(t *testing.T) {
+	cluster, node, leader, workers := clusterWithWorkers(t, 4, "j-1")
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 200, 4, 4 }))
+	cluster.resync(leader)
+	cluster.runSeconds(leader, workers, 90)
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	if !leader.jobs.Get("j-1").Failures.Failing() {
+		t.Fatalf("not found bad: %+v", leader.jobs.Get("j-1").Failures)
+	}
+	if need := leader.autoscaler.Demand(leader.scalingView(leader.clock.Now())); need.Preemptible.Cores > 0 || need.Urgent.Cores > 0 {
+		t.Errorf("needed for a bad job: %+v", need)
+	}
+	if len(leader.planner.ReservedRoom()) > 0 {
+		t.Errorf("room is kept for a bad job: %v", leader.planner.ReservedRoom())
+	}
+}
+
+// A new leader does not know what its predecessor knew of a bad job: it tries
+// one task, not all of them at once.
+func TestFailingJobAcrossLeaders(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	oldLeader, stop := cluster.elect(nodeA)
+	var workers []*standin.Worker
+	for i := range 4 {
+		worker := cluster.worker(fmt.Sprintf("n-%d", i+1), "x", true)
+		worker.FailJob("j-1")
+		heartbeat(t, oldLeader, worker)
+		workers = append(workers, worker)
+	}
+	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 100, 1, 1 }))
+	cluster.resync(oldLeader)
+	cluster.runSeconds(oldLeader, workers, 10)
+	stop()
+	newLeader, _ := cluster.elect(nodeB)
+	before := startCount(workers, "j-1")
+	cluster.runSeconds(newLeader, workers, 10)
+	if more := startCount(workers, "j-1") - before; more < 1 || more > 8 {
+		t.Errorf("%d tries under a new leader, want a few", more)
+	}
+}
+
+// Some tasks of a job fail everywhere while the others succeed: the job is not
+// bad, its other tasks run, and machines are not banned for those that fail.
+func TestFailingTasksOfHealthyJob(t *testing.T) {
+	cluster, node, leader, workers := clusterWithWorkers(t, 6, "j-1/3", "j-1/7", "j-1/11", "j-1/12", "j-1/13", "j-1/14")
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 40, 1, 1 }))
+	cluster.resync(leader)
+	cluster.runSeconds(leader, workers, 6)
+	for _, worker := range workers {
+		for _, p := range worker.LiveTasks() {
+			worker.EndTask(p, wire.CauseDone)
+		}
+	}
+	cluster.runSeconds(leader, workers, 40)
+	if got := quarantined(leader, workers); len(got) > 0 {
+		t.Errorf("banned: %v", got)
+	}
+	if job := leader.jobs.Get("j-1"); job.Done != 34 || job.Failures.Failing() {
+		t.Errorf("%d tasks done, bad %t; want 34 and not bad", job.Done, job.Failures.Failing())
+	}
+	if tries := startCount(workers, "j-1"); tries > 34+6*9 {
+		t.Errorf("%d starts: those that fail are not slowed down", tries)
+	}
+}
+
+// Replicas that spot machines may hold are demand for as long as they are wanted,
+// whatever their class's run times.
+func TestPreemptibleReplicasCountAsDemand(t *testing.T) {
+	cluster, node, leader, workers := clusterWithWorkers(t, 1)
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Kind, spec.Tasks, spec.ExpectedS = wire.KindService, 12, 0 }))
+	cluster.resync(leader)
+	cluster.runSeconds(leader, workers, 30)
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	if need := leader.autoscaler.Demand(leader.scalingView(leader.clock.Now())); need.Preemptible.Cores < 24 || need.Urgent.Cores < 24 {
+		t.Errorf("needed for 12 replicas of 2 cores: %+v", need)
+	}
+}
+
+// What fails on one machine only says nothing against the task: the machine is
+// found to be sick, and the task goes to the next one at once, rather than ever
+// more seldom.
+func TestTaskFailingOnOneMachineIsNotBackedOff(t *testing.T) {
+	cluster, node, leader, workers := clusterWithWorkers(t, 1)
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 2 }))
+	cluster.resync(leader)
+	cluster.runSeconds(leader, workers, 6)
+	workers[0].EndTask("j-1/0", wire.CauseDone)
+	cluster.runSeconds(leader, workers, 3) // the job works
+	workers[0].FailAllTasks(true)
+	workers[0].EndTask("j-1/1", wire.CauseError)
+	cluster.runSeconds(leader, workers, 40)
+	if got := quarantined(leader, workers); len(got) != 1 || got[0] != "n-1 failing" {
+		t.Errorf("banned %v, want the machine as sick", got)
+	}
+	workers = append(workers, cluster.worker("n-2", "x", true))
+	cluster.runSeconds(leader, workers, 8)
+	if got := workers[1].LiveTasks(); len(got) != 1 {
+		t.Errorf("on the new machine: %v, want the task that failed", got)
+	}
+}
--- /dev/null
+++ b/fleet_of_four_thousand_test.go
@@ -0,0 +1,82 @@
+package cedardoor
+
+import (
+	"testing"
+	"time"
+)
+
+// Four thousand machines are rented and loaded, their leader is killed, the state
+// service goes out and a zone is lost for longer than the lease. No rule breaks,
+// and every job is served.
+func TestFourThousandMachines(t *testing.T) {
+	t.Parallel()
+	schedule := faultSchedule{seed: 1, duration: seconds(100), firstLeader: 1, maxMachines: maxSimulatedFleet, submissions: largeFleetSubmissions(),
+		timing: workerTiming{report: 6 * time.Second, lease: 24 * time.Second, cancel: 60 * time.Second}}
+	schedule.submissions[0].cancelAfter = seconds(60) // in the outage, or right after it
+	schedule.faults = []scheduledFault{
+		{kind: controllerKilled, at: seconds(32), duration: seconds(1), controller: currentLeader},
+		{kind: stateRefusesAll, at: seconds(50), duration: seconds(12)},
+		{kind: zoneIsolated, at: seconds(70), duration: seconds(30), machine: 0},
+	}
+	schedule.setup = func(sim *simulation) {
+		sim.rentSmallMachinesOnly()
+		sim.runAt(30, func() {
+			if n := sim.bootedMachines(); n < simulatedFleet {
+				t.Errorf("%d machines are up before the troubles, want %d", n, simulatedFleet)
+			}
+		})
+		sim.runAt(69, func() { sim.checkLargeServices("before the zone is lost") })
+	}
+	playSchedule(t, schedule, func(sim *simulation) {
+		sim.checkLargeServices("at the end")
+		sim.checkAllServed()
+	})
+}
+
+// Four thousand machines, each with a task, lose all their controllers, which return within the
+// workers' leases. Nothing that runs is touched, every machine is reconciled, and the state service is
+// asked for little more than the records.
+func TestTotalLossOfFourThousandMachines(t *testing.T) {
+	t.Parallel()
+	events := &eventLog{}
+	loss := totalLoss{lossAtS: 40, outageS: 6, returning: 3}
+	schedule := faultSchedule{seed: 1, duration: seconds(80), firstLeader: 1, maxMachines: maxSimulatedFleet, submissions: largeFleetSubmissions(), onEvent: events.record,
+		timing: workerTiming{report: 6 * time.Second, lease: 30 * time.Second, cancel: 60 * time.Second}}
+	for node := range 3 {
+		schedule.faults = append(schedule.faults, scheduledFault{kind: controllerKilled, at: seconds(loss.lossAtS), duration: seconds(loss.outageS + 0.2*float64(node)), controller: node})
+	}
+	measured := lossMeasurements{Scene: "four thousand machines, 3 back after 6.0 s"}
+	schedule.setup = func(sim *simulation) {
+		sim.rentSmallMachinesOnly()
+		told := sim.cloud.OnChange
+		sim.cloud.OnChange = func(what string) { told(what); events.recordCloud(what) }
+		sim.runAt(loss.lossAtS, func() {
+			if n := sim.bootedMachines(); n < simulatedFleet {
+				t.Errorf("%d machines are up before the loss, want %d", n, simulatedFleet)
+			}
+		})
+		sim.wg.Go(func() { sim.measureLoss(loss, events, &measured) })
+	}
+	var sim *simulation
+	playSchedule(t, schedule, func(played *simulation) {
+		sim = played
+		sim.checkLargeServices("at the end")
+		sim.checkAllServed()
+	})
+	lost := loss.lostAt(sim)
+	back := lost.Add(seconds(loss.outageS))
+	measured.Commands = events.count(back, back.Add(recoveryCheckTime))
+	for _, fault := range events.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return sim.observed.views[uid].cancelRequested }) {
+		t.Error(fault)
+	}
+	if measured.Commands.Rentals > 0 || measured.Commands.Halts > 0 {
+		t.Errorf("%+v, want no rentals and no stops", measured.Commands)
+	}
+	if measured.AllGoingS == 0 || measured.AllGoingS > allGoingWithin {
+		t.Errorf("all goes on %.2f s after the first return, want within %v s", measured.AllGoingS, allGoingWithin)
+	}
+	t.Log(measured)
+	if err := saveMeasurements(measured); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/harness_cluster_setups_test.go
@@ -0,0 +1,140 @@
+package cedardoor
+
+import (
+	"fmt"
+	"testing"
+
+	"cedardoor/internal/standin"
+	"cedardoor/jobs"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+// clusterWithWorker is a site with one leading node and a worker that has reported.
+func clusterWithWorker(t *testing.T) (*testCluster, *Service, *leader, *standin.Worker) {
+	t.Helper()
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	leader, _ := cluster.elect(node)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
+	return cluster, node, leader, worker
+}
+
+// clusterWithWorkers is a leader with so many workers, on which the given jobs fail.
+func clusterWithWorkers(t *testing.T, n int, bad ...string) (*testCluster, *Service, *leader, []*standin.Worker) {
+	t.Helper()
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	leader, _ := cluster.elect(node)
+	var workers []*standin.Worker
+	for i := range n {
+		worker := cluster.worker(fmt.Sprintf("n-%d", i+1), []string{"x", "y"}[i%2], true)
+		for _, uid := range bad {
+			worker.FailJob(uid)
+		}
+		heartbeat(t, leader, worker)
+		workers = append(workers, worker)
+	}
+	return cluster, node, leader, workers
+}
+
+// connectedCluster is a site of three joined controllers of which the first leads, with a
+// worker that runs a task each of j-1 and j-2.
+func connectedCluster(t *testing.T) (cluster *testCluster, nodes []*Service, leader *leader, worker *standin.Worker) {
+	t.Helper()
+	cluster = newTestCluster(t)
+	for range 3 {
+		nodes = append(nodes, cluster.node(nil))
+	}
+	cluster.connectWithIsolation(nodes...)
+	leader, _ = cluster.elect(nodes[0])
+	nodes[0].current.Store(leader)
+	worker = cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
+	for _, uid := range []string{"j-1", "j-2"} {
+		cluster.submit(nodes[1], jobSpec(uid, nil))
+	}
+	for _, node := range nodes { // each has had an answer from the state service since it began
+		cluster.checkStatus(node, "j-1", wire.JobQueued)
+	}
+	cluster.resync(leader)
+	cluster.settle(leader)
+	heartbeat(t, leader, worker)
+	if got := len(worker.LiveTasks()); got != 2 {
+		t.Fatalf("%d tasks run, want 2", got)
+	}
+	return cluster, nodes, leader, worker
+}
+
+// leadWithJob is a platform whose first leader has placed what it could of a job.
+func leadWithJob(t *testing.T, node *Service, cluster *testCluster, tasks int) (leader *leader, worker *standin.Worker, stop func()) {
+	t.Helper()
+	leader, stop = cluster.elect(node)
+	worker = cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tasks }))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	heartbeat(t, leader, worker)
+	return leader, worker, stop
+}
+
+// adoptedFleet is a new leader that has read the records of so many machines with
+// the given tasks on each, all of them of predecessors.
+func adoptedFleet(t testing.TB, machines, tasks int) (*testCluster, *leader) {
+	t.Helper()
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	leader, _ := cluster.elect(node)
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	now := leader.clock.Now()
+	for k := range tasks {
+		spec := jobSpec(fmt.Sprintf("j-%d", k), func(spec *wire.Spec) {
+			spec.Tasks, spec.Cores, spec.RAM = machines, 1, 1
+			if k%2 == 0 {
+				spec.Kind, spec.Priority, spec.Preemptible = wire.KindService, "critical", false
+			}
+		})
+		encoded, err := wire.Marshal(store.JobRecord{Spec: spec})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := leader.addJob(store.JobKey(spec.UID), encoded, 1, now); err != nil {
+			t.Fatal(err)
+		}
+		job := leader.jobs.Get(spec.UID)
+		for i := range machines {
+			machine := leader.fleet.Ensure(fmt.Sprintf("n-%d", i), now)
+			allocation := job.NewAllocation(i, 1)
+			allocation.Incarnation = 1
+			leader.fleet.Adopt(machine, allocation, now)
+			job.Tasks[i].State, job.Tasks[i].Allocation, job.Tasks[i].Attempt = jobs.TaskPlaced, allocation, 1
+		}
+	}
+	return cluster, leader
+}
+
+// fleetReport is what the i-th machine of an adopted fleet says.
+func fleetReport(i, tasks int, sequence, token uint64) *wire.Heartbeat {
+	report := &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: sequence, Token: token}
+	for k := range tasks {
+		report.Tasks = append(report.Tasks, wire.TaskReport{Task: fmt.Sprintf("j-%d/%d", k, i), Attempt: 1, Status: wire.TaskRunning})
+	}
+	return report
+}
+
+// trustedFleet is a leader that trusts machines with tasks on each.
+func trustedFleet(tb testing.TB, machines, tasks int) (*testCluster, *leader) {
+	cluster, leader := adoptedFleet(tb, machines, tasks)
+	for tally, token := range []uint64{0, leader.term.Token, leader.term.Token} {
+		for i := range machines {
+			report := fleetReport(i, tasks, uint64(tally)+1, token)
+			if _, ok := leader.Heartbeat(report); !ok {
+				tb.Fatal("beat not answered")
+			}
+		}
+	}
+	return cluster, leader
+}
--- /dev/null
+++ b/harness_loopback_test.go
@@ -0,0 +1,199 @@
+package cedardoor
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"cedardoor/config"
+	"cedardoor/internal/standin"
+	"cedardoor/store"
+	"cedardoor/wire"
+
+	"golang.org/x/time/rate"
+)
+
+// The state service's changes a second in the measurement, and the most jobs of a team.
+const (
+	loopbackWrites = 100
+	loopbackJobs   = 30_000
+)
+
+// loopback is a platform of real controllers on loopback sockets, with stand-ins around them.
+type loopback struct {
+	*simulation
+	names             []string
+	clientAddresses   map[string]string // addresses for users and workers, by controller
+	operatorAddresses map[string]string // addresses for operators
+	platformFiles     map[string]string
+	settingsFiles     map[string]string // operators' settings
+	http              *http.Client
+
+	processMutex sync.Mutex // guards procs
+	commands     map[string]*exec.Cmd
+}
+
+// serveLoopback serves a handler on a free port.
+func serveLoopback(t *testing.T, h http.Handler) string {
+	server := httptest.NewServer(h)
+	t.Cleanup(server.Close)
+	return strings.TrimPrefix(server.URL, "http://")
+}
+
+// freeAddress is a loopback address that nobody listens at.
+func freeAddress(t *testing.T) string {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	return ln.Addr().String()
+}
+
+// rateLimitedState refuses transactions beyond the state service's changes a second.
+func rateLimitedState(h http.Handler, writes *rate.Limiter) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return
+		}
+		var txn wire.Txn
+		if r.URL.Path == wire.PathCommit && wire.Unmarshal(body, &txn) == nil && !writes.AllowN(time.Now(), len(txn.Operations)) {
+			w.WriteHeader(http.StatusTooManyRequests)
+			return
+		}
+		r.Body = io.NopCloser(bytes.NewReader(body))
+		h.ServeHTTP(w, r)
+	})
+}
+
+// newLoopback sets the platform up and starts its controllers.
+func newLoopback(ctx context.Context, t *testing.T, schedule faultSchedule) *loopback {
+	l := &loopback{simulation: newSimulation(ctx, t, schedule), clientAddresses: map[string]string{}, operatorAddresses: map[string]string{}, platformFiles: map[string]string{}, settingsFiles: map[string]string{},
+		commands: map[string]*exec.Cmd{},
+		http:     &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
+	l.cloud.BootMachine = l.bootLoopbackMachine
+	cloudAddress := serveLoopback(t, l.cloud)
+	writes := rate.NewLimiter(loopbackWrites, loopbackWrites)
+	nodes := make([]config.Node, *loopbackNodes)
+	for i := range nodes {
+		nodes[i] = config.Node{Node: controllerName(i), Area: "x", Addr: freeAddress(t)}
+		l.names = append(l.names, nodes[i].Node)
+		l.clientAddresses[nodes[i].Node], l.operatorAddresses[nodes[i].Node] = freeAddress(t), freeAddress(t)
+	}
+	for i, node := range nodes {
+		cfg := config.Platform{Node: node.Node, Area: "x", ClientListen: l.clientAddresses[node.Node], PeerListen: node.Addr, Others: slices.Concat(nodes[:i], nodes[i+1:])}
+		cfg.Outside.State = serveLoopback(t, rateLimitedState(l.state.Handler(node.Node), writes))
+		cfg.Outside.Cloud = cloudAddress
+		cfg.Facts = config.Facts{InitialSize: 3, Zones: []string{"x", "y"},
+			Workers: config.Workers{ReportS: l.schedule.timing.report.Seconds(), LeaseS: l.schedule.timing.lease.Seconds(), CancelS: l.schedule.timing.cancel.Seconds()},
+			State:   config.State{RPS: 250, WriteRPS: loopbackWrites, ValueKB: 8, TxnOps: 24}, Cloud: config.Cloud{RPS: 20, ListLagS: 2},
+			Limits: config.Limits{CoreShare: 1, MemMB: 300, FDLimit: 2000}}
+		for team, limit := range l.schedule.limits {
+			cfg.Facts.Teams = append(cfg.Facts.Teams, config.Team{Name: team, CPUsMax: limit, CPUs: l.schedule.guarantees[team]})
+		}
+		encoded, err := json.Marshal(cfg)
+		if err != nil {
+			t.Fatal(err)
+		}
+		l.platformFiles[node.Node] = filepath.Join(t.TempDir(), node.Node+".json")
+		l.settingsFiles[node.Node] = filepath.Join(t.TempDir(), node.Node+"-settings.json")
+		options := fmt.Appendf(nil, `{"metrics": {"listen": %q}}`, l.operatorAddresses[node.Node])
+		if err := errors.Join(os.WriteFile(l.platformFiles[node.Node], encoded, 0o600), os.WriteFile(l.settingsFiles[node.Node], options, 0o600)); err != nil {
+			t.Fatal(err)
+		}
+		l.start(node.Node)
+	}
+	return l
+}
+
+// start runs a controller's process.
+func (l *loopback) start(name string) {
+	l.processMutex.Lock()
+	defer l.processMutex.Unlock()
+	cmd := exec.Command(*loopbackBinary, "--config", l.platformFiles[name], "--settings", l.settingsFiles[name])
+	cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
+	cmd.Stderr = os.Stderr
+	if err := cmd.Start(); err != nil {
+		l.t.Error(err)
+		return
+	}
+	l.commands[name] = cmd
+}
+
+// signal sends a signal to a controller's process; after a kill it is waited for.
+func (l *loopback) signal(name string, sig syscall.Signal) {
+	l.processMutex.Lock()
+	defer l.processMutex.Unlock()
+	cmd := l.commands[name]
+	_ = cmd.Process.Signal(sig)
+	if sig == syscall.SIGKILL {
+		_ = cmd.Wait()
+	}
+}
+
+// leaderName names the controller that the state service holds for the leader.
+func (l *loopback) leaderName() string {
+	var record store.LeaderRecord
+	if l.state.Value(store.KeyLeader, &record) {
+		return record.Node
+	}
+	return l.names[0]
+}
+
+// bootLoopbackMachine runs a rented machine whose worker uses loopback sockets.
+func (l *loopback) bootLoopbackMachine(info wire.Machine, machineType wire.MachineType) *standin.Machine {
+	machine := &standin.Machine{MachineConfig: standin.MachineConfig{Info: info, Type: machineType, ReportInterval: l.schedule.timing.report,
+		LeaseTime: l.schedule.timing.lease, Controllers: l.names, Observer: l.simulation, OnEvent: l.schedule.onEvent,
+		CommandDelay: func() time.Duration { return 0 },
+		SendHeartbeat: func(ctx context.Context, _ *standin.Machine, node string, report wire.Heartbeat) (int, []byte, error) {
+			return l.post(ctx, node, wire.PathHeartbeat, report)
+		}}}
+	server := httptest.NewServer(machine)
+	machine.Info.Endpoint = strings.TrimPrefix(server.URL, "http://")
+	l.wg.Go(func() {
+		defer server.Close()
+		time.Sleep(time.Second)
+		machine.Boot(l.ctx)
+		machine.Run()
+	})
+	return machine
+}
+
+// post sends one message to a controller.
+func (l *loopback) post(ctx context.Context, node, path string, message any) (int, []byte, error) {
+	encoded, err := wire.Marshal(message)
+	if err != nil {
+		return 0, nil, err
+	}
+	return l.send(ctx, node, path, encoded)
+}
+
+func (l *loopback) send(ctx context.Context, node, path string, encoded []byte) (int, []byte, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.clientAddresses[node]+path, bytes.NewReader(encoded))
+	if err != nil {
+		return 0, nil, err
+	}
+	answer, err := l.http.Do(request)
+	if err != nil {
+		return 0, nil, err
+	}
+	defer answer.Body.Close()
+	body, err := io.ReadAll(answer.Body)
+	return answer.StatusCode, body, err
+}
--- /dev/null
+++ b/harness_requests_test.go
@@ -0,0 +1,167 @@
+package cedardoor
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"slices"
+	"sync"
+	"testing"
+
+	"cedardoor/internal/standin"
+	"cedardoor/wire"
+
+	"github.com/go-chi/chi/v5"
+)
+
+func jobSpec(uid string, mod func(*wire.Spec)) wire.Spec {
+	spec := wire.Spec{UID: uid, Class: "lane", Team: "team", Kind: wire.KindBatch, Priority: "standard", Tasks: 1, Cores: 2, RAM: 4,
+		Image: "img", ImageGB: 1, Preemptible: true, ExpectedS: 10}
+	if mod != nil {
+		mod(&spec)
+	}
+	return spec
+}
+
+// submissionBody is a submission's body, changed by mod.
+func submissionBody(t testing.TB, spec wire.Spec, mod func(m map[string]any)) []byte {
+	t.Helper()
+	encoded, err := wire.Marshal(spec)
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := map[string]any{}
+	if err := wire.Unmarshal(encoded, &m); err != nil {
+		t.Fatal(err)
+	}
+	if spec.Zone == "" {
+		m["yard"] = nil
+	}
+	if mod != nil {
+		mod(m)
+	}
+	if encoded, err = wire.Marshal(m); err != nil {
+		t.Fatal(err)
+	}
+	return encoded
+}
+
+// users serves a node's users' interface and answers one request.
+func (s *testCluster) ask(node *Service, method, path string, body any) (int, wire.JobStatus, http.Header) {
+	s.tb.Helper()
+	r := chi.NewRouter()
+	node.users.Routes(r)
+	var encoded []byte
+	switch b := body.(type) {
+	case nil:
+	case []byte:
+		encoded = b
+	case wire.Spec:
+		encoded = submissionBody(s.tb, b, nil)
+	default:
+		var err error
+		if encoded, err = wire.Marshal(b); err != nil {
+			s.tb.Fatal(err)
+		}
+	}
+	recorder := httptest.NewRecorder()
+	r.ServeHTTP(recorder, httptest.NewRequestWithContext(s.tb.Context(), method, path, bytes.NewReader(encoded)))
+	var status wire.JobStatus
+	_ = wire.Unmarshal(recorder.Body.Bytes(), &status)
+	return recorder.Code, status, recorder.Header()
+}
+
+func (s *testCluster) submit(node *Service, spec wire.Spec) {
+	s.tb.Helper()
+	if code, _, _ := s.ask(node, http.MethodPost, wire.PathJobs, spec); code != http.StatusCreated {
+		s.tb.Fatalf("submit %s: status %d", spec.UID, code)
+	}
+}
+
+func (s *testCluster) checkStatus(node *Service, uid, want string) {
+	s.tb.Helper()
+	if code, status, _ := s.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); code != http.StatusOK || status.Status != want {
+		s.tb.Fatalf("%s at %s: %d %q, want %q", uid, node.cfg.Node, code, status.Status, want)
+	}
+}
+
+func (s *testCluster) cancelJob(node *Service, uid string) {
+	s.tb.Helper()
+	if code, status, _ := s.ask(node, http.MethodPost, wire.PathJobs+"/"+uid+"/abort", nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+		s.tb.Fatalf("abort of %s at %s: %d %q", uid, node.cfg.Node, code, status.Status)
+	}
+}
+
+// askEverywhere are all the ways in which a user may ask about a job, at every node at
+// once: polls, the same submission again, another under its name, and malformed ones.
+func (s *testCluster) askEverywhere(nodes []*Service, uid string, abort bool) (answers []string) {
+	s.tb.Helper()
+	type question struct {
+		method, path string
+		body         any
+	}
+	questions := []question{
+		{http.MethodGet, wire.PathJobs + "/" + uid, nil},
+		{http.MethodPost, wire.PathJobs, jobSpec(uid, nil)},
+		{http.MethodPost, wire.PathJobs, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Priority = 7, "low" })},
+		{http.MethodPost, wire.PathJobs, jobSpec(uid, func(spec *wire.Spec) { spec.Team = "nobody" })},
+		{http.MethodPost, wire.PathJobs, submissionBody(s.tb, jobSpec(uid, nil), func(m map[string]any) { delete(m, "rank") })},
+		{http.MethodPost, wire.PathJobs, submissionBody(s.tb, jobSpec(uid, nil), func(m map[string]any) { m["pieces"] = "many" })},
+	}
+	if abort {
+		questions = append(questions, question{http.MethodPost, wire.PathJobs + "/" + uid + "/" + wire.SuffixCancel, nil})
+	}
+	var mu sync.Mutex
+	var wg sync.WaitGroup
+	for _, node := range nodes {
+		for _, q := range questions {
+			wg.Go(func() {
+				code, status, _ := s.ask(node, q.method, q.path, q.body)
+				got := status.Status
+				if code != http.StatusOK {
+					got = fmt.Sprint(code)
+				}
+				mu.Lock()
+				defer mu.Unlock()
+				answers = append(answers, got)
+			})
+		}
+	}
+	wg.Wait()
+	return answers
+}
+
+// checkAnswers fails the test if one of the answers is not allowed.
+func (s *testCluster) checkAnswers(when string, answers []string, allowed ...string) {
+	s.tb.Helper()
+	for _, a := range answers {
+		if !slices.Contains(allowed, a) {
+			s.tb.Errorf("%s: answered %q, want one of %v", when, a, allowed)
+		}
+	}
+}
+
+// askUntilAnswered repeats a user's request, at one node after another, until it gets an answer.
+func (s *testCluster) askUntilAnswered(nodes []*Service, method, path string, body any) (code int, status wire.JobStatus) {
+	s.tb.Helper()
+	for i := range 6 {
+		if code, status, _ = s.ask(nodes[i%len(nodes)], method, path, body); code != http.StatusServiceUnavailable {
+			return code, status
+		}
+	}
+	s.tb.Fatalf("%s %s: never answered", method, path)
+	return code, status
+}
+
+// transactionFault is what befalls the next transaction.
+type transactionFault struct {
+	name string
+	set  func(st *standin.State)
+}
+
+var transactionFaults = []transactionFault{
+	{"none", func(*standin.State) {}},
+	{"answer lost", func(st *standin.State) { st.LoseResponses(1) }},
+	{"carried out late", func(st *standin.State) { st.DelayNextTransaction() }},
+}
--- /dev/null
+++ b/heartbeat_test.go
@@ -0,0 +1,205 @@
+package cedardoor
+
+import (
+	"net/http"
+	"slices"
+	"testing"
+
+	"cedardoor/wire"
+)
+
+// A report that changes nothing costs the same few allocations however many
+// machines there are and however many tasks it lists: its task list is compared
+// where it lies in the body, not copied and not decoded.
+func TestUnchangedHeartbeatAllocatesLittle(t *testing.T) {
+	allocs := func(machines, tasks int) float64 {
+		_, leader := trustedFleet(t, machines, tasks)
+		encoded := encodeReport(t, fleetReport(0, tasks, 1, leader.term.Token))
+		sequence := uint64(100)
+		heartbeat := func() {
+			sequence++
+			setSequence(t, encoded, sequence)
+			report, err := wire.DecodeHeartbeat(encoded)
+			if err != nil {
+				t.Fatal(err)
+			}
+			response, ok := leader.Heartbeat(&report)
+			// The first list that comes as bytes is new.
+			if !ok || len(response.Commands) != 0 || report.Tasks != nil && sequence > 101 {
+				t.Fatalf("answered %t with %d orders, %d tasks decoded", ok, len(response.Commands), len(report.Tasks))
+			}
+		}
+		heartbeat()
+		return testing.AllocsPerRun(200, heartbeat)
+	}
+	small, large := allocs(20, 4), allocs(400, 60)
+	// The race detector lets pools lose some of what they keep.
+	if large > small+1 || large > 9 {
+		t.Errorf("an unchanged report allocates %.0f times, %.0f in a larger fleet with more tasks; want the same and at most 9", small, large)
+	}
+}
+
+// A copy of an old report that reaches a new leader first proves nothing, does
+// not make the machine trusted, and moves nothing.
+func TestStaleHeartbeatReachesNewLeaderFirst(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	oldLeader, stop := cluster.elect(nodeA)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, oldLeader, worker)
+	old := worker.Report() // shows nothing yet
+	cluster.submit(nodeA, jobSpec("j-1", nil))
+	cluster.resync(oldLeader)
+	cluster.settle(oldLeader)
+	stop()
+	newLeader, _ := cluster.elect(nodeB)
+	deliverReport(t, newLeader, old)
+	deliverReport(t, newLeader, old)
+	if cluster.machineUsable(newLeader, "n-1") {
+		t.Fatal("trusted on a copy from before the term")
+	}
+	heartbeat(t, newLeader, other)
+	cluster.settle(newLeader)
+	if len(other.StartedAttempts()) != 0 {
+		t.Fatalf("started elsewhere on the word of a late copy: %v", other.StartedAttempts())
+	}
+	heartbeat(t, newLeader, worker)
+	cluster.settle(newLeader)
+	deliverReport(t, newLeader, old)
+	cluster.settle(newLeader)
+	if len(worker.StartedAttempts())+len(other.StartedAttempts()) != 1 {
+		t.Errorf("starts %v and %v", worker.StartedAttempts(), other.StartedAttempts())
+	}
+}
+
+// A result in a late copy that the record does not know is nobody's: only the
+// attempt on record can end the task.
+func TestStaleHeartbeatBringsNoResult(t *testing.T) {
+	cluster, node, leader, worker := clusterWithWorker(t)
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	copied := worker.Report()
+	copied.Tasks = []wire.TaskReport{{Task: "j-1/0", Attempt: 7, Status: wire.TaskEnded, Cause: wire.CauseDone}}
+	deliverReport(t, leader, copied)
+	cluster.settle(leader)
+	if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
+		t.Error("done by an attempt that was never made")
+	}
+}
+
+// Copies of old reports, from an earlier session and of an earlier attempt, reach
+// every controller just as a new leader begins, and again when it has acted: nobody
+// but the leader answers them, and they start, end and prove nothing.
+func TestStaleHeartbeatsReachEveryController(t *testing.T) {
+	t.Run("running", func(t *testing.T) { checkOldReports(t, false) })
+	t.Run("cancelled", func(t *testing.T) { checkOldReports(t, true) })
+}
+
+func checkOldReports(t *testing.T, cancel bool) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(withTeamLimit(2)), cluster.node(withTeamLimit(2))
+	leader, stop := cluster.elect(nodeA)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, leader, worker)
+	copies := []wire.Heartbeat{worker.Report()} // nothing there yet
+	cluster.submit(nodeA, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	copies = append(copies, worker.Report()) // the first attempt, in the first session
+	worker.ExpireLease()
+	heartbeat(t, leader, worker)
+	copies = append(copies, worker.Report()) // nothing there, in the second session
+	cluster.settle(leader)
+	if got := worker.StartedAttempts(); len(got) != 2 {
+		t.Fatalf("starts %v", got)
+	}
+	stop()
+	if cancel {
+		if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
+			t.Fatalf("abort: %d", code)
+		}
+	}
+	cluster.submit(nodeB, jobSpec("j-2", nil)) // the team's limit keeps it waiting
+	leader, _ = cluster.elect(nodeB)
+	nodeB.current.Store(leader)
+	all := func() {
+		t.Helper()
+		for _, c := range copies {
+			if _, ok := nodeA.Heartbeat(&c); ok {
+				t.Error("answered by a controller that does not lead")
+			}
+			if response, ok := nodeB.Heartbeat(&c); ok {
+				for _, command := range response.Commands {
+					if command.Verb == wire.VerbRun && command.Attempt != 2 {
+						t.Errorf("a copy is answered with %+v", command)
+					}
+				}
+			}
+		}
+		heartbeat(t, leader, other)
+		cluster.settle(leader)
+		if got := append(worker.StartedAttempts(), other.StartedAttempts()...); len(got) != 2 {
+			t.Fatalf("started on the word of old reports: %v", got)
+		}
+	}
+	all()
+	if cluster.machineUsable(leader, "n-1") {
+		t.Error("trusted on copies from before the term")
+	}
+	all()
+	if cancel {
+		for range 3 {
+			heartbeat(t, leader, worker)
+			cluster.settle(leader)
+			heartbeat(t, leader, other)
+		}
+		if got := append(worker.LiveTasks(), other.LiveTasks()...); !slices.Equal(got, []string{"j-2/0"}) {
+			t.Errorf("on the machines %v after the worker itself reported", got)
+		}
+		return
+	}
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
+	slices.Reverse(copies) // the oldest comes last
+	all()
+	leader.mu.Lock()
+	if machine := leader.fleet.Machine("n-1"); machine.Incarnation != 2 || !machine.Reported || machine.LiveCount() != 1 {
+		t.Errorf("after copies came behind newer reports: session %d, trusted %t, %d tasks", machine.Incarnation, machine.Reported, machine.LiveCount())
+	}
+	leader.mu.Unlock()
+	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0"}) {
+		t.Errorf("on the machine %v", got)
+	}
+	if _, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
+		t.Error("done on the word of a copy")
+	}
+}
+
+// All workers come to a new leader within a second or two. What each heartbeat costs
+// does not grow with the fleet, nothing is moved or started meanwhile, and each
+// machine is trusted by its second heartbeat.
+func TestHeartbeatSurgeAfterTotalLoss(t *testing.T) {
+	const tasks = 4
+	visits := func(machines int) float64 {
+		_, leader := adoptedFleet(t, machines, tasks)
+		leader.fleet.Examined = 0
+		for tally, token := range []uint64{0, leader.term.Token} {
+			for i := range machines {
+				response, ok := leader.Heartbeat(fleetReport(i, tasks, uint64(tally)+1, token))
+				if !ok || len(response.Commands) != 0 || response.Token != leader.term.Token {
+					t.Fatalf("machine %d of %d: answered %t, %+v", i, machines, ok, response)
+				}
+			}
+		}
+		per := float64(leader.fleet.Examined) / float64(2*machines)
+		if up := leader.fleet.ReportingCount(); up != machines {
+			t.Errorf("%d of %d machines are trusted", up, machines)
+		}
+		return per
+	}
+	small, large := visits(200), visits(minFleetLimit)
+	if small != large || large > 4*tasks {
+		t.Errorf("a heartbeat of the surge visits %.1f and %.1f, want the same and few", small, large)
+	}
+}
--- a/lead/elector_test.go
+++ b/lead/elector_test.go
@@ -122,7 +122,7 @@
 	h := start(t)
 	before, _ := h.elector.HoldsLease()
 	// The response is lost, but the write was done: it is recognized, not repeated.
-	h.state.LoseAnswers(1)
+	h.state.LoseResponses(1)
 	got, err := h.elector.RaiseToken(t.Context())
 	if err != nil || got != before+1 {
 		t.Fatalf("raised to %d, %v; want %d", got, err, before+1)
--- /dev/null
+++ b/lost_responses_test.go
@@ -0,0 +1,320 @@
+package cedardoor
+
+import (
+	"context"
+	"net/http"
+	"slices"
+	"testing"
+	"time"
+
+	"cedardoor/internal/standin"
+	"cedardoor/store"
+	"cedardoor/wire"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// A transaction whose answer was lost is settled by its nonce, not done twice.
+func TestLostCommitResponse(t *testing.T) {
+	cluster, node, leader, worker := clusterWithWorker(t)
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.resync(leader)
+	cluster.state.LoseResponses(1)
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	go func() {
+		// The repeat waits on the clock, as does the elector.
+		for cluster.clock.BlockUntilContext(ctx, 2) == nil {
+			cluster.clock.Advance(100 * time.Millisecond)
+			if len(worker.StartedAttempts()) > 0 {
+				return
+			}
+		}
+	}()
+	cluster.settle(leader)
+	cancel()
+	if got := worker.StartedAttempts(); len(got) != 1 {
+		t.Fatalf("starts: %v", got)
+	}
+}
+
+// The leader's transactions are carried out and only the answer is lost, while
+// other nodes read what they wrote: what they have told stays true, and nothing is
+// started, recorded or moved twice when the leader finds out.
+func TestLostCommitResponsesWhileOthersRead(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	leader, _ := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
+	cluster.submit(nodeB, jobSpec("j-1", nil))
+	cluster.submit(nodeB, jobSpec("j-2", func(spec *wire.Spec) { spec.Tasks = 2 }))
+	cluster.submit(nodeB, jobSpec("j-3", nil))
+	cluster.resync(leader)
+	is := func(uid string, allowed ...string) {
+		t.Helper()
+		for _, node := range []*Service{nodeA, nodeB} {
+			_, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil)
+			cluster.checkAnswers(uid, []string{status.Status}, allowed...)
+		}
+	}
+	// Placements: a user cancels one of the jobs before the leader knows that its attempt is recorded.
+	cluster.loseAnswerDuring(func() { cluster.settle(leader) }, func() {
+		if len(worker.StartedAttempts()) != 0 {
+			t.Errorf("started before the leader knows that it is recorded: %v", worker.StartedAttempts())
+		}
+		if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+			t.Errorf("abort: %d %+v", code, status)
+		}
+	})
+	cluster.resync(leader)
+	cluster.settle(leader)
+	is("j-3", wire.JobCancelled)
+	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0", "j-2/0", "j-2/1"}) {
+		t.Errorf("on the machine %v", got)
+	}
+	// The end of both jobs: done is told by the one that reads it, and stays done.
+	worker.EndTask("j-1/0", wire.CauseDone)
+	worker.EndTask("j-2/0", wire.CauseDone)
+	worker.EndTask("j-2/1", wire.CauseDone)
+	heartbeat(t, leader, worker)
+	cluster.loseAnswerDuring(func() { leader.pass(t.Context()) }, func() {
+		for _, uid := range []string{"j-1", "j-2"} {
+			is(uid, wire.JobDone)
+			_, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
+			cluster.checkAnswers("abort after the end", []string{status.Status}, wire.JobDone)
+		}
+	})
+	nodeC := cluster.node(nil) // remembers nothing
+	cluster.settle(leader)
+	for _, node := range []*Service{nodeA, nodeB, nodeC} {
+		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-2": wire.JobDone, "j-3": wire.JobCancelled} {
+			if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != want {
+				t.Errorf("%s: %+v, want %s", uid, status, want)
+			}
+		}
+	}
+	if left := cluster.state.Keys(store.PrefixJob); len(left) != 0 {
+		t.Errorf("jobs that have not moved: %v", left)
+	}
+	if got := worker.StartedAttempts(); len(got) > 4 || startCount([]*standin.Worker{worker}, "j-2") != 2 || startCount([]*standin.Worker{worker}, "j-1") != 1 {
+		t.Errorf("starts %v", got)
+	}
+}
+
+// Each of the leader's transactions in the life of jobs (their attempts, ends and
+// moves to the final place) is carried out and not answered. While the leader does
+// not know, every node reads what was written, also one that remembers nothing; the
+// leader then finds out, and nothing is recorded again, moved again or kept.
+func TestEveryLostCommitResponse(t *testing.T) {
+	life := func(pieces int, lossy bool) (puts int) {
+		cluster := newTestCluster(t)
+		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+		leader, _ := cluster.elect(nodeA)
+		worker := cluster.worker("n-1", "x", true)
+		heartbeat(t, leader, worker)
+		uids := []string{"j-1", "j-2"}
+		for _, uid := range uids {
+			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 1 }))
+		}
+		cluster.resync(leader)
+		before := cluster.state.ChangeCount()
+		now := wire.JobQueued
+		drain := func() {
+			for range 9 {
+				leader.mu.Lock()
+				transaction := leader.buildTransaction()
+				leader.mu.Unlock()
+				if transaction == nil {
+					return
+				}
+				if len(transaction.Finished()) > 0 {
+					now = wire.JobDone
+				}
+				record := func() {
+					if !leader.commit(t.Context(), transaction) {
+						t.Fatal("the term is over")
+					}
+				}
+				if !lossy {
+					record()
+					continue
+				}
+				cluster.loseAnswerDuring(record, func() {
+					for _, node := range []*Service{nodeB, cluster.node(nil)} {
+						for _, uid := range uids {
+							if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != now {
+								t.Errorf("%s: %+v, want %s", uid, status, now)
+							}
+						}
+					}
+				})
+			}
+		}
+		leader.mu.Lock()
+		leader.runPlan(leader.clock.Now())
+		leader.mu.Unlock()
+		drain()
+		cluster.settle(leader)
+		if got := len(worker.LiveTasks()); got != 2*pieces {
+			t.Fatalf("%d tasks run", got)
+		}
+		for _, p := range worker.LiveTasks() {
+			worker.EndTask(p, wire.CauseDone)
+		}
+		heartbeat(t, leader, worker)
+		drain()
+		for _, uid := range uids {
+			if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs, jobSpec(uid, nil)); code != http.StatusOK || status.Status != wire.JobDone {
+				t.Errorf("%s submitted again: %d %+v", uid, code, status)
+			}
+		}
+		leader.mu.Lock()
+		defer leader.mu.Unlock()
+		if left := leader.writer.Backlog(); left.FinalMoves+leader.jobs.Len()+left.Dirty+left.StaleShared != 0 {
+			t.Errorf("%d tasks a job: %+v and %d jobs are left", pieces, left, leader.jobs.Len())
+		}
+		if left := cluster.state.Keys(store.PrefixJob); len(left) != 0 {
+			t.Errorf("jobs that have not moved: %v", left)
+		}
+		if got := len(worker.StartedAttempts()); got != 2*pieces {
+			t.Errorf("%d starts of %d tasks", got, 2*pieces)
+		}
+		return cluster.state.ChangeCount() - before
+	}
+	for _, pieces := range []int{1, 2} {
+		// Deletions of what a finished job leaves carry no stamp of their own: the repeat deletes nothing.
+		again := 2 * (pieces - 1)
+		if plain, lost := life(pieces, false), life(pieces, true); lost != plain+again {
+			t.Errorf("%d tasks a job: %d changes where every answer is lost, %d where none is", pieces, lost, plain)
+		}
+	}
+}
+
+// Every one of the leader's transactions gets no answer and is carried out late,
+// after newer ones of the same leader: each is carried out once, and nothing that was
+// told or written since changes by the late one.
+func TestDelayedTransactionsOfTheLeader(t *testing.T) {
+	for _, pieces := range []int{1, 2} {
+		cluster, node, leader, worker := clusterWithWorker(t)
+		uids := []string{"j-1", "j-2", "j-3"}
+		for _, uid := range uids {
+			cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 1 }))
+		}
+		cluster.resync(leader)
+		ctx, cancel := context.WithCancel(t.Context())
+		go func() {
+			for cluster.clock.BlockUntilContext(ctx, 2) == nil {
+				cluster.clock.Advance(100 * time.Millisecond)
+			}
+		}()
+		late := 0
+		drain := func() {
+			for range 12 {
+				leader.mu.Lock()
+				transaction := leader.buildTransaction()
+				leader.mu.Unlock()
+				if transaction == nil {
+					return
+				}
+				cluster.state.DelayNextTransaction()
+				if late++; !leader.commit(t.Context(), transaction) {
+					t.Fatal("the term is over")
+				}
+			}
+		}
+		leader.mu.Lock()
+		leader.runPlan(leader.clock.Now())
+		leader.mu.Unlock()
+		drain()
+		cluster.settle(leader)
+		worker.EndTask("j-1/0", wire.CauseDone)
+		worker.EndTask("j-1/1", wire.CauseDone)
+		worker.EndTask("j-2/0", wire.CauseError)
+		if _, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
+			t.Fatalf("abort: %+v", status)
+		}
+		heartbeat(t, leader, worker)
+		cluster.resync(leader)
+		drain()
+		// One that is recorded twice alone: its first record must not come back over the second.
+		cluster.submit(node, jobSpec("j-4", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 0.5 }))
+		cluster.resync(leader)
+		leader.mu.Lock()
+		leader.runPlan(leader.clock.Now())
+		leader.mu.Unlock()
+		drain()
+		cluster.settle(leader)
+		worker.EndTask("j-4/0", wire.CauseDone)
+		heartbeat(t, leader, worker)
+		leader.mu.Lock()
+		leader.writer.MarkDirty("j-4") // need not wait for others' results
+		leader.mu.Unlock()
+		drain()
+		cancel()
+		cluster.settle(leader)
+		keys, puts := cluster.state.Keys(""), cluster.state.ChangeCount()
+		if got := cluster.state.DelayedCount(); got != late || late < 3 {
+			t.Fatalf("%d transactions are late, want %d", got, late)
+		}
+		cluster.state.DeliverDelayed()
+		if after := cluster.state.Keys(""); !slices.Equal(keys, after) {
+			t.Errorf("%d tasks a job: late transactions turn %v into %v", pieces, keys, after)
+		}
+		if got := cluster.state.ChangeCount() - puts; got != 0 {
+			t.Errorf("%d tasks a job: %d changes were made late", pieces, got)
+		}
+		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-3": wire.JobCancelled} {
+			if _, status, _ := cluster.ask(cluster.node(nil), http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != want {
+				t.Errorf("%s: %+v, want %s", uid, status, want)
+			}
+		}
+	}
+}
+
+// Every transaction may be applied by the store, answered, and arrive again:
+// nothing that users were told, and nobody's lead, changes by it.
+func TestRepeatedTransactionsChangeNothing(t *testing.T) {
+	cluster, node, leader, worker := clusterWithWorker(t)
+	cluster.submit(node, jobSpec("j-1", nil))
+	cluster.submit(node, jobSpec("j-2", nil))
+	cluster.submit(node, jobSpec("j-3", nil))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	worker.EndTask("j-1/0", wire.CauseDone)
+	heartbeat(t, leader, worker)
+	cluster.settle(leader)
+	if code, _, _ := cluster.ask(node, "POST", wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != 200 {
+		t.Fatalf("abort: %d", code)
+	}
+	if _, err := node.elector.RaiseToken(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	type told struct {
+		keys   []string
+		status []string
+		lead   uint64
+	}
+	look := func() (is told) {
+		is.keys = cluster.state.Keys("")
+		for _, uid := range []string{"j-1", "j-2", "j-3"} {
+			_, status, _ := cluster.ask(node, "GET", wire.PathJobs+"/"+uid, nil)
+			is.status = append(is.status, status.Status)
+		}
+		var record store.TokenRecord
+		cluster.state.Value(store.KeyToken, &record)
+		is.lead = record.Token
+		return is
+	}
+	before := look()
+	cluster.state.RepeatTransactions()
+	if diff := cmp.Diff(before, look(), cmp.AllowUnexported(told{})); diff != "" {
+		t.Error(diff)
+	}
+	if code, status, _ := cluster.ask(node, "POST", wire.PathJobs, jobSpec("j-2", nil)); code != 200 || status.Status != wire.JobCancelled {
+		t.Errorf("a submission that comes again after the abort: %d %+v", code, status)
+	}
+	if _, ok := node.elector.MayAnswerHeartbeats(); !ok {
+		t.Error("the lead was lost")
+	}
+}
--- /dev/null
+++ b/placement_test.go
@@ -0,0 +1,196 @@
+package cedardoor
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"cedardoor/clock"
+	"cedardoor/config"
+	"cedardoor/internal/standin"
+	"cedardoor/jobs"
+	"cedardoor/store"
+	"cedardoor/wire"
+)
+
+// The zone cap counts tasks whose machine has not been heard of.
+func TestZoneSpreadCountsUnreportedMachine(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	oldLeader, stop := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", false)
+	heartbeat(t, oldLeader, worker)
+	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) {
+		spec.Kind, spec.Priority, spec.Preemptible, spec.Spread, spec.Tasks = wire.KindService, "critical", false, true, 2
+	}))
+	cluster.resync(oldLeader)
+	cluster.settle(oldLeader)
+	if got := worker.LiveTasks(); len(got) != 1 {
+		t.Fatalf("at most one of two in a zone: %v", got)
+	}
+	stop()
+	newLeader, _ := cluster.elect(nodeB)
+	other := cluster.worker("n-2", "x", false)
+	heartbeat(t, newLeader, other)
+	cluster.settle(newLeader)
+	if got := other.StartedAttempts(); len(got) != 0 {
+		t.Fatalf("second replica in the zone: %v", got)
+	}
+}
+
+// A long job whose own deadline is far must not wait for longer than its class may.
+func TestSlackFollowsObjectives(t *testing.T) {
+	cluster := newTestCluster(t)
+	node := cluster.node(func(facts *config.Facts) {
+		facts.Objectives = []config.Objective{{Kind: "finished", Class: "lane", WithinS: 180}, {Kind: "wait", Class: "lane", WithinS: 120},
+			{Kind: "wait", Class: "lane", WithinS: 3}}
+	})
+	leader, _ := cluster.elect(node)
+	due := func(d float64) *float64 { return &d }
+	for _, tt := range []struct {
+		class  string
+		due    *float64
+		expect float64
+		want   clock.Micros
+	}{
+		{"lane", due(64), 18, 46 * clock.Second},
+		{"lane", due(310), 100, 80 * clock.Second},
+		{"lane", due(190), 30, 120 * clock.Second},
+		{"lane", nil, 30, jobs.UnlimitedSlack},
+		{"other", due(310), 100, 210 * clock.Second},
+		{"other", nil, 100, jobs.UnlimitedSlack},
+	} {
+		record := store.JobRecord{Spec: jobSpec("j-1", func(spec *wire.Spec) {
+			spec.Priority, spec.Class, spec.DeadlineS, spec.ExpectedS = "standard", tt.class, tt.due, tt.expect
+		})}
+		job := jobs.New(record, 1, &leader.cfg.Facts, 0)
+		if got := job.Slack(0); got != tt.want {
+			t.Errorf("%s due %v, expected to run %v s: slack %v, want %v", tt.class, tt.due, tt.expect, got, tt.want)
+		}
+	}
+}
+
+// Jobs bound to one zone lose machines there: an array that must stay together, and a
+// job with a zone of its own. Nothing of the array starts in another zone while some
+// of it may go on in its own, and all of it once nothing can; the bound job never does.
+func TestZonalJobsLoseMachines(t *testing.T) {
+	cluster := newTestCluster(t)
+	node := cluster.node(nil)
+	leader, _ := cluster.elect(node)
+	here := []*standin.Worker{cluster.worker("n-1", "x", true), cluster.worker("n-2", "x", true), cluster.worker("n-3", "x", true)}
+	there := []*standin.Worker{cluster.worker("n-4", "y", true), cluster.worker("n-5", "y", true)}
+	for _, worker := range here {
+		heartbeat(t, leader, worker)
+	}
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.Zone = 2, 4, "x" }))
+	cluster.submit(node, jobSpec("j-2", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.SameZone = 4, 4, true }))
+	cluster.resync(leader)
+	cluster.settle(leader)
+	if startCount(here, "j-1") != 2 || startCount(here, "j-2") != 4 {
+		t.Fatalf("started %v, %v and %v", here[0].StartedAttempts(), here[1].StartedAttempts(), here[2].StartedAttempts())
+	}
+	// One with some of the array is gone, and the zone has no room for that.
+	lost := slices.IndexFunc(here, func(worker *standin.Worker) bool { return startCount([]*standin.Worker{worker}, "j-2") > 0 })
+	leader.returnMachines(t.Context(), []string{here[lost].Identity.Machine})
+	for _, worker := range here {
+		worker.SetUnreachable(true)
+	}
+	for range 6 {
+		for _, worker := range there {
+			heartbeat(t, leader, worker)
+		}
+		cluster.settle(leader)
+		cluster.advance(3 * time.Second)
+		if got := startCount(there, "j-1") + startCount(there, "j-2"); got != 0 {
+			t.Fatalf("%d started in another zone while the array may go on in its own", got)
+		}
+	}
+	for range 3 {
+		cluster.advance(3 * time.Second)
+		for _, worker := range there {
+			heartbeat(t, leader, worker)
+		}
+		cluster.settle(leader)
+	}
+	if got := startCount(there, "j-1"); got != 0 {
+		t.Errorf("%d of a job run in a zone that it does not allow", got)
+	}
+	if got := startCount(there, "j-2"); got != 4 {
+		t.Errorf("%d of the array's 4 tasks run in the other zone after the lease", got)
+	}
+}
+
+// A job that waits long begins although work of higher priority keeps coming: its
+// first task goes first, and room is kept for it.
+func TestLargeJobStartsUnderOverload(t *testing.T) {
+	cluster, node, leader, worker := clusterWithWorker(t) // 8 cores
+	uid := 100
+	next := func() string {
+		uid++
+		return "j-" + string(rune('0'+uid/100)) + string(rune('0'+uid/10%10)) + string(rune('0'+uid%10))
+	}
+	small := func() {
+		cluster.submit(node, jobSpec(next(), func(spec *wire.Spec) { spec.Priority, spec.Tasks, spec.Cores, spec.Team = "high", 1, 4, "team" }))
+	}
+	for range 6 {
+		small()
+	}
+	cluster.resync(leader)
+	cluster.settle(leader)
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 3, 8, 20 }))
+	cluster.resync(leader)
+	began := 0
+	for at := 0; at < 240; at += 4 {
+		cluster.advance(4 * time.Second)
+		// One of the two small tasks ends each time, and another job comes.
+		if live := worker.LiveTasks(); len(live) > 0 {
+			if live[0][:4] == "j-1/" {
+				began = at
+				break
+			}
+			worker.EndTask(live[0], wire.CauseDone)
+			small()
+		}
+		heartbeat(t, leader, worker)
+		cluster.resync(leader)
+		cluster.settle(leader)
+		heartbeat(t, leader, worker)
+		cluster.settle(leader)
+	}
+	if began == 0 {
+		t.Error("the large job did not begin within four minutes")
+	}
+}
+
+// The lowest priority's starts follow the controller's share of a processor, however
+// much room there is; work of higher priority does not wait for them.
+func TestBestEffortStartsAreRateLimited(t *testing.T) {
+	cluster := newTestCluster(t)
+	node := cluster.node(func(facts *config.Facts) { facts.Limits.CoreShare = 0.1 })
+	leader, _ := cluster.elect(node)
+	var workers []*standin.Worker
+	for i := range 16 {
+		worker := cluster.worker(fmt.Sprintf("n-%02d", i+1), "x", true)
+		heartbeat(t, leader, worker)
+		workers = append(workers, worker)
+	}
+	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Priority, spec.Tasks, spec.Cores, spec.RAM = "low", 5000, 0.05, 0.1 }))
+	cluster.submit(node, jobSpec("j-2", func(spec *wire.Spec) { spec.Priority, spec.Tasks, spec.Cores, spec.RAM = "standard", 300, 0.05, 0.1 }))
+	cluster.resync(leader)
+	placed := func(uid string) int {
+		leader.mu.Lock()
+		defer leader.mu.Unlock()
+		leader.jobs.Get(uid).PruneWaiting()
+		return len(leader.jobs.Get(uid).Tasks) - len(leader.jobs.Get(uid).Waiting)
+	}
+	cluster.runSeconds(leader, workers, 1)
+	first := placed("j-1")
+	cluster.runSeconds(leader, workers, 4)
+	if got := placed("j-1") - first; got < 450 || got > 750 {
+		t.Errorf("%d tasks of the lowest priority began in 4 s, want 150 a second", got)
+	}
+	if got := placed("j-2"); got != 300 {
+		t.Errorf("%d of 300 tasks of higher priority began", got)
+	}
+}
--- /dev/null
+++ b/quota_failover_test.go
@@ -0,0 +1,262 @@
+package cedardoor
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"cedardoor/config"
+	"cedardoor/quota"
+	"cedardoor/wire"
+)
+
+// The team's limit counts what a predecessor started and may still exist.
+func TestTeamLimitAcrossLeaders(t *testing.T) {
+	limit := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 4 }
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(limit), cluster.node(limit)
+	oldLeader, stop := cluster.elect(nodeA)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, oldLeader, worker)
+	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 4 }))
+	cluster.resync(oldLeader)
+	cluster.settle(oldLeader)
+	if got := worker.LiveTasks(); len(got) != 2 {
+		t.Fatalf("limit of 4 CPUs, tasks of 2: %v", got)
+	}
+	stop()
+	newLeader, _ := cluster.elect(nodeB)
+	heartbeat(t, newLeader, other)
+	cluster.settle(newLeader)
+	if got := other.StartedAttempts(); len(got) != 0 {
+		t.Fatalf("beyond the limit after a change of leaders: %v", got)
+	}
+}
+
+// A new leader counts what a cancelled job's tasks take while they may still exist.
+func TestCancelledTasksCountTowardsLimit(t *testing.T) {
+	limit := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 4 }
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(limit), cluster.node(limit)
+	oldLeader, stop := cluster.elect(nodeA)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, oldLeader, worker)
+	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
+	cluster.resync(oldLeader)
+	cluster.settle(oldLeader)
+	stop()
+	if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
+		t.Fatalf("abort: %d", code)
+	}
+	cluster.submit(nodeB, jobSpec("j-2", nil))
+	newLeader, _ := cluster.elect(nodeB)
+	heartbeat(t, newLeader, other)
+	cluster.settle(newLeader)
+	if got := other.StartedAttempts(); len(got) != 0 {
+		t.Fatalf("beyond the limit: %v while %v are on another machine", got, worker.LiveTasks())
+	}
+	heartbeat(t, newLeader, worker)
+	heartbeat(t, newLeader, worker)
+	cluster.settle(newLeader)
+	heartbeat(t, newLeader, other)
+	cluster.settle(newLeader)
+	if got := len(other.StartedAttempts()) + len(worker.LiveTasks()); got != 1 {
+		t.Fatalf("%d tasks after the cancelled ones were gone", got)
+	}
+}
+
+// A team is at its limit when its jobs are cancelled, whose machine is cut off or
+// hangs, and the leader changes twice. What may still be there counts under each
+// successor, for jobs with records of their own and in shared ones, until it is
+// proved gone: then the room is used at once, and not before.
+func TestCancelledTasksCountUntilProvedGone(t *testing.T) {
+	for _, pieces := range []int{1, 2} {
+		for _, proof := range []string{"lease end", "return", "newer session", "halted"} {
+			t.Run(fmt.Sprintf("%d tasks, %s", pieces, proof), func(t *testing.T) {
+				cluster := newTestCluster(t)
+				nodeA, nodeB, nodeC := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
+				l, stop := cluster.elect(nodeA)
+				hung, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+				heartbeat(t, l, hung)
+				uids := []string{"j-1", "j-2"}[:3-pieces]
+				for _, uid := range uids {
+					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = pieces }))
+				}
+				cluster.resync(l)
+				cluster.settle(l)
+				if got := hung.LiveTasks(); len(got) != 2 {
+					t.Fatalf("on the machine: %v", got)
+				}
+				hung.SetUnreachable(true)
+				for _, uid := range uids {
+					if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); code != http.StatusOK {
+						t.Fatalf("abort: %d", code)
+					}
+				}
+				cluster.submit(nodeB, jobSpec("j-3", func(spec *wire.Spec) { spec.Tasks = 2 }))
+				nothing := func(when string, leader *leader) {
+					t.Helper()
+					heartbeat(t, leader, other)
+					cluster.settle(leader)
+					heartbeat(t, leader, other)
+					if got := other.StartedAttempts(); len(got) != 0 {
+						t.Fatalf("%s: %v started beyond the limit", when, got)
+					}
+				}
+				heartbeat(t, l, other)
+				cluster.resync(l)
+				nothing("under the leader that saw the cancel", l)
+				stop()
+				l, stop = cluster.elect(nodeB)
+				nothing("under its successor", l)
+				cluster.advance(9 * time.Second)
+				nothing("half a lease later", l)
+				stop()
+				l, _ = cluster.elect(nodeC)
+				nothing("under the next", l)
+				switch proof {
+				case "lease end":
+					for range 17 {
+						cluster.advance(time.Second)
+						nothing("before the lease's end", l)
+					}
+					hung.ExpireLease()
+					cluster.advance(4 * time.Second)
+				case "return":
+					l.returnMachines(t.Context(), []string{"n-1"})
+				case "newer session":
+					hung.ExpireLease()
+					hung.SetUnreachable(false)
+					heartbeat(t, l, hung)
+				case "halted":
+					hung.SetUnreachable(false)
+					for range 2 {
+						heartbeat(t, l, hung)
+						cluster.settle(l)
+					}
+				}
+				heartbeat(t, l, other)
+				cluster.settle(l)
+				heartbeat(t, l, other)
+				if got := len(other.LiveTasks()) + len(hung.LiveTasks()); proof == "return" && len(other.LiveTasks()) != 2 || proof != "return" && got != 2 {
+					t.Errorf("%d tasks run after the proof, want 2: the room is not used", got)
+				}
+				for _, k := range append(hung.LiveTasks(), other.LiveTasks()...) {
+					if proof != "return" && !strings.HasPrefix(k, "j-3/") {
+						t.Errorf("%s still runs", k)
+					}
+				}
+			})
+		}
+	}
+}
+
+// A job is recorded as done and its leader ends before it could delete what else is
+// recorded of it. The result proves that its tasks have ended, so the successor does
+// not count them for the team's limit while their machine can't be asked.
+func TestCompletedTasksDoNotCountAfterFailover(t *testing.T) {
+	for _, pieces := range []int{1, 2} {
+		cluster := newTestCluster(t)
+		nodeA, nodeB := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
+		leader, stop := cluster.elect(nodeA)
+		worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+		heartbeat(t, leader, worker)
+		cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 4/float64(pieces) }))
+		cluster.resync(leader)
+		cluster.settle(leader)
+		for _, p := range worker.LiveTasks() {
+			worker.EndTask(p, wire.CauseDone)
+		}
+		heartbeat(t, leader, worker)
+		leader.mu.Lock()
+		transaction := leader.buildTransaction()
+		leader.mu.Unlock()
+		if transaction == nil || len(transaction.Finished()) != 1 || !leader.commit(t.Context(), transaction) {
+			t.Fatal("the end was not recorded")
+		}
+		stop()
+		cluster.submit(nodeB, jobSpec("j-2", nil))
+		leader, _ = cluster.elect(nodeB)
+		heartbeat(t, leader, other)
+		cluster.settle(leader)
+		heartbeat(t, leader, other)
+		if got := other.StartedAttempts(); len(got) != 1 {
+			t.Errorf("%d tasks a job: %v started beside tasks that have ended, want the job that waits", pieces, got)
+		}
+	}
+}
+
+// A leader is paused right after it has reserved a team's last room and before that is
+// durable. Its successor uses the room. When the first wakes, its record fails and
+// nothing of what it reserved is ever started.
+func TestPausedLeaderCannotUseReservedQuota(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
+	oldLeader, stop := cluster.elect(nodeA)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, oldLeader, worker)
+	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
+	cluster.resync(oldLeader)
+	oldLeader.mu.Lock()
+	oldLeader.runPlan(oldLeader.clock.Now())
+	reserved := oldLeader.quota.Usage("team").Of(quota.Allocated)
+	held := oldLeader.buildTransaction()
+	oldLeader.mu.Unlock()
+	if reserved.Tasks != 2 || held == nil {
+		t.Fatalf("reserved %+v, want the team's whole room", reserved)
+	}
+	stop() // it sleeps from here
+	newLeader, _ := cluster.elect(nodeB)
+	heartbeat(t, newLeader, other)
+	cluster.settle(newLeader)
+	if got := other.LiveTasks(); len(got) != 2 {
+		t.Fatalf("the successor's tasks: %v", got)
+	}
+	if oldLeader.commit(t.Context(), held) {
+		t.Error("the paused leader's record passes for durable")
+	}
+	oldLeader.dispatch(t.Context())
+	report := worker.Report()
+	if response, ok := oldLeader.Heartbeat(&report); ok {
+		t.Errorf("the paused leader answers a heartbeat: %+v", response)
+	}
+	if got := worker.StartedAttempts(); len(got) != 0 {
+		t.Errorf("the paused leader's tasks started: %v", got)
+	}
+}
+
+// Under lower limits after a restart, what runs goes on and counts; nothing starts until
+// enough of it is proved gone.
+func TestLowerLimitAfterFailover(t *testing.T) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB := cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(4))
+	_, worker, stop := leadWithJob(t, nodeA, cluster, 6)
+	first := worker.LiveTasks()
+	if len(first) != 4 {
+		t.Fatalf("four tasks of 2 cores under a limit of 8: %v", first)
+	}
+	stop()
+	newLeader, _ := cluster.elect(nodeB)
+	started := len(worker.StartedAttempts())
+	for _, task := range first {
+		heartbeat(t, newLeader, worker)
+		cluster.settle(newLeader)
+		if got := len(worker.LiveTasks()); got > 4 {
+			t.Fatalf("%d tasks run", got)
+		}
+		newLeader.mu.Lock()
+		use := newLeader.quota.Usage("team")
+		newLeader.mu.Unlock()
+		if grown := len(worker.StartedAttempts()) - started; grown > 0 && use.Total.Cores > quota.ToUnits(4) {
+			t.Fatalf("%d tasks started while the team uses %v of 4", grown, use.Total.Cores.Decimal())
+		}
+		worker.EndTask(task, wire.CauseDone)
+	}
+	heartbeat(t, newLeader, worker)
+	cluster.settle(newLeader)
+	if got := worker.LiveTasks(); len(got) != 2 {
+		t.Errorf("the last two tasks: %v", got)
+	}
+}
--- /dev/null
+++ b/quota_guarantees_test.go
@@ -0,0 +1,96 @@
+package cedardoor
+
+import (
+	"flag"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"cedardoor/quota"
+	"cedardoor/wire"
+)
+
+// How much the team limits are played: a short seeded form unless more is asked for.
+var (
+	quotaSeeds = flag.Uint64("quota.seeds", 3, "how many schedules of submissions by several teams are played")
+	quotaJobs  = flag.Int("quota.jobs", jobsPerRound, "how many jobs each of them submits")
+	quotaSeed  = flag.Uint64("quota.seed", 0, "the seed of the first of them")
+)
+
+// Four teams submit at three controllers, at the same moments, more than there is room
+// for, while leaders are killed, cut off and refused. No team is ever above its limit, and none
+// under its guarantee for longer than the bound while it has work that fits.
+func TestTeamsKeepTheirLimitsAndGuarantees(t *testing.T) {
+	for seed := *quotaSeed; seed < *quotaSeed+*quotaSeeds; seed++ {
+		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
+			t.Parallel()
+			broken, watch := playTeamSchedule(t, randomTeamSchedule(seed))
+			for _, fault := range slices.Concat(broken, watch.unservedTeams(), watch.underservedTeams()) {
+				t.Error(fault)
+			}
+			for team := range watch.simulation.schedule.guarantees {
+				t.Logf("%s: at most %v under its guarantee without a start, %.2f of it on average", team, watch.longestUnserved[team], watch.servedShare(team))
+			}
+		})
+	}
+}
+
+// The checker sees a ledger that knows no limits, and one that knows no guarantees.
+func TestCheckerDetectsBrokenLedgers(t *testing.T) {
+	for name, tt := range map[string]struct {
+		strip func(l quota.Limits) quota.Limits
+		found func(broken []string, watch *guaranteeMonitor) bool
+	}{
+		"without limits": {
+			func(l quota.Limits) quota.Limits { return quota.Limits{Guarantee: l.Guarantee} },
+			func(broken []string, _ *guaranteeMonitor) bool {
+				return slices.ContainsFunc(broken, func(b string) bool { return strings.Contains(b, "quota") })
+			}},
+		"without guarantees": {
+			func(l quota.Limits) quota.Limits { return quota.Limits{Limit: l.Limit} },
+			func(_ []string, watch *guaranteeMonitor) bool { return len(watch.unservedTeams()) > 0 }},
+	} {
+		t.Run(name, func(t *testing.T) {
+			t.Parallel()
+			schedule := randomTeamSchedule(1)
+			schedule.newLedger = func(teams map[string]quota.Limits) *quota.Ledger {
+				stripped := map[string]quota.Limits{}
+				for team, limits := range teams {
+					stripped[team] = tt.strip(limits)
+				}
+				return quota.NewLedger(stripped)
+			}
+			if broken, watch := playTeamSchedule(t, schedule); !tt.found(broken, watch) {
+				t.Errorf("nothing is found: %v, %v", broken, watch.longestUnserved)
+			}
+		})
+	}
+}
+
+// Three controllers accept jobs for a team's last free room in the same instant. All are
+// accepted, one runs, and the others follow one by one.
+func TestLastQuotaAcceptedByThreeControllers(t *testing.T) {
+	schedule := faultSchedule{seed: 3, duration: seconds(60), firstLeader: 1}
+	for i := range 3 {
+		submission := newSubmission(i+1, 20, 10, func(spec *wire.Spec) { spec.Team, spec.Cores = "tight", 4 })
+		submission.firstController = i
+		schedule.submissions = append(schedule.submissions, submission)
+	}
+	schedule.setup = func(sim *simulation) {
+		sim.runAt(25, func() {
+			if got := sim.teamCores("tight"); got != 4 {
+				t.Errorf("the team uses %v, want the 4 that fit its limit of %v", got, tightLimit)
+			}
+			for _, submission := range sim.schedule.submissions {
+				sim.mu.Lock()
+				accepted := sim.observed.views[submission.spec.UID].accepted
+				sim.mu.Unlock()
+				if !accepted {
+					t.Errorf("%s is not accepted", submission.spec.UID)
+				}
+			}
+		})
+	}
+	playSchedule(t, schedule, func(sim *simulation) { sim.checkAllServed() })
+}
--- /dev/null
+++ b/random_schedules_test.go
@@ -0,0 +1,111 @@
+package cedardoor
+
+import (
+	"context"
+	"flag"
+	"fmt"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"cedardoor/wire"
+)
+
+// How many random schedules are played, and the seed of the first.
+var (
+	scheduleCount = flag.Uint64("meetings", 200, "how many random schedules are played")
+	furtherCount  = flag.Uint64("further", 100, "how many random schedules with further troubles are played")
+	heldCount     = flag.Uint64("held", 40, "how many random schedules are played whose messages are held, too")
+	oneWayCount   = flag.Uint64("oneway", 30, "how many random schedules are played whose messages are held in one direction only")
+	firstSeed     = flag.Uint64("meeting", 0, "the seed of the first random schedule")
+)
+
+// Whole services play random schedules of troubles against stand-ins on virtual
+// time, and the rules of the protocol are held against what is seen from outside.
+func TestRandomSchedules(t *testing.T) { playRandomSchedules(t, *scheduleCount, randomSchedule) }
+
+// The same with the further troubles.
+func TestRandomSchedulesWithFurtherFaults(t *testing.T) {
+	playRandomSchedules(t, *furtherCount, randomFurtherSchedule)
+}
+
+// The same again with messages that are held and delivered late.
+func TestRandomSchedulesWithHeldMessages(t *testing.T) {
+	playRandomSchedules(t, *heldCount, randomHeldSchedule)
+}
+
+// The same with each hold in one direction only.
+func TestRandomSchedulesWithOneWayHolds(t *testing.T) {
+	playRandomSchedules(t, *oneWayCount, randomOneWaySchedule)
+}
+
+func playRandomSchedules(t *testing.T, seeds uint64, draw func(seed uint64) faultSchedule) {
+	for seed := *firstSeed; seed < *firstSeed+seeds; seed++ {
+		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
+			t.Parallel()
+			playSchedule(t, draw(seed), nil)
+		})
+	}
+}
+
+// Without troubles every array is done and every replica runs.
+func TestScheduleWithoutFaults(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		schedule := randomSchedule(1)
+		schedule.faults = nil
+		for i := range schedule.submissions {
+			schedule.submissions[i].cancelOnFault, schedule.submissions[i].cancelAfter, schedule.submissions[i].cancelOnDone = "", 0, false
+		}
+		sim := newSimulation(ctx, t, schedule)
+		sim.run()
+		for _, submission := range schedule.submissions {
+			if submission.spec.Kind == wire.KindBatch && !sim.observed.views[submission.spec.UID].done {
+				t.Errorf("%s is not done", submission.spec.UID)
+			}
+		}
+		sim.shutDown(cancel)
+		for _, b := range sim.violations {
+			t.Error(b)
+		}
+		if t.Failed() {
+			t.Log(strings.Join(sim.history, "\n"))
+		}
+	})
+}
+
+// A job that comes while nothing is rented gets a machine where it may run.
+func TestJobGetsEligibleMachine(t *testing.T) {
+	bound := map[string]func(spec *wire.Spec){
+		"anywhere": func(*wire.Spec) {},
+		"zone x":   func(spec *wire.Spec) { spec.Zone = "x" },
+		"zone y":   func(spec *wire.Spec) { spec.Zone = "y" },
+		"type b":   func(spec *wire.Spec) { spec.MachineTypes = []string{"b"} },
+		"type s":   func(spec *wire.Spec) { spec.MachineTypes = []string{"s"} },
+	}
+	for name, mod := range bound {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				ctx, cancel := context.WithCancel(t.Context())
+				schedule := faultSchedule{seed: 1, duration: 30 * time.Second}
+				schedule.submissions = []scheduledSubmission{{after: time.Second, runTime: 5 * time.Second, spec: jobSpec("j-1", func(spec *wire.Spec) {
+					spec.Team, spec.Cores, spec.ExpectedS = "free", 1, 5
+					mod(spec)
+				})}}
+				sim := newSimulation(ctx, t, schedule)
+				sim.run()
+				if left := sim.unplacedTasks(true); len(left) > 0 {
+					t.Errorf("after %v: %v", schedule.duration+faultFreeTail, left)
+				}
+				sim.shutDown(cancel)
+				for _, b := range sim.violations {
+					t.Error(b)
+				}
+				if t.Failed() {
+					t.Log(strings.Join(sim.history, "\n"))
+				}
+			})
+		})
+	}
+}
--- /dev/null
+++ b/team_reports_test.go
@@ -0,0 +1,155 @@
+package cedardoor
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+
+	"cedardoor/config"
+	"cedardoor/leaderview"
+	"cedardoor/operator"
+	"cedardoor/quota"
+	"cedardoor/wire"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// teamNamed is the report of one team.
+func teamNamed(t *testing.T, report quota.Report, name string) quota.TeamReport {
+	t.Helper()
+	for _, team := range report.Teams {
+		if team.Team == name {
+			return team
+		}
+	}
+	t.Fatalf("no team %q in %+v", name, report)
+	return quota.TeamReport{}
+}
+
+// The report follows a team's work from waiting at its limit to its proof of absence.
+func TestTeamsReport(t *testing.T) {
+	cluster := newTestCluster(t)
+	node := cluster.node(func(facts *config.Facts) { facts.Teams[0].CPUsMax, facts.Teams[0].CPUs = 4, 2 })
+	leader, worker, _ := leadWithJob(t, node, cluster, 4)
+	node.current.Store(leader)
+	look := func() quota.TeamReport {
+		t.Helper()
+		report, err := node.Teams(t.Context())
+		if err != nil || !report.Fresh || report.Leader != node.cfg.Node {
+			t.Fatalf("%+v, %v", report, err)
+		}
+		return teamNamed(t, report, "team")
+	}
+	want := quota.TeamReport{Team: "team", Tasks: quota.TasksReport{Running: 2},
+		Cores:   quota.ResourceReport{Limit: 4, Guarantee: 2, InUse: 4, Running: 4},
+		Waiting: quota.WaitingReport{Jobs: 1, Tasks: 2, Reasons: map[quota.Reason]int{quota.ReasonLimit: 2}}}
+	if diff := cmp.Diff(want, look()); diff != "" {
+		t.Errorf("at its limit: %s", diff)
+	}
+	worker.SetUnreachable(true) // direct commands don't arrive
+	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != http.StatusOK {
+		t.Fatalf("abort: %d", code)
+	}
+	cluster.resync(leader)
+	want.Tasks, want.Waiting = quota.TasksReport{Stopping: 2}, quota.WaitingReport{}
+	want.Cores.Running, want.Cores.Stopping = 0, 4
+	if diff := cmp.Diff(want, look()); diff != "" {
+		t.Errorf("cancelled, and not proved gone: %s", diff)
+	}
+	heartbeat(t, leader, worker) // is told to stop
+	heartbeat(t, leader, worker) // shows that it has
+	want.Tasks, want.Cores = quota.TasksReport{}, quota.ResourceReport{Limit: 4, Guarantee: 2}
+	if diff := cmp.Diff(want, look()); diff != "" {
+		t.Errorf("proved gone: %s", diff)
+	}
+}
+
+// askTeams asks a controller of a world for the teams' use as an operator does.
+func (s *simulation) askTeams(node int) (quota.Report, error) {
+	process := s.runningProcess(controllerName(node))
+	if process == nil {
+		return quota.Report{}, errNoResponse
+	}
+	server := httptest.NewRecorder()
+	process.operatorRoutes().ServeHTTP(server, httptest.NewRequestWithContext(s.ctx, http.MethodGet, operator.PathTeams, nil))
+	if server.Code != http.StatusOK {
+		return quota.Report{}, fmt.Errorf("status %d", server.Code)
+	}
+	return process.Teams(s.ctx)
+}
+
+// Every controller tells what the leader's ledger holds; when nobody leads, what it saw
+// last, and how old that is. One that never heard a leader says so.
+func TestTeamsFromEveryController(t *testing.T) {
+	schedule := faultSchedule{seed: 1, duration: seconds(60), firstLeader: 1, limits: map[string]float64{}}
+	schedule.submissions = []scheduledSubmission{newSubmission(1, 2, 0, func(spec *wire.Spec) { asService(2)(spec); spec.Team = "tight" })}
+	schedule.faults = []scheduledFault{
+		{kind: stateRefusesAll, at: seconds(30), duration: seconds(25)},
+		{kind: controllerKilled, at: seconds(31), duration: seconds(20), controller: currentLeader},
+	}
+	schedule.setup = func(sim *simulation) {
+		sim.runAt(25, func() {
+			for node := range 3 {
+				report, err := sim.askTeams(node)
+				if err != nil || !report.Fresh || report.Leader != "node-1" {
+					t.Errorf("node %d: %+v, %v", node+1, report, err)
+					continue
+				}
+				if got := teamNamed(t, report, "tight"); got.Cores.Running != 2 || got.Cores.Limit != tightLimit {
+					t.Errorf("node %d shows %+v", node+1, got)
+				}
+			}
+		})
+		sim.runAt(50, func() {
+			report, err := sim.askTeams(1)
+			if err != nil || report.Fresh || report.AgeS < 24 || report.Leader != "node-1" {
+				t.Errorf("while nobody leads: %+v, %v", report, err)
+			}
+			if got := teamNamed(t, report, "tight"); got.Cores.Running != 2 {
+				t.Errorf("while nobody leads: %+v", got)
+			}
+		})
+		sim.runAt(52, func() {
+			if report, err := sim.askTeams(0); err == nil {
+				t.Errorf("a controller that has just started, while nobody leads: %+v", report)
+			}
+		})
+		sim.runAt(100, func() {
+			for node := range 3 {
+				if report, err := sim.askTeams(node); err != nil || !report.Fresh || report.AgeS != 0 || report.Node != controllerName(node) {
+					t.Errorf("node %d when all is well again: %+v, %v", node+1, report, err)
+				}
+			}
+		})
+	}
+	playSchedule(t, schedule, nil)
+}
+
+// A thousand teams take several messages between controllers.
+func TestTeamsComeInPages(t *testing.T) {
+	cluster := newTestCluster(t)
+	many := func(facts *config.Facts) {
+		for i := range 1000 {
+			facts.Teams = append(facts.Teams, config.Team{Name: fmt.Sprintf("team-%04d", i), CPUsMax: float64(i + 1)})
+		}
+	}
+	nodeA, nodeB := cluster.node(many), cluster.node(many)
+	cluster.connect(nodeA, nodeB)
+	link := nodeA.peers.Link(nodeB.cfg.Node)
+	if teams, err := leaderview.ReadTeams(t.Context(), link); !errors.Is(err, leaderview.ErrNoLeader) {
+		t.Fatalf("of one that does not lead: %d teams, %v", len(teams), err)
+	}
+	leader, _ := cluster.elect(nodeB)
+	nodeB.current.Store(leader)
+	teams, err := leaderview.ReadTeams(t.Context(), link)
+	if err != nil || len(teams) != 1001 {
+		t.Fatalf("%d teams, %v", len(teams), err)
+	}
+	for i, team := range teams[1:] {
+		if team.Team <= teams[i].Team {
+			t.Fatalf("%s comes after %s", team.Team, teams[i].Team)
+		}
+	}
+}
