--- a/autoscaling_test.go
+++ b/autoscaling_test.go
@@ -17,9 +17,7 @@
 // shows them, and none has come up.
 func bootingFleet(t *testing.T, n int, ago time.Duration) (*testCluster, *leader) {
 	t.Helper()
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, _, leader := clusterWithLeader(t)
 	addRentals(leader, 0, n)
 	cluster.advance(ago)
 	return cluster, leader
@@ -91,9 +89,7 @@
 // A machine may report before the rental is answered and before any list shows
 // it: it counts once, and nothing is rented in its stead.
 func TestHeartbeatBeforeRentalResponseCountsOnce(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) {
 		spec.Cores, spec.Preemptible, spec.Kind, spec.Priority = 6, false, wire.KindService, "critical"
 	}))
@@ -148,9 +144,7 @@
 
 // A rental whose answer was lost is repeated under its own name and rents nothing more.
 func TestLostRentalResponseIsRetriedIdempotently(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.cloud.LoseNextResponse = true
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Preemptible = false }))
 	cluster.resync(leader)
@@ -176,14 +170,12 @@
 func TestScaleInWhenIdle(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	leader.mu.Lock()
 	leader.autoscaler.Demand(leader.scalingView(leader.clock.Now()))
 	leader.mu.Unlock()
 	worker.EndTask("j-1/0", wire.CauseDone)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	cluster.advance(20 * time.Second)
 	leader.mu.Lock()
 	held := leader.autoscaler.Demand(leader.scalingView(leader.clock.Now())).Preemptible.Cores
@@ -203,9 +195,7 @@
 // Machines that have not had the time to find the new leader are neither replaced nor returned.
 func TestUnreconciledMachinesAreNotReplaced(t *testing.T) {
 	const replicas = 12
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) {
 		spec.Tasks, spec.Cores, spec.Kind, spec.Priority, spec.ExpectedS, spec.Preemptible = replicas, 8, wire.KindService, "critical", 0, false
 	}))
--- a/bench_serving_test.go
+++ b/bench_serving_test.go
@@ -191,7 +191,7 @@
 	useOneThread(b)
 	b.ResetTimer()
 	for range b.N {
-		connection.send(b, http.MethodGet, wire.PathJobs+"/j-900", nil)
+		connection.send(b, http.MethodGet, jobPath("j-900"), nil)
 	}
 }
 
--- a/cancellation_outage_test.go
+++ b/cancellation_outage_test.go
@@ -46,8 +46,7 @@
 	cluster.state.Refuse("", false)
 	cluster.advance(2 * time.Second)
 	cluster.resync(leader)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	if got := worker.StartedAttempts(); len(got) != 2 {
 		t.Errorf("starts %v, want each job's once", got)
 	}
@@ -145,7 +144,7 @@
 	}
 	// The answer to the change is lost, and it may be done any time.
 	cluster.state.DelayNextTransaction()
-	if code, _, _ := cluster.ask(nodes[1], http.MethodPost, wire.PathJobs+"/j-2/abort", nil); code != http.StatusServiceUnavailable {
+	if code, _, _ := cluster.ask(nodes[1], http.MethodPost, cancelPath("j-2"), nil); code != http.StatusServiceUnavailable {
 		t.Fatalf("an abort of unknown outcome: %d", code)
 	}
 	// j-3 may be there, too: it was asked of both other nodes, and one of them did it.
@@ -176,14 +175,12 @@
 		runtime.Gosched()
 	}
 	cluster.advance(time.Second)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	if got := worker.StartedAttempts(); len(got) != 2 {
 		t.Fatalf("started %v before the state service was asked", got)
 	}
 	cluster.resync(leader)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	heartbeat(t, leader, worker)
 	if got := worker.LiveTasks(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Errorf("running %v, want the job that was not cancelled", got)
@@ -250,8 +247,7 @@
 			}
 			cancel()
 			<-done
-			heartbeat(t, leader, worker)
-			cluster.settle(leader)
+			cluster.reportAndSettle(leader, worker)
 			if got := worker.StartedAttempts(); len(got) != 0 {
 				t.Errorf("started %v, which was cancelled", got)
 			}
@@ -265,8 +261,7 @@
 	cluster, nodes, leader, worker := connectedCluster(t)
 	worker.SetUnreachable(true)
 	cluster.cancelJob(nodes[1], "j-1")
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	cluster.state.Refuse("", true)
 	cluster.advance(8 * time.Second)
 	if _, may := nodes[0].elector.HoldsLease(); may {
--- a/cancellation_test.go
+++ b/cancellation_test.go
@@ -19,23 +19,21 @@
 
 // A cancel accepted elsewhere, unseen by the leader, still keeps it from placing.
 func TestCancellationPrecedesPlacement(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	leader, _ := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, leader, worker)
 	cluster.submit(nodeB, jobSpec("j-1", nil))
 	cluster.resync(leader)
-	if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || status.Status != wire.JobCancelled {
+	if code, status, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-1"), nil); code != 200 || status.Status != wire.JobCancelled {
 		t.Fatalf("abort: %d %+v", code, status)
 	}
 	cluster.settle(leader)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	if got := worker.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("started after the cancel: %v", got)
 	}
-	if _, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobCancelled {
+	if _, status, _ := cluster.ask(nodeA, http.MethodGet, jobPath("j-1"), nil); status.Status != wire.JobCancelled {
 		t.Fatalf("state %+v", status)
 	}
 }
@@ -43,13 +41,11 @@
 func TestCancellationStopsRunningTasks(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
-	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
+	cluster.syncAndSettle(leader)
+	if code, _, _ := cluster.ask(node, http.MethodPost, cancelPath("j-1"), nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if got := worker.LiveTasks(); len(got) != 0 {
 		t.Fatalf("still on the machine: %v", got)
 	}
@@ -74,7 +70,7 @@
 		for _, node := range nodes {
 			wg.Go(func() { cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec(uid, nil)) })
 			wg.Go(func() {
-				code, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
+				code, status, _ := cluster.ask(node, http.MethodPost, cancelPath(uid), nil)
 				if code == http.StatusOK && status.Status == wire.JobCancelled {
 					cluster.checkAnswers("told to be cancelled", cluster.askEverywhere(nodes, uid, true), wire.JobCancelled, "503")
 				} else if code != http.StatusNotFound {
@@ -87,13 +83,12 @@
 		}
 		release()
 		wg.Wait()
-		if _, status, _ := cluster.ask(nodes[k%3], http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
+		if _, status, _ := cluster.ask(nodes[k%3], http.MethodPost, cancelPath(uid), nil); status.Status != wire.JobCancelled {
 			t.Fatalf("abort: %+v", status)
 		}
 		cluster.checkAnswers("cancelled", cluster.askEverywhere(nodes, uid, true), wire.JobCancelled)
 	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if got := worker.StartedAttempts(); len(got) != 0 {
 		t.Errorf("started %v", got)
 	}
@@ -110,15 +105,12 @@
 			worker := cluster.worker("n-1", "x", true)
 			heartbeat(t, leader, worker)
 			cluster.submit(nodes[1], jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = pieces }))
-			cluster.resync(leader)
-			cluster.settle(leader)
+			cluster.syncAndSettle(leader)
 			for _, p := range worker.LiveTasks() {
 				worker.EndTask(p, wire.CauseDone)
 			}
 			heartbeat(t, leader, worker)
-			leader.mu.Lock()
-			transaction := leader.buildTransaction() // about to be recorded
-			leader.mu.Unlock()
+			transaction := nextTransaction(leader) // about to be recorded
 			if transaction == nil || len(transaction.Finished()) != 1 {
 				t.Fatal("the end is not to be recorded")
 			}
@@ -139,15 +131,14 @@
 					}
 				})
 			}
-			if _, status, _ := cluster.ask(nodes[1], http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); status.Status != want {
+			if _, status, _ := cluster.ask(nodes[1], http.MethodPost, cancelPath("j-1"), nil); status.Status != want {
 				t.Errorf("%s first: the cancel is answered %q", first, status.Status)
 			}
 			if first == "cancel" {
 				leader.commit(t.Context(), transaction)
 			}
 			cluster.checkAnswers(first+" first", cluster.askEverywhere(nodes, "j-1", true), want)
-			cluster.resync(leader)
-			cluster.settle(leader)
+			cluster.syncAndSettle(leader)
 			cluster.checkAnswers(first+" first, not "+other, cluster.askEverywhere(append(nodes, cluster.node(nil)), "j-1", true), want)
 			if left := append(cluster.state.Keys(store.PrefixAttempts), cluster.state.Keys(store.PrefixJob)...); len(left) != 0 {
 				t.Errorf("%s first: left %v", first, left)
@@ -173,12 +164,11 @@
 					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 4/float64(pieces) }))
 				}
 				cluster.submit(nodeA, jobSpec("j-3", func(spec *wire.Spec) { spec.Cores = 4 }))
-				cluster.resync(leader)
-				cluster.settle(leader)
+				cluster.syncAndSettle(leader)
 				stop()
 				cancelled := false
 				cancel := func() {
-					if code, status, _ := cluster.ask(nodeC, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+					if code, status, _ := cluster.ask(nodeC, http.MethodPost, cancelPath("j-2"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
 						t.Errorf("abort: %d %+v", code, status)
 					}
 					cancelled = true
@@ -251,8 +241,7 @@
 // users nothing and answers no worker once another can act, a command of it that was
 // under way is void, and the task is stopped by the new leader.
 func TestCancellationThroughNewLeaderWhileOldIsPartitioned(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	nodeA.attestationLinks["node-2"], nodeA.relayLinks["node-2"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
 	nodeA.users.Relay = nodeA.relay
 	oldLeader, _ := cluster.elect(nodeA)
@@ -275,7 +264,7 @@
 		}
 	}
 	newLeader, _ := cluster.elect(nodeB)
-	if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+	if code, status, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-1"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
 		t.Fatalf("abort: %d %+v", code, status)
 	}
 	cluster.resync(newLeader)
@@ -285,12 +274,10 @@
 		t.Error("the cut leader still answers heartbeats")
 	}
 	for range 3 {
-		heartbeat(t, newLeader, worker)
-		cluster.settle(newLeader)
+		cluster.reportAndSettle(newLeader, worker)
 	}
 	worker.DeliverHeldCommands()
-	heartbeat(t, newLeader, worker)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, worker)
 	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-2/0"}) {
 		t.Errorf("on the machine %v, want the job that was not cancelled", got)
 	}
@@ -302,21 +289,19 @@
 // A cancelled job's attempt stays on record until nothing of it can be anywhere,
 // whichever jobs share the record, and under the next leader too.
 func TestCancellationInSharedRecord(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	leader, stop := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, leader, worker)
 	for _, uid := range []string{"j-1", "j-2", "j-3"} {
 		cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Cores = 2 }))
 	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if got := worker.LiveTasks(); len(got) != 3 {
 		t.Fatalf("on the machine: %v", got)
 	}
 	worker.SetUnreachable(true)
-	if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK {
+	if code, _, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-2"), nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
 	stop()
@@ -328,8 +313,7 @@
 	leader.mu.Unlock()
 	worker.SetUnreachable(false)
 	for range 3 {
-		heartbeat(t, leader, worker)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, worker)
 	}
 	if got := worker.LiveTasks(); len(got) != 2 {
 		t.Errorf("on the machine: %v, want the two that were not cancelled", got)
--- a/commands_test.go
+++ b/commands_test.go
@@ -16,8 +16,7 @@
 	other := cluster.worker("n-2", "y", true)
 	worker.HoldNextCommand()
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader) // the run is kept back; the token is raised against it
+	cluster.syncAndSettle(leader) // the run is kept back; the token is raised against it
 	heartbeat(t, leader, other)
 	leader.mu.Lock()
 	allocation := leader.jobs.Get("j-1").Tasks[0].Allocation
@@ -42,9 +41,7 @@
 	cluster.advance(5 * time.Second)
 	cluster.settle(leader)
 	heartbeat(t, leader, worker)
-	heartbeat(t, leader, worker)
-	heartbeat(t, leader, other)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker, other)
 	worker.DeliverHeldCommands()
 	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != 1 {
 		t.Fatalf("%d starts (%v, %v), want 1", got, worker.StartedAttempts(), other.StartedAttempts())
@@ -59,8 +56,7 @@
 	cluster, node, leader, worker := clusterWithWorker(t)
 	worker.HoldNextCommand()
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	report := worker.Report()
 	response, _ := leader.Heartbeat(&report) // carries the run again
 	low := response
@@ -80,8 +76,7 @@
 		t.Fatalf("started %v", got)
 	}
 	heartbeat(t, leader, worker)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	heartbeat(t, leader, worker)
 	worker.DeliverHeldCommands()
 	if got := worker.StartedAttempts(); len(got) != 1 {
@@ -100,26 +95,22 @@
 	other := cluster.worker("n-2", "y", true)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Cores = 4 }))
 	cluster.submit(node, jobSpec("j-2", func(spec *wire.Spec) { spec.Cores = 4 }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	heartbeat(t, leader, other)
 	for range 2 {
 		cluster.advance(3 * time.Second)
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, other)
 	}
-	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK {
+	if code, _, _ := cluster.ask(node, http.MethodPost, cancelPath("j-2"), nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0"}) {
 		t.Errorf("on the mute machine %v after the cancel", got)
 	}
 	for range 4 {
 		cluster.advance(3 * time.Second)
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, other)
 		if got := other.StartedAttempts(); len(got) != 0 {
 			t.Fatalf("started elsewhere within the lease: %v", got)
 		}
@@ -130,8 +121,7 @@
 	cluster.submit(node, jobSpec("j-3", nil))
 	cluster.resync(leader)
 	for range 2 {
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, other)
 	}
 	if got := other.LiveTasks(); !slices.Equal(got, []string{"j-1/0", "j-3/0"}) || len(worker.StartedAttempts()) != before {
 		t.Errorf("after the lease: %v on the other machine, %v started on the mute one", got, worker.StartedAttempts()[before:])
--- a/damaged_records_test.go
+++ b/damaged_records_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"runtime"
 	"slices"
 	"testing"
 	"time"
@@ -15,14 +14,12 @@
 
 // A job whose record can't be decoded stays known and its tasks run on; the others are served.
 func TestDamagedJobRecord(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	cluster.writeRecord(nodeA, store.JobKey("j-1"), damagedRecord)
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
@@ -42,7 +39,7 @@
 		t.Errorf("on the other machine: %v, want the other job's", got)
 	}
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
-		path := wire.PathJobs + "/j-1"
+		path := jobPath("j-1")
 		if method == http.MethodPost {
 			path += "/" + wire.SuffixCancel
 		}
@@ -75,8 +72,7 @@
 			heartbeat(t, oldLeader, worker)
 			cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tt.tasks }))
 			cluster.submit(nodeA, jobSpec("j-2", nil)) // shares the record, where there is one
-			cluster.resync(oldLeader)
-			cluster.settle(oldLeader)
+			cluster.syncAndSettle(oldLeader)
 			var whole store.JobRecord
 			cluster.state.Value(store.JobKey("j-1"), &whole)
 			if tt.missing {
@@ -96,9 +92,7 @@
 			}
 			cluster.writeRecord(nodeB, store.JobKey("j-1"), whole)
 			cluster.resync(newLeader)
-			for cluster.state.Value(store.KeyLead, nil) { // it gives the lead up
-				runtime.Gosched()
-			}
+			cluster.awaitResignation()
 			cluster.disconnect(nodeB)
 			thirdLeader, _ := cluster.elect(nodeC)
 			for range 8 {
@@ -135,8 +129,7 @@
 			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = len(tasks) / len(jobs) }))
 		}
 		cluster.submit(nodeA, jobSpec("j-7", func(spec *wire.Spec) { spec.Kind, spec.Tasks = wire.KindService, 1 }))
-		cluster.resync(oldLeader)
-		cluster.settle(oldLeader)
+		cluster.syncAndSettle(oldLeader)
 		key := store.ChunkKey("j-1", 0)
 		if shared {
 			key = cluster.state.Keys(store.PrefixShared)[0]
@@ -203,14 +196,12 @@
 // A machine that has not shown the new leader's token may yet get an old command: nothing of an
 // unreadable record starts while its lease may last, though it answers questions.
 func TestUnreconciledMachineDelaysUnreadableTasks(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 3 }))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	cluster.writeRecord(nodeA, store.ChunkKey("j-1", 0), damagedRecord)
 	worker.EndTask("j-1/2", "lost")
 	forgetEnded(worker, oldLeader.term.Token)
@@ -222,8 +213,7 @@
 			report := worker.Report()
 			newLeader.Heartbeat(&report) // the answer is lost, so the token is never shown
 		}
-		heartbeat(t, newLeader, other)
-		cluster.settle(newLeader)
+		cluster.reportAndSettle(newLeader, other)
 	}
 	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != 3 {
 		t.Fatalf("%d starts, want only those of the first leader", got)
@@ -233,9 +223,7 @@
 	}
 	for range 8 {
 		cluster.advance(3 * time.Second)
-		heartbeat(t, newLeader, worker)
-		heartbeat(t, newLeader, other)
-		cluster.settle(newLeader)
+		cluster.reportAndSettle(newLeader, worker, other)
 	}
 	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != 4 {
 		t.Errorf("%d starts, want the lost task's, too", got)
@@ -252,8 +240,7 @@
 	heartbeat(t, oldLeader, first)
 	heartbeat(t, oldLeader, second)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 8 }))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	cluster.writeRecord(nodeA, store.ChunkKey("j-1", 0), damagedRecord)
 	stop()
 	newLeader, stop := cluster.elect(nodeB)
@@ -261,8 +248,7 @@
 	first.EndTask(first.LiveTasks()[0], wire.CauseDone)
 	heartbeat(t, newLeader, first)
 	cluster.advance(5 * time.Second)
-	heartbeat(t, newLeader, first)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, first)
 	stop()
 	thirdLeader, _ := cluster.elect(nodeC)
 	heartbeat(t, thirdLeader, free) // finds the new leader first, and has room
@@ -272,10 +258,7 @@
 	}
 	for range 12 {
 		cluster.advance(3 * time.Second)
-		heartbeat(t, thirdLeader, first)
-		heartbeat(t, thirdLeader, second)
-		heartbeat(t, thirdLeader, free)
-		cluster.settle(thirdLeader)
+		cluster.reportAndSettle(thirdLeader, first, second, free)
 	}
 	if got := second.LiveTasks(); len(got) != 1 {
 		t.Errorf("on its machine: %v, want what ran all along", got)
@@ -287,8 +270,7 @@
 
 // Nothing of what can be made anew keeps a leader from leading.
 func TestDamagedCatalog(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	_, stop := cluster.elect(nodeA)
 	cluster.writeRecord(nodeA, store.KeyCatalog, damagedRecord)
 	cluster.writeRecord(nodeA, store.KeyDemand, damagedRecord)
--- a/failover_test.go
+++ b/failover_test.go
@@ -19,14 +19,12 @@
 // A new leader takes placements over and starts nothing twice, even for a
 // worker that it can't reach until the lease has run out.
 func TestFailoverKeepsPlacements(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", nil))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
 	if newLeader.term.Token <= oldLeader.term.Token {
@@ -36,18 +34,15 @@
 	if report := worker.Report(); func() bool { _, ok := oldLeader.Heartbeat(&report); return ok }() {
 		t.Error("the old leader still answers heartbeats")
 	}
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	cluster.advance(17 * time.Second)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if len(other.StartedAttempts()) != 0 {
 		t.Fatal("moved before the predecessor's lease ran out")
 	}
 	worker.ExpireLease()
 	cluster.advance(6 * time.Second)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if got := other.StartedAttempts(); len(got) != 1 {
 		t.Fatalf("starts after the lease: %v", got)
 	}
@@ -59,8 +54,7 @@
 
 // Two leaders and a worker behind a cut: a late transaction of the old one fails.
 func TestDeposedLeadersDelayedTransactionFails(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, oldLeader, worker)
@@ -78,8 +72,7 @@
 	if _, err := nodeA.store.Commit(t.Context(), store.Urgent, transaction.Txn); err == nil {
 		t.Fatal("a deposed leader's transaction was applied")
 	}
-	heartbeat(t, newLeader, worker)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, worker)
 	if got := worker.StartedAttempts(); len(got) != 1 {
 		t.Fatalf("starts: %v", got)
 	}
@@ -88,9 +81,7 @@
 // A controller back within a moment does not wait for its own earlier lease to
 // lapse, and nothing that its predecessor left under way counts for it.
 func TestControllerRestartWithinLease(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, leader, worker)
 	before := leader.term
@@ -116,8 +107,7 @@
 	if got := cluster.state.Keys(store.PrefixAttempts); len(got) != 0 {
 		t.Errorf("the earlier process's late record was written: %v", got)
 	}
-	heartbeat(t, oldLeader, worker)
-	cluster.settle(oldLeader)
+	cluster.reportAndSettle(oldLeader, worker)
 	if got := worker.StartedAttempts(); len(got) != 1 {
 		t.Errorf("starts %v, want one", got)
 	}
@@ -126,15 +116,13 @@
 // Runs or stays known: after refusals, an outage and a change of leaders have
 // ended, each accepted job is answered for by every node, and runs.
 func TestAcceptedJobsSurviveOutageAndFailover(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, oldLeader, worker)
 	uids := []string{"j-1", "j-2", "j-3"}
 	cluster.submit(nodeA, jobSpec("j-1", nil))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	cluster.submit(nodeB, jobSpec("j-2", nil))
 	cluster.state.Refuse("", true)
 	for _, node := range []*Service{nodeA, nodeB} {
@@ -149,15 +137,14 @@
 	cluster.submit(nodeB, jobSpec("j-3", nil))
 	newLeader, _ := cluster.elect(nodeB)
 	heartbeat(t, newLeader, worker)
-	cluster.resync(newLeader)
-	cluster.settle(newLeader)
+	cluster.syncAndSettle(newLeader)
 	for _, node := range []*Service{nodeA, nodeB} {
 		for _, uid := range uids {
-			if code, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); code != http.StatusOK || status.UID != uid {
+			if code, status, _ := cluster.ask(node, http.MethodGet, jobPath(uid), nil); code != http.StatusOK || status.UID != uid {
 				t.Errorf("%s after all troubles: %d %+v", uid, code, status)
 			}
 		}
-		if code, _, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-9", nil); code != http.StatusNotFound {
+		if code, _, _ := cluster.ask(node, http.MethodGet, jobPath("j-9"), nil); code != http.StatusNotFound {
 			t.Errorf("a job that nobody submitted: %d", code)
 		}
 	}
@@ -173,8 +160,7 @@
 func TestElectionWithLostTransactionResponse(t *testing.T) {
 	for _, tr := range transactionFaults[1:] {
 		t.Run(tr.name, func(t *testing.T) {
-			cluster := newTestCluster(t)
-			nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+			cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 			token := func() uint64 {
 				var on store.TokenRecord
 				cluster.state.Value(store.KeyToken, &on)
@@ -191,7 +177,7 @@
 				runtime.Gosched()
 			}
 			before := token()
-			if code, _, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusNotFound {
+			if code, _, _ := cluster.ask(nodeB, http.MethodGet, jobPath("j-1"), nil); code != http.StatusNotFound {
 				t.Errorf("another node answers %d", code)
 			}
 			// The candidate waits before it tries again.
@@ -239,7 +225,7 @@
 	leader.dispatcher.TokenRaised(leader.clock.Now()) // no raise yet
 	leader.mu.Unlock()
 	cluster.settle(leader) // the run is held back and in doubt
-	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
+	if code, _, _ := cluster.ask(node, http.MethodPost, cancelPath("j-1"), nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
 	cluster.resync(leader)
@@ -251,8 +237,7 @@
 	cluster.state.DeliverDelayed()
 	for range 12 {
 		cluster.advance(time.Second)
-		heartbeat(t, leader, worker)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, worker)
 	}
 	if now, _ := node.elector.HoldsLease(); now <= before {
 		t.Errorf("the token is still %d", now)
@@ -281,8 +266,7 @@
 	for _, late := range []bool{true, false} {
 		for _, pieces := range []int{1, 2} {
 			t.Run(fmt.Sprintf("late %t, %d tasks", late, pieces), func(t *testing.T) {
-				cluster := newTestCluster(t)
-				nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+				cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 				leader, stop := cluster.elect(nodeA)
 				cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = pieces }))
 				cluster.resync(leader)
@@ -322,16 +306,13 @@
 				}
 				// The machine that holds nothing comes first: it may get the task only if
 				// the record of the first did not come about.
-				heartbeat(t, leader, other)
-				cluster.settle(leader)
+				cluster.reportAndSettle(leader, other)
 				deliver()
 				if !late && len(other.StartedAttempts()) != 0 {
 					t.Errorf("started on another machine than on record: %v", other.StartedAttempts())
 				}
 				for range 3 {
-					heartbeat(t, leader, worker)
-					heartbeat(t, leader, other)
-					cluster.settle(leader)
+					cluster.reportAndSettle(leader, worker, other)
 				}
 				leader.autoscale(t.Context())
 				if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != pieces || len(worker.LiveTasks())+len(other.LiveTasks()) != pieces {
@@ -357,14 +338,12 @@
 // answer may have been heard, so the tasks are started nowhere else for as long as
 // the sessions may go on, and as soon as the worker's new session proves the end.
 func TestMachineThatDoesNotReceiveNewLeadersResponses(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	leader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, leader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	stop()
 	leader, _ = cluster.elect(nodeB)
 	leader.operator.Fleet.Enabled = false // nothing is returned: only the worker itself proves
@@ -373,8 +352,7 @@
 		cluster.advance(3 * time.Second)
 		report := worker.Report()
 		leader.Heartbeat(&report) // the answer is lost
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, other)
 		if got := other.StartedAttempts(); len(got) != 0 {
 			t.Fatalf("started elsewhere while it may run: %v", got)
 		}
@@ -382,8 +360,7 @@
 	worker.ExpireLease()
 	report := worker.Report()
 	leader.Heartbeat(&report)
-	heartbeat(t, leader, other)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, other)
 	if got := other.StartedAttempts(); len(got) != 1 || len(worker.LiveTasks()) != 0 {
 		t.Errorf("after its session ended: %v started", got)
 	}
@@ -400,8 +377,7 @@
 	heartbeat(t, leader, worker)
 	cluster.submit(nodes[0], jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
 	cluster.submit(nodes[0], jobSpec("j-2", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 3, 1 }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	ends := map[int]string{1: "j-1/0", 3: "j-2/0", 5: "j-2/1", 7: "j-1/1", 9: "j-2/2"}
 	last := leader.term.Token
 	for k := 1; k <= 10; k++ {
@@ -411,8 +387,7 @@
 			if k != 5 { // this result is not recorded when the leader ends
 				cluster.settle(leader)
 				cluster.advance(3 * time.Second)
-				heartbeat(t, leader, worker)
-				cluster.settle(leader)
+				cluster.reportAndSettle(leader, worker)
 			}
 		}
 		if k%4 == 0 {
@@ -430,8 +405,7 @@
 			t.Fatalf("token %d after %d", leader.term.Token, last)
 		}
 		last = leader.term.Token
-		heartbeat(t, leader, worker)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, worker)
 		want := map[string]string{"j-1": wire.JobQueued, "j-2": wire.JobQueued}
 		if k >= 7 {
 			want["j-1"] = wire.JobDone
@@ -441,7 +415,7 @@
 		}
 		for uid, state := range want {
 			for _, node := range nodes {
-				if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); (status.Status == wire.JobDone) != (state == wire.JobDone) || status.Status == "" {
+				if _, status, _ := cluster.ask(node, http.MethodGet, jobPath(uid), nil); (status.Status == wire.JobDone) != (state == wire.JobDone) || status.Status == "" {
 					t.Errorf("leader %d: %s is %q, want %q", k, uid, status.Status, state)
 				}
 			}
@@ -462,21 +436,17 @@
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, leader, worker)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	stop()
 	cluster.clock.Advance(40 * time.Second)
 	cluster.nodeCount--
 	leader, _ = cluster.elect(cluster.node(nil))
-	heartbeat(t, leader, other)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, other)
 	if got := other.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("started before the machine on record reported: %v", got)
 	}
 	worker.ExpireLease()
-	heartbeat(t, leader, worker)
-	heartbeat(t, leader, other)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker, other)
 	if got := len(worker.LiveTasks()) + len(other.LiveTasks()); got != 2 || len(worker.StartedAttempts())+len(other.StartedAttempts()) != 4 {
 		t.Errorf("%d tasks run, starts %v and %v", got, worker.StartedAttempts(), other.StartedAttempts())
 	}
--- a/failure_attribution_test.go
+++ b/failure_attribution_test.go
@@ -56,10 +56,10 @@
 		}
 		// They are known and can be cancelled.
 		for _, uid := range []string{"j-1", "j-2"} {
-			if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != wire.JobQueued {
+			if _, status, _ := cluster.ask(node, http.MethodGet, jobPath(uid), nil); status.Status != wire.JobQueued {
 				t.Errorf("%s: %+v, want queued", uid, status)
 			}
-			if code, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+			if code, status, _ := cluster.ask(node, http.MethodPost, cancelPath(uid), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
 				t.Errorf("abort of %s: %d %+v", uid, code, status)
 			}
 		}
@@ -88,8 +88,7 @@
 // A new leader does not know what its predecessor knew of a bad job: it tries
 // one task, not all of them at once.
 func TestFailingJobAcrossLeaders(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	var workers []*standin.Worker
 	for i := range 4 {
--- a/harness_checks_test.go
+++ b/harness_checks_test.go
@@ -115,7 +115,7 @@
 			continue
 		}
 		for controller := range controllerCount {
-			if code, status := s.request(controller, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); code != http.StatusOK {
+			if code, status := s.request(controller, http.MethodGet, jobPath(uid), uid, nil); code != http.StatusOK {
 				s.recordViolation("forgotten", "%s: %d %+v from node %d after all faults", uid, code, status, controller+1)
 			}
 		}
@@ -123,7 +123,7 @@
 	for task, reasons := range s.lastingUnplacedTasks() {
 		uid := jobOf(task)
 		// Its user may have stopped polling before it was done.
-		if _, status := s.request(0, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil); status.Status != wire.JobDone {
+		if _, status := s.request(0, http.MethodGet, jobPath(uid), uid, nil); status.Status != wire.JobDone {
 			s.recordViolation("waits", "%s waits %v: %s", task, reasons, s.describeLeaderState(uid))
 		}
 	}
--- a/harness_cluster_setups_test.go
+++ b/harness_cluster_setups_test.go
@@ -4,18 +4,34 @@
 	"fmt"
 	"testing"
 
+	"cedardoor/config"
 	"cedardoor/internal/standin"
 	"cedardoor/jobs"
 	"cedardoor/store"
 	"cedardoor/wire"
 )
 
-// clusterWithWorker is a site with one leading node and a worker that has reported.
-func clusterWithWorker(t *testing.T) (*testCluster, *Service, *leader, *standin.Worker) {
+// clusterWithLeader returns a cluster with one controller, which leads.
+func clusterWithLeader(t testing.TB) (*testCluster, *Service, *leader) {
 	t.Helper()
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	leader, _ := cluster.elect(node)
+	return cluster, node, leader
+}
+
+// clusterWithTwoNodes returns a cluster with two controllers of which none leads yet. Their
+// settings are changed by mod, if it is not nil.
+func clusterWithTwoNodes(t testing.TB, mod func(facts *config.Facts)) (cluster *testCluster, nodeA, nodeB *Service) {
+	t.Helper()
+	cluster = newTestCluster(t)
+	return cluster, cluster.node(mod), cluster.node(mod)
+}
+
+// clusterWithWorker is a site with one leading node and a worker that has reported.
+func clusterWithWorker(t *testing.T) (*testCluster, *Service, *leader, *standin.Worker) {
+	t.Helper()
+	cluster, node, leader := clusterWithLeader(t)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, leader, worker)
 	return cluster, node, leader, worker
@@ -24,9 +40,7 @@
 // clusterWithWorkers is a leader with so many workers, on which the given jobs fail.
 func clusterWithWorkers(t *testing.T, n int, bad ...string) (*testCluster, *Service, *leader, []*standin.Worker) {
 	t.Helper()
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	var workers []*standin.Worker
 	for i := range n {
 		worker := cluster.worker(fmt.Sprintf("n-%d", i+1), []string{"x", "y"}[i%2], true)
@@ -58,8 +72,7 @@
 	for _, node := range nodes { // each has had an answer from the state service since it began
 		cluster.checkStatus(node, "j-1", wire.JobQueued)
 	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	heartbeat(t, leader, worker)
 	if got := len(worker.LiveTasks()); got != 2 {
 		t.Fatalf("%d tasks run, want 2", got)
@@ -74,8 +87,7 @@
 	worker = cluster.worker("n-1", "x", true)
 	heartbeat(t, leader, worker)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tasks }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	heartbeat(t, leader, worker)
 	return leader, worker, stop
 }
@@ -84,9 +96,7 @@
 // the given tasks on each, all of them of predecessors.
 func adoptedFleet(t testing.TB, machines, tasks int) (*testCluster, *leader) {
 	t.Helper()
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, _, leader := clusterWithLeader(t)
 	leader.mu.Lock()
 	defer leader.mu.Unlock()
 	now := leader.clock.Now()
--- a/harness_requests_test.go
+++ b/harness_requests_test.go
@@ -24,6 +24,12 @@
 	return spec
 }
 
+// jobPath returns the path of a job in the interface for users.
+func jobPath(uid string) string { return wire.PathJobs + "/" + uid }
+
+// cancelPath returns the path at which users cancel a job.
+func cancelPath(uid string) string { return jobPath(uid) + "/abort" }
+
 // submissionBody is a submission's body, changed by mod.
 func submissionBody(t testing.TB, spec wire.Spec, mod func(m map[string]any)) []byte {
 	t.Helper()
@@ -81,14 +87,14 @@
 
 func (s *testCluster) checkStatus(node *Service, uid, want string) {
 	s.tb.Helper()
-	if code, status, _ := s.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); code != http.StatusOK || status.Status != want {
+	if code, status, _ := s.ask(node, http.MethodGet, jobPath(uid), nil); code != http.StatusOK || status.Status != want {
 		s.tb.Fatalf("%s at %s: %d %q, want %q", uid, node.cfg.Node, code, status.Status, want)
 	}
 }
 
 func (s *testCluster) cancelJob(node *Service, uid string) {
 	s.tb.Helper()
-	if code, status, _ := s.ask(node, http.MethodPost, wire.PathJobs+"/"+uid+"/abort", nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+	if code, status, _ := s.ask(node, http.MethodPost, cancelPath(uid), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
 		s.tb.Fatalf("abort of %s at %s: %d %q", uid, node.cfg.Node, code, status.Status)
 	}
 }
@@ -102,7 +108,7 @@
 		body         any
 	}
 	questions := []question{
-		{http.MethodGet, wire.PathJobs + "/" + uid, nil},
+		{http.MethodGet, jobPath(uid), nil},
 		{http.MethodPost, wire.PathJobs, jobSpec(uid, nil)},
 		{http.MethodPost, wire.PathJobs, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Priority = 7, "low" })},
 		{http.MethodPost, wire.PathJobs, jobSpec(uid, func(spec *wire.Spec) { spec.Team = "nobody" })},
@@ -110,7 +116,7 @@
 		{http.MethodPost, wire.PathJobs, submissionBody(s.tb, jobSpec(uid, nil), func(m map[string]any) { m["pieces"] = "many" })},
 	}
 	if abort {
-		questions = append(questions, question{http.MethodPost, wire.PathJobs + "/" + uid + "/" + wire.SuffixCancel, nil})
+		questions = append(questions, question{http.MethodPost, cancelPath(uid), nil})
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/harness_steps_test.go
+++ b/harness_steps_test.go
@@ -9,6 +9,8 @@
 
 	"cedardoor/internal/standin"
 	"cedardoor/planinput"
+	"cedardoor/statewriter"
+	"cedardoor/store"
 	"cedardoor/wire"
 )
 
@@ -71,6 +73,43 @@
 	}
 }
 
+// syncAndSettle lets the leader read the changes of jobs and settle.
+func (s *testCluster) syncAndSettle(leader *leader) {
+	s.tb.Helper()
+	s.resync(leader)
+	s.settle(leader)
+}
+
+// reportAndSettle lets workers report in order, and the leader settle.
+func (s *testCluster) reportAndSettle(leader *leader, workers ...*standin.Worker) {
+	s.tb.Helper()
+	for _, worker := range workers {
+		heartbeat(s.tb, leader, worker)
+	}
+	s.settle(leader)
+}
+
+// planNow lets the leader place tasks, without recording anything.
+func planNow(leader *leader) {
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	leader.runPlan(leader.clock.Now())
+}
+
+// nextTransaction returns what the leader is about to record, or nil.
+func nextTransaction(leader *leader) *statewriter.Transaction {
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	return leader.buildTransaction()
+}
+
+// awaitResignation returns when no controller leads any more.
+func (s *testCluster) awaitResignation() {
+	for s.state.Value(store.KeyLead, nil) {
+		runtime.Gosched()
+	}
+}
+
 // runSeconds lets seconds go by, with a heartbeat of every worker and a pass in each.
 func (s *testCluster) runSeconds(leader *leader, workers []*standin.Worker, seconds int) {
 	s.tb.Helper()
--- a/harness_users_test.go
+++ b/harness_users_test.go
@@ -132,7 +132,7 @@
 		for _, after := range []time.Duration{time.Millisecond, 40 * time.Millisecond} {
 			s.wg.Go(func() {
 				time.Sleep(after)
-				s.request(controller, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil)
+				s.request(controller, http.MethodGet, jobPath(uid), uid, nil)
 			})
 		}
 	}
@@ -183,7 +183,7 @@
 		time.Sleep(submission.cancelAfter)
 	}
 	for n := 0; time.Now().Before(deadline); n++ {
-		if code, _ := s.request(n, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, uid, nil); code == http.StatusOK {
+		if code, _ := s.request(n, http.MethodPost, cancelPath(uid), uid, nil); code == http.StatusOK {
 			return
 		}
 		time.Sleep(retryDelay)
@@ -196,7 +196,7 @@
 	const unknown = "j-999"
 	for n := 0; time.Now().Before(deadline); n++ {
 		time.Sleep(pollInterval)
-		_, status := s.request(n+submission.firstController, http.MethodGet, wire.PathJobs+"/"+uid, uid, nil)
+		_, status := s.request(n+submission.firstController, http.MethodGet, jobPath(uid), uid, nil)
 		if submission.stopsPolling {
 			if status.Status == wire.JobDone || status.Status == wire.JobCancelled {
 				return
@@ -207,6 +207,6 @@
 			s.request(n+1, http.MethodPost, wire.PathJobs, uid, body)
 			s.request(n+2, http.MethodPost, wire.PathJobs, uid, submissionBody(s.t, submission.spec, func(m map[string]any) { m["cores"] = -1 }))
 		}
-		s.request(n+2, http.MethodGet, wire.PathJobs+"/"+unknown, unknown, nil)
+		s.request(n+2, http.MethodGet, jobPath(unknown), unknown, nil)
 	}
 }
--- a/heartbeat_test.go
+++ b/heartbeat_test.go
@@ -42,15 +42,13 @@
 // A copy of an old report that reaches a new leader first proves nothing, does
 // not make the machine trusted, and moves nothing.
 func TestStaleHeartbeatReachesNewLeaderFirst(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
 	old := worker.Report() // shows nothing yet
 	cluster.submit(nodeA, jobSpec("j-1", nil))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
 	deliverReport(t, newLeader, old)
@@ -58,13 +56,11 @@
 	if cluster.machineUsable(newLeader, "n-1") {
 		t.Fatal("trusted on a copy from before the term")
 	}
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if len(other.StartedAttempts()) != 0 {
 		t.Fatalf("started elsewhere on the word of a late copy: %v", other.StartedAttempts())
 	}
-	heartbeat(t, newLeader, worker)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, worker)
 	deliverReport(t, newLeader, old)
 	cluster.settle(newLeader)
 	if len(worker.StartedAttempts())+len(other.StartedAttempts()) != 1 {
@@ -77,13 +73,12 @@
 func TestStaleHeartbeatBringsNoResult(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	copied := worker.Report()
 	copied.Tasks = []wire.TaskReport{{Task: "j-1/0", Attempt: 7, Status: wire.TaskEnded, Cause: wire.CauseDone}}
 	deliverReport(t, leader, copied)
 	cluster.settle(leader)
-	if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
+	if _, status, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); status.Status == wire.JobDone {
 		t.Error("done by an attempt that was never made")
 	}
 }
@@ -97,15 +92,13 @@
 }
 
 func checkOldReports(t *testing.T, cancel bool) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(withTeamLimit(2)), cluster.node(withTeamLimit(2))
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(2))
 	leader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, leader, worker)
 	copies := []wire.Heartbeat{worker.Report()} // nothing there yet
 	cluster.submit(nodeA, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	copies = append(copies, worker.Report()) // the first attempt, in the first session
 	worker.ExpireLease()
 	heartbeat(t, leader, worker)
@@ -116,7 +109,7 @@
 	}
 	stop()
 	if cancel {
-		if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
+		if code, _, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-1"), nil); code != http.StatusOK {
 			t.Fatalf("abort: %d", code)
 		}
 	}
@@ -137,8 +130,7 @@
 				}
 			}
 		}
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, other)
 		if got := append(worker.StartedAttempts(), other.StartedAttempts()...); len(got) != 2 {
 			t.Fatalf("started on the word of old reports: %v", got)
 		}
@@ -150,8 +142,7 @@
 	all()
 	if cancel {
 		for range 3 {
-			heartbeat(t, leader, worker)
-			cluster.settle(leader)
+			cluster.reportAndSettle(leader, worker)
 			heartbeat(t, leader, other)
 		}
 		if got := append(worker.LiveTasks(), other.LiveTasks()...); !slices.Equal(got, []string{"j-2/0"}) {
@@ -159,8 +150,7 @@
 		}
 		return
 	}
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	slices.Reverse(copies) // the oldest comes last
 	all()
 	leader.mu.Lock()
@@ -171,7 +161,7 @@
 	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0"}) {
 		t.Errorf("on the machine %v", got)
 	}
-	if _, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
+	if _, status, _ := cluster.ask(nodeB, http.MethodGet, jobPath("j-1"), nil); status.Status == wire.JobDone {
 		t.Error("done on the word of a copy")
 	}
 }
--- a/job_lifecycle_test.go
+++ b/job_lifecycle_test.go
@@ -15,25 +15,23 @@
 func TestJobRunsToCompletion(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if got := worker.LiveTasks(); !cmp.Equal(got, []string{"j-1/0", "j-1/1"}) {
 		t.Fatalf("on the machine: %v", got)
 	}
 	worker.EndTask("j-1/0", wire.CauseDone)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
-	if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
+	cluster.reportAndSettle(leader, worker)
+	if _, status, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); status.Status == wire.JobDone {
 		t.Fatal("done before all its tasks are")
 	}
 	worker.EndTask("j-1/1", wire.CauseDone)
 	heartbeat(t, leader, worker)
 	// Done is told only when it is durable: until the pass records it, it is not.
-	if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
+	if _, status, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); status.Status == wire.JobDone {
 		t.Fatal("done before it was recorded")
 	}
 	cluster.settle(leader)
-	if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobDone || status.Done != 2 {
+	if _, status, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); status.Status != wire.JobDone || status.Done != 2 {
 		t.Fatalf("state %+v, want done", status)
 	}
 	// The run may come again until the worker has shown a higher token.
@@ -63,8 +61,7 @@
 func TestResultIsDurableBeforeForget(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	worker.EndTask("j-1/0", wire.CauseDone)
 	heartbeat(t, leader, worker)
 	heartbeat(t, leader, worker)
@@ -100,14 +97,12 @@
 // The start of an adopted task was not seen, so its run must not be compared:
 // it once made sound machines look slow.
 func TestAdoptedAttemptsAreNotMeasured(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 3 }))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	worker.EndTask("j-1/0", wire.CauseDone)
 	heartbeat(t, oldLeader, worker)
 	if n := oldLeader.jobs.Get("j-1").RunTimes.Count; n != 1 {
@@ -150,9 +145,7 @@
 }
 
 func TestCompactedWatchReadsAgain(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.state.Compact()
 	if _, err := node.store.Watch(t.Context(), store.PrefixJob, 1, 0); err != store.ErrCompacted {
--- a/job_load_test.go
+++ b/job_load_test.go
@@ -18,8 +18,7 @@
 // midst, and a change of leaders neither loses a task nor runs one twice.
 func TestLargeBatchCostPerTask(t *testing.T) {
 	run := func(tasks int) (changes, visits float64) {
-		cluster := newTestCluster(t)
-		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 		leader, stop := cluster.elect(nodeA)
 		var workers []*standin.Worker
 		for i := range 16 {
@@ -80,7 +79,7 @@
 		if len(starts) < tasks || len(starts) > tasks+600 {
 			t.Errorf("%d attempts of %d tasks", len(starts), tasks)
 		}
-		if _, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobDone || status.Done != tasks {
+		if _, status, _ := cluster.ask(nodeA, http.MethodGet, jobPath("j-1"), nil); status.Status != wire.JobDone || status.Done != tasks {
 			t.Errorf("%+v, want done", status)
 		}
 		return float64(cluster.state.ChangeCount()-before) / float64(tasks), float64(looked) / float64(tasks)
@@ -136,12 +135,11 @@
 		}
 		// One of each four is cancelled: at once, or up to three seconds later, some after their end.
 		if k := (at-at%4)*perSecond + at%4; submit {
-			if _, status, _ := cluster.ask(nodes[at%2], http.MethodPost, wire.PathJobs+"/"+uid(k)+"/"+wire.SuffixCancel, nil); status.Status == wire.JobCancelled {
+			if _, status, _ := cluster.ask(nodes[at%2], http.MethodPost, cancelPath(uid(k)), nil); status.Status == wire.JobCancelled {
 				cancelled[uid(k)] = true
 			}
 		}
-		cluster.resync(leader)
-		cluster.settle(leader)
+		cluster.syncAndSettle(leader)
 		for i, worker := range workers {
 			for n, p := range worker.LiveTasks() {
 				if (n+i+at)%3 == 0 {
@@ -150,7 +148,7 @@
 			}
 			heartbeat(t, leader, worker)
 		}
-		cluster.ask(nodes[at%2], http.MethodGet, wire.PathJobs+"/"+uid(max(0, 4*at-8)), nil)
+		cluster.ask(nodes[at%2], http.MethodGet, jobPath(uid(max(0, 4*at-8))), nil)
 		cluster.settle(leader)
 		cluster.advance(time.Second)
 	}
@@ -179,10 +177,9 @@
 	for k := perSecond * lasts; k < perSecond*lasts+3; k++ {
 		cluster.submit(nodes[0], jobSpec(uid(k), nil))
 	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	for k := perSecond * lasts; k < perSecond*lasts+3; k++ {
-		if _, status, _ := cluster.ask(nodes[0], http.MethodPost, wire.PathJobs+"/"+uid(k)+"/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
+		if _, status, _ := cluster.ask(nodes[0], http.MethodPost, cancelPath(uid(k)), nil); status.Status != wire.JobCancelled {
 			t.Errorf("abort: %+v", status)
 		}
 	}
@@ -202,7 +199,7 @@
 		if cancelled[uid(k)] {
 			want = wire.JobCancelled
 		}
-		if _, status, _ := cluster.ask(nodes[k%2], http.MethodGet, wire.PathJobs+"/"+uid(k), nil); status.Status != want {
+		if _, status, _ := cluster.ask(nodes[k%2], http.MethodGet, jobPath(uid(k)), nil); status.Status != want {
 			t.Fatalf("%s: %+v, want %s", uid(k), status, want)
 		}
 	}
--- a/loopback_loss_test.go
+++ b/loopback_loss_test.go
@@ -97,7 +97,7 @@
 	l.observed.views[uid].cancelRequested = true
 	l.mu.Unlock()
 	for n := 0; ctx.Err() == nil; n++ {
-		status, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
+		status, _, err := l.send(ctx, l.names[n%len(l.names)], cancelPath(uid), nil)
 		if err == nil && status == http.StatusOK {
 			l.mu.Lock()
 			l.observed.views[uid].cancelled, l.observed.views[uid].cancelledAt = true, time.Now()
--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -42,8 +42,7 @@
 // other nodes read what they wrote: what they have told stays true, and nothing is
 // started, recorded or moved twice when the leader finds out.
 func TestLostCommitResponsesWhileOthersRead(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	leader, _ := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, leader, worker)
@@ -54,7 +53,7 @@
 	is := func(uid string, allowed ...string) {
 		t.Helper()
 		for _, node := range []*Service{nodeA, nodeB} {
-			_, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil)
+			_, status, _ := cluster.ask(node, http.MethodGet, jobPath(uid), nil)
 			cluster.checkAnswers(uid, []string{status.Status}, allowed...)
 		}
 	}
@@ -63,12 +62,11 @@
 		if len(worker.StartedAttempts()) != 0 {
 			t.Errorf("started before the leader knows that it is recorded: %v", worker.StartedAttempts())
 		}
-		if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+		if code, status, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-3"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
 			t.Errorf("abort: %d %+v", code, status)
 		}
 	})
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	is("j-3", wire.JobCancelled)
 	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0", "j-2/0", "j-2/1"}) {
 		t.Errorf("on the machine %v", got)
@@ -81,7 +79,7 @@
 	cluster.loseAnswerDuring(func() { leader.pass(t.Context()) }, func() {
 		for _, uid := range []string{"j-1", "j-2"} {
 			is(uid, wire.JobDone)
-			_, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
+			_, status, _ := cluster.ask(nodeB, http.MethodPost, cancelPath(uid), nil)
 			cluster.checkAnswers("abort after the end", []string{status.Status}, wire.JobDone)
 		}
 	})
@@ -89,7 +87,7 @@
 	cluster.settle(leader)
 	for _, node := range []*Service{nodeA, nodeB, nodeC} {
 		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-2": wire.JobDone, "j-3": wire.JobCancelled} {
-			if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != want {
+			if _, status, _ := cluster.ask(node, http.MethodGet, jobPath(uid), nil); status.Status != want {
 				t.Errorf("%s: %+v, want %s", uid, status, want)
 			}
 		}
@@ -108,8 +106,7 @@
 // leader then finds out, and nothing is recorded again, moved again or kept.
 func TestEveryLostCommitResponse(t *testing.T) {
 	life := func(pieces int, lossy bool) (puts int) {
-		cluster := newTestCluster(t)
-		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 		leader, _ := cluster.elect(nodeA)
 		worker := cluster.worker("n-1", "x", true)
 		heartbeat(t, leader, worker)
@@ -122,9 +119,7 @@
 		now := wire.JobQueued
 		drain := func() {
 			for range 9 {
-				leader.mu.Lock()
-				transaction := leader.buildTransaction()
-				leader.mu.Unlock()
+				transaction := nextTransaction(leader)
 				if transaction == nil {
 					return
 				}
@@ -143,7 +138,7 @@
 				cluster.loseAnswerDuring(record, func() {
 					for _, node := range []*Service{nodeB, cluster.node(nil)} {
 						for _, uid := range uids {
-							if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != now {
+							if _, status, _ := cluster.ask(node, http.MethodGet, jobPath(uid), nil); status.Status != now {
 								t.Errorf("%s: %+v, want %s", uid, status, now)
 							}
 						}
@@ -151,9 +146,7 @@
 				})
 			}
 		}
-		leader.mu.Lock()
-		leader.runPlan(leader.clock.Now())
-		leader.mu.Unlock()
+		planNow(leader)
 		drain()
 		cluster.settle(leader)
 		if got := len(worker.LiveTasks()); got != 2*pieces {
@@ -211,9 +204,7 @@
 		late := 0
 		drain := func() {
 			for range 12 {
-				leader.mu.Lock()
-				transaction := leader.buildTransaction()
-				leader.mu.Unlock()
+				transaction := nextTransaction(leader)
 				if transaction == nil {
 					return
 				}
@@ -223,15 +214,13 @@
 				}
 			}
 		}
-		leader.mu.Lock()
-		leader.runPlan(leader.clock.Now())
-		leader.mu.Unlock()
+		planNow(leader)
 		drain()
 		cluster.settle(leader)
 		worker.EndTask("j-1/0", wire.CauseDone)
 		worker.EndTask("j-1/1", wire.CauseDone)
 		worker.EndTask("j-2/0", wire.CauseError)
-		if _, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
+		if _, status, _ := cluster.ask(node, http.MethodPost, cancelPath("j-3"), nil); status.Status != wire.JobCancelled {
 			t.Fatalf("abort: %+v", status)
 		}
 		heartbeat(t, leader, worker)
@@ -240,9 +229,7 @@
 		// One that is recorded twice alone: its first record must not come back over the second.
 		cluster.submit(node, jobSpec("j-4", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 0.5 }))
 		cluster.resync(leader)
-		leader.mu.Lock()
-		leader.runPlan(leader.clock.Now())
-		leader.mu.Unlock()
+		planNow(leader)
 		drain()
 		cluster.settle(leader)
 		worker.EndTask("j-4/0", wire.CauseDone)
@@ -265,7 +252,7 @@
 			t.Errorf("%d tasks a job: %d changes were made late", pieces, got)
 		}
 		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-3": wire.JobCancelled} {
-			if _, status, _ := cluster.ask(cluster.node(nil), http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != want {
+			if _, status, _ := cluster.ask(cluster.node(nil), http.MethodGet, jobPath(uid), nil); status.Status != want {
 				t.Errorf("%s: %+v, want %s", uid, status, want)
 			}
 		}
@@ -279,12 +266,10 @@
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.submit(node, jobSpec("j-2", nil))
 	cluster.submit(node, jobSpec("j-3", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	worker.EndTask("j-1/0", wire.CauseDone)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
-	if code, _, _ := cluster.ask(node, "POST", wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != 200 {
+	cluster.reportAndSettle(leader, worker)
+	if code, _, _ := cluster.ask(node, "POST", cancelPath("j-2"), nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
 	if _, err := node.elector.RaiseToken(t.Context()); err != nil {
@@ -298,7 +283,7 @@
 	look := func() (is told) {
 		is.keys = cluster.state.Keys("")
 		for _, uid := range []string{"j-1", "j-2", "j-3"} {
-			_, status, _ := cluster.ask(node, "GET", wire.PathJobs+"/"+uid, nil)
+			_, status, _ := cluster.ask(node, "GET", jobPath(uid), nil)
 			is.status = append(is.status, status.Status)
 		}
 		var record store.TokenRecord
--- a/orphans_test.go
+++ b/orphans_test.go
@@ -28,9 +28,7 @@
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 4, 2 }))
 	cluster.resync(leader)
 	for range 3 {
-		heartbeat(t, leader, worker)
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, worker, other)
 		cluster.lookUpOrphans(leader)
 	}
 	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-9/0"}) {
@@ -43,7 +41,7 @@
 	if len(report.Unrecorded) != 1 || report.Unrecorded[0].Task != "j-9/0" || report.Unrecorded[0].Machine != "n-1" || report.Unrecorded[0].Why != recovery.Retain.String() {
 		t.Errorf("operators are told %+v", report.Unrecorded)
 	}
-	if code, _, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-9", nil); code != http.StatusNotFound {
+	if code, _, _ := cluster.ask(node, http.MethodGet, jobPath("j-9"), nil); code != http.StatusNotFound {
 		t.Errorf("a job that nobody submitted: status %d", code)
 	}
 	// An idle machine with it is not returned.
@@ -58,8 +56,7 @@
 	cluster.submit(node, jobSpec("j-9", nil))
 	cluster.resync(leader)
 	third := cluster.worker("n-3", "x", true) // has room for it
-	heartbeat(t, leader, third)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, third)
 	if got := third.LiveTasks(); len(got) != 0 {
 		t.Fatalf("on the third: %v, started while it runs elsewhere", got)
 	}
--- a/peer_messages_test.go
+++ b/peer_messages_test.go
@@ -33,7 +33,7 @@
 	l := peer.NewLink(ln.Addr().String())
 	asked := func(after string) {
 		t.Helper()
-		r, err := l.Ask(t.Context(), peer.Ask{Method: http.MethodGet, Path: wire.PathJobs + "/j-1"})
+		r, err := l.Ask(t.Context(), peer.Ask{Method: http.MethodGet, Path: jobPath("j-1")})
 		if err != nil || r.Status != http.StatusOK {
 			t.Errorf("after %s: %+v, %v", after, r.Status, err)
 		}
@@ -45,7 +45,7 @@
 		}
 		return buf.Bytes()
 	}
-	whole := encode(peer.Ask{Method: http.MethodGet, Path: wire.PathJobs + "/j-1"})
+	whole := encode(peer.Ask{Method: http.MethodGet, Path: jobPath("j-1")})
 	huge := encode(peer.Ask{Method: http.MethodPost, Path: wire.PathJobs, Body: bytes.Repeat([]byte{1}, 100<<10)})
 	asked("nothing")
 	for name, encoded := range map[string][]byte{
--- a/placement_test.go
+++ b/placement_test.go
@@ -16,24 +16,21 @@
 
 // The zone cap counts tasks whose machine has not been heard of.
 func TestZoneSpreadCountsUnreportedMachine(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", false)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) {
 		spec.Kind, spec.Priority, spec.Preemptible, spec.Spread, spec.Tasks = wire.KindService, "critical", false, true, 2
 	}))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	if got := worker.LiveTasks(); len(got) != 1 {
 		t.Fatalf("at most one of two in a zone: %v", got)
 	}
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
 	other := cluster.worker("n-2", "x", false)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if got := other.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("second replica in the zone: %v", got)
 	}
@@ -75,9 +72,7 @@
 // job with a zone of its own. Nothing of the array starts in another zone while some
 // of it may go on in its own, and all of it once nothing can; the bound job never does.
 func TestZonalJobsLoseMachines(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	here := []*standin.Worker{cluster.worker("n-1", "x", true), cluster.worker("n-2", "x", true), cluster.worker("n-3", "x", true)}
 	there := []*standin.Worker{cluster.worker("n-4", "y", true), cluster.worker("n-5", "y", true)}
 	for _, worker := range here {
@@ -85,8 +80,7 @@
 	}
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.Zone = 2, 4, "x" }))
 	cluster.submit(node, jobSpec("j-2", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.SameZone = 4, 4, true }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if startCount(here, "j-1") != 2 || startCount(here, "j-2") != 4 {
 		t.Fatalf("started %v, %v and %v", here[0].StartedAttempts(), here[1].StartedAttempts(), here[2].StartedAttempts())
 	}
@@ -136,8 +130,7 @@
 	for range 6 {
 		small()
 	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 3, 8, 20 }))
 	cluster.resync(leader)
 	began := 0
@@ -153,10 +146,8 @@
 			small()
 		}
 		heartbeat(t, leader, worker)
-		cluster.resync(leader)
-		cluster.settle(leader)
-		heartbeat(t, leader, worker)
-		cluster.settle(leader)
+		cluster.syncAndSettle(leader)
+		cluster.reportAndSettle(leader, worker)
 	}
 	if began == 0 {
 		t.Error("the large job did not begin within four minutes")
--- a/process_pause_test.go
+++ b/process_pause_test.go
@@ -67,9 +67,7 @@
 // for all) has heard nobody meanwhile. That is its own silence, not the machines':
 // nothing is given up, and the lead is kept.
 func TestProcessPauseIsNotMachineFailure(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	hosts := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 	var first *standin.Worker
 	for i, h := range hosts {
--- a/quota_failover_test.go
+++ b/quota_failover_test.go
@@ -15,21 +15,18 @@
 // The team's limit counts what a predecessor started and may still exist.
 func TestTeamLimitAcrossLeaders(t *testing.T) {
 	limit := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 4 }
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(limit), cluster.node(limit)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, limit)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 4 }))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	if got := worker.LiveTasks(); len(got) != 2 {
 		t.Fatalf("limit of 4 CPUs, tasks of 2: %v", got)
 	}
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if got := other.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("beyond the limit after a change of leaders: %v", got)
 	}
@@ -38,30 +35,25 @@
 // A new leader counts what a cancelled job's tasks take while they may still exist.
 func TestCancelledTasksCountTowardsLimit(t *testing.T) {
 	limit := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 4 }
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(limit), cluster.node(limit)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, limit)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	stop()
-	if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
+	if code, _, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-1"), nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
 	cluster.submit(nodeB, jobSpec("j-2", nil))
 	newLeader, _ := cluster.elect(nodeB)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if got := other.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("beyond the limit: %v while %v are on another machine", got, worker.LiveTasks())
 	}
 	heartbeat(t, newLeader, worker)
-	heartbeat(t, newLeader, worker)
-	cluster.settle(newLeader)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, worker)
+	cluster.reportAndSettle(newLeader, other)
 	if got := len(other.StartedAttempts()) + len(worker.LiveTasks()); got != 1 {
 		t.Fatalf("%d tasks after the cancelled ones were gone", got)
 	}
@@ -84,22 +76,20 @@
 				for _, uid := range uids {
 					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = pieces }))
 				}
-				cluster.resync(l)
-				cluster.settle(l)
+				cluster.syncAndSettle(l)
 				if got := hung.LiveTasks(); len(got) != 2 {
 					t.Fatalf("on the machine: %v", got)
 				}
 				hung.SetUnreachable(true)
 				for _, uid := range uids {
-					if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); code != http.StatusOK {
+					if code, _, _ := cluster.ask(nodeB, http.MethodPost, cancelPath(uid), nil); code != http.StatusOK {
 						t.Fatalf("abort: %d", code)
 					}
 				}
 				cluster.submit(nodeB, jobSpec("j-3", func(spec *wire.Spec) { spec.Tasks = 2 }))
 				nothing := func(when string, leader *leader) {
 					t.Helper()
-					heartbeat(t, leader, other)
-					cluster.settle(leader)
+					cluster.reportAndSettle(leader, other)
 					heartbeat(t, leader, other)
 					if got := other.StartedAttempts(); len(got) != 0 {
 						t.Fatalf("%s: %v started beyond the limit", when, got)
@@ -133,12 +123,10 @@
 				case "halted":
 					hung.SetUnreachable(false)
 					for range 2 {
-						heartbeat(t, l, hung)
-						cluster.settle(l)
+						cluster.reportAndSettle(l, hung)
 					}
 				}
-				heartbeat(t, l, other)
-				cluster.settle(l)
+				cluster.reportAndSettle(l, other)
 				heartbeat(t, l, other)
 				if got := len(other.LiveTasks()) + len(hung.LiveTasks()); proof == "return" && len(other.LiveTasks()) != 2 || proof != "return" && got != 2 {
 					t.Errorf("%d tasks run after the proof, want 2: the room is not used", got)
@@ -158,29 +146,24 @@
 // not count them for the team's limit while their machine can't be asked.
 func TestCompletedTasksDoNotCountAfterFailover(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
-		cluster := newTestCluster(t)
-		nodeA, nodeB := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
+		cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(4))
 		leader, stop := cluster.elect(nodeA)
 		worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 		heartbeat(t, leader, worker)
 		cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 4/float64(pieces) }))
-		cluster.resync(leader)
-		cluster.settle(leader)
+		cluster.syncAndSettle(leader)
 		for _, p := range worker.LiveTasks() {
 			worker.EndTask(p, wire.CauseDone)
 		}
 		heartbeat(t, leader, worker)
-		leader.mu.Lock()
-		transaction := leader.buildTransaction()
-		leader.mu.Unlock()
+		transaction := nextTransaction(leader)
 		if transaction == nil || len(transaction.Finished()) != 1 || !leader.commit(t.Context(), transaction) {
 			t.Fatal("the end was not recorded")
 		}
 		stop()
 		cluster.submit(nodeB, jobSpec("j-2", nil))
 		leader, _ = cluster.elect(nodeB)
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, other)
 		heartbeat(t, leader, other)
 		if got := other.StartedAttempts(); len(got) != 1 {
 			t.Errorf("%d tasks a job: %v started beside tasks that have ended, want the job that waits", pieces, got)
@@ -192,8 +175,7 @@
 // durable. Its successor uses the room. When the first wakes, its record fails and
 // nothing of what it reserved is ever started.
 func TestPausedLeaderCannotUseReservedQuota(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(4))
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
@@ -209,8 +191,7 @@
 	}
 	stop() // it sleeps from here
 	newLeader, _ := cluster.elect(nodeB)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if got := other.LiveTasks(); len(got) != 2 {
 		t.Fatalf("the successor's tasks: %v", got)
 	}
@@ -241,8 +222,7 @@
 	newLeader, _ := cluster.elect(nodeB)
 	started := len(worker.StartedAttempts())
 	for _, task := range first {
-		heartbeat(t, newLeader, worker)
-		cluster.settle(newLeader)
+		cluster.reportAndSettle(newLeader, worker)
 		if got := len(worker.LiveTasks()); got > 4 {
 			t.Fatalf("%d tasks run", got)
 		}
@@ -254,8 +234,7 @@
 		}
 		worker.EndTask(task, wire.CauseDone)
 	}
-	heartbeat(t, newLeader, worker)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, worker)
 	if got := worker.LiveTasks(); len(got) != 2 {
 		t.Errorf("the last two tasks: %v", got)
 	}
--- a/quota_test.go
+++ b/quota_test.go
@@ -26,7 +26,7 @@
 	if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs, jobSpec("j-2", nil)); code != http.StatusUnprocessableEntity {
 		t.Errorf("a task of 2 cores under a limit of 1: status %d, want 422", code)
 	}
-	if code, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK || status.Status != wire.JobQueued {
+	if code, status, _ := cluster.ask(nodeB, http.MethodGet, jobPath("j-1"), nil); code != http.StatusOK || status.Status != wire.JobQueued {
 		t.Errorf("the accepted job: %d %+v", code, status)
 	}
 	newLeader.mu.Lock()
@@ -55,8 +55,7 @@
 	worker.EndTask(running[0], wire.CauseDone)
 	late := worker.Report() // of the first task's end
 	for range 3 {
-		heartbeat(t, leader, worker)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, worker)
 	}
 	if got := worker.LiveTasks(); len(got) != 1 || got[0] == running[0] {
 		t.Fatalf("after the first task's end: %v", got)
--- a/recording_test.go
+++ b/recording_test.go
@@ -28,12 +28,10 @@
 		before = cluster.state.ChangeCount()
 		for i := range tasks - 1 {
 			worker.EndTask(fmt.Sprintf("j-1/%d", i), wire.CauseDone)
-			heartbeat(t, leader, worker)
-			cluster.settle(leader)
+			cluster.reportAndSettle(leader, worker)
 		}
 		cluster.advance(3 * time.Second)
-		heartbeat(t, leader, worker)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, worker)
 		return placed, cluster.state.ChangeCount() - before
 	}
 	fewPlaced, fewEnded := puts(6)
@@ -48,8 +46,7 @@
 // of leaders in the middle neither loses one nor runs one twice.
 func TestSingleTaskJobsShareRecords(t *testing.T) {
 	puts := func(jobs int) float64 {
-		cluster := newTestCluster(t)
-		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 		l, stop := cluster.elect(nodeA)
 		var workers []*standin.Worker
 		for i := range 4 {
@@ -84,7 +81,7 @@
 		work(l, 12)
 		cluster.settle(l)
 		for k := range jobs {
-			if _, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/"+uid(k), nil); status.Status != wire.JobDone {
+			if _, status, _ := cluster.ask(nodeB, http.MethodGet, jobPath(uid(k)), nil); status.Status != wire.JobDone {
 				t.Fatalf("%s of %d: %+v, want done", uid(k), jobs, status)
 			}
 			if code, status, _ := cluster.ask(nodeA, http.MethodPost, wire.PathJobs, jobSpec(uid(k), nil)); code != http.StatusOK || status.Status != wire.JobDone {
--- a/resignation_test.go
+++ b/resignation_test.go
@@ -15,7 +15,6 @@
 	"cedardoor/detector"
 	"cedardoor/internal/standin"
 	"cedardoor/peer"
-	"cedardoor/store"
 	"cedardoor/wire"
 )
 
@@ -35,9 +34,7 @@
 		t.Fatal("gave up too early")
 	}
 	live(2 * time.Second)
-	for cluster.state.Value(store.KeyLead, nil) {
-		runtime.Gosched()
-	}
+	cluster.awaitResignation()
 	w := leader.cfg.Facts.Workers
 	if at := limit.Seconds() + w.LeaseS + leader.operator.Lead.TTLs; at >= w.CancelS {
 		t.Errorf("gives up %v s after it last knew, too late for a lease before %v s", limit, w.CancelS)
@@ -69,9 +66,7 @@
 
 // A leader cut off from every worker makes room for one that may hear them.
 func TestIsolatedLeaderResigns(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	heartbeat(t, leader, cluster.worker("n-1", "x", true))
 	heartbeat(t, leader, cluster.worker("n-2", "y", true))
 	cluster.advance(9 * time.Second)
@@ -82,17 +77,13 @@
 	cluster.advance(2 * time.Second)
 	leader.resignIfIsolated(t.Context())
 	// The lease is dropped: the key goes.
-	for cluster.state.Value(store.KeyLead, nil) {
-		runtime.Gosched()
-	}
+	cluster.awaitResignation()
 }
 
 // With many machines, one interval without any heartbeat is proof enough: the sooner
 // another leads, the fewer leases run out.
 func TestIsolatedLeaderOfManyMachinesResignsSooner(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.advance(time.Second)
 	for i := range detector.ReliableReporters {
 		heartbeat(t, leader, cluster.worker(fmt.Sprintf("n-%d", i), "x", true))
@@ -104,9 +95,7 @@
 	}
 	cluster.advance(time.Second)
 	leader.resignIfIsolated(t.Context())
-	for cluster.state.Value(store.KeyLead, nil) {
-		runtime.Gosched()
-	}
+	cluster.awaitResignation()
 }
 
 func TestNoHeartbeatResponseWithoutLease(t *testing.T) {
@@ -122,9 +111,7 @@
 
 // When none hears, the fault is this leader's: another may be heard.
 func TestUnacknowledgedLeaderResigns(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	var all []*standin.Worker
 	for i := range 4 {
 		worker := cluster.worker("n-"+string(rune('1'+i)), "x", true)
@@ -143,9 +130,7 @@
 		}
 	}
 	leader.pass(t.Context())
-	for cluster.state.Value(store.KeyLead, nil) {
-		runtime.Gosched()
-	}
+	cluster.awaitResignation()
 	if len(cluster.cloud.RentalRequests()) != 0 && len(cluster.cloud.Machines()) == 0 {
 		t.Error("machines were returned for the leader's own fault")
 	}
@@ -193,8 +178,7 @@
 
 // A node that was not told for a while who leads sends workers nowhere.
 func TestLeaderHintExpires(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	cluster.elect(nodeA)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/team_reports_test.go
+++ b/team_reports_test.go
@@ -48,7 +48,7 @@
 		t.Errorf("at its limit: %s", diff)
 	}
 	worker.SetUnreachable(true) // direct commands don't arrive
-	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != http.StatusOK {
+	if code, _, _ := cluster.ask(node, http.MethodPost, cancelPath("j-1"), nil); code != http.StatusOK {
 		t.Fatalf("abort: %d", code)
 	}
 	cluster.resync(leader)
--- a/unresponsive_machines_test.go
+++ b/unresponsive_machines_test.go
@@ -17,16 +17,14 @@
 // A machine that hung before the leaders changed is returned by the new one,
 // so that its replica does not wait out a lease with every leader.
 func TestHungMachineIsReturnedByNextLeader(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", false)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) {
 		spec.Kind, spec.Priority, spec.Preemptible = wire.KindService, "critical", false
 	}))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
 	other := cluster.worker("n-2", "y", false)
@@ -108,9 +106,7 @@
 
 // Silent machines with replicas are returned together, in one request.
 func TestUnresponsiveMachinesAreReturnedTogether(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.makeUnresponsive(leader, node, []string{"y", "y"}, 12)
 	for len(cluster.cloud.Returns()) == 0 {
 		runtime.Gosched()
@@ -123,9 +119,7 @@
 // A zone that falls silent as a whole is cut off: its replicas run on until
 // their leases end, so it is replaced, but not returned.
 func TestPartitionedZoneIsNotReturned(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.makeUnresponsive(leader, node, []string{"x", "x", "x"}, 18)
 	if got := cluster.cloud.Returns(); len(got) != 0 {
 		t.Errorf("returned %v", got)
@@ -148,8 +142,7 @@
 	other := cluster.worker("n-2", "y", true)
 	worker.SetUnreachable(true)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	for range 4 {
 		cluster.advance(3 * time.Second)
 		deliverReport(t, leader, worker.Report()) // its answer is lost
@@ -189,8 +182,7 @@
 	leader.operator.Fleet.Enabled = false // nothing is returned
 	worker.SetUnreachable(true)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	for range 4 {
 		cluster.advance(3 * time.Second)
 		deliverReport(t, leader, worker.Report())
@@ -201,8 +193,7 @@
 	}
 	worker.SetUnreachable(false)
 	heartbeat(t, leader, worker)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	if !cluster.machineUsable(leader, "n-1") || leader.fleet.Machine("n-1").QuarantineReason != "" || len(worker.StartedAttempts()) != 1 {
 		t.Errorf("banned %q after it heard again, starts %v", leader.fleet.Machine("n-1").QuarantineReason, worker.StartedAttempts())
 	}
@@ -217,16 +208,13 @@
 	worker.SetUnreachable(true)
 	deliverReport(t, leader, held)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if cluster.machineUsable(leader, "n-1") || len(worker.StartedAttempts()) != 0 {
 		t.Fatal("revived by a late copy")
 	}
 	worker.SetUnreachable(false)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
+	cluster.reportAndSettle(leader, worker)
 	if !cluster.machineUsable(leader, "n-1") || len(worker.StartedAttempts()) != 1 {
 		t.Errorf("not trusted after it answered; starts %v", worker.StartedAttempts())
 	}
@@ -237,8 +225,7 @@
 func TestWorkerProcessRestart(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	for range 5 {
 		heartbeat(t, leader, worker)
 	}
@@ -287,16 +274,13 @@
 // Where leaders change faster, it is asked, so that it need not stand idle until
 // its next regular report.
 func TestWorkerIsProbedForToken(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	worker := cluster.worker("n-1", "x", true)
 	report := worker.Report()
 	response, _ := leader.Heartbeat(&report)
 	worker.HandleResponse(response)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if cluster.machineUsable(leader, "n-1") || len(worker.StartedAttempts()) != 0 {
 		t.Fatal("trusted on a report that may be a copy")
 	}
--- a/user_requests_test.go
+++ b/user_requests_test.go
@@ -58,7 +58,7 @@
 			t.Errorf("GET %s: status %d, want %d", path, got, want)
 		}
 	}
-	if got, _, _ := cluster.ask(node, http.MethodDelete, wire.PathJobs+"/j-1", nil); got != 405 {
+	if got, _, _ := cluster.ask(node, http.MethodDelete, jobPath("j-1"), nil); got != 405 {
 		t.Errorf("wrong method: status %d", got)
 	}
 	// A store that can't be read is 503 with a time to come back, never 404.
@@ -76,30 +76,29 @@
 
 // A node that the state service refuses alone serves users through another.
 func TestRefusedControllerRelays(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	cluster.connect(nodeA, nodeB)
 	cluster.elect(nodeB)
 	cluster.submit(nodeA, jobSpec("j-1", nil))
 	cluster.state.Refuse(nodeA.cfg.Node, true)
 	for range 2 { // the first refusals show that it is not a single one
-		cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil)
+		cluster.ask(nodeA, http.MethodGet, jobPath("j-1"), nil)
 	}
-	if code, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || status.UID != "j-1" {
+	if code, status, _ := cluster.ask(nodeA, http.MethodGet, jobPath("j-1"), nil); code != 200 || status.UID != "j-1" {
 		t.Errorf("query: %d %+v", code, status)
 	}
 	if code, _, _ := cluster.ask(nodeA, http.MethodPost, wire.PathJobs, jobSpec("j-2", nil)); code != 201 {
 		t.Errorf("submit: %d", code)
 	}
-	if code, _, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-3", nil); code != 404 {
+	if code, _, _ := cluster.ask(nodeA, http.MethodGet, jobPath("j-3"), nil); code != 404 {
 		t.Errorf("unknown job: %d", code)
 	}
-	if code, status, _ := cluster.ask(nodeA, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || status.Status != wire.JobCancelled {
+	if code, status, _ := cluster.ask(nodeA, http.MethodPost, cancelPath("j-1"), nil); code != 200 || status.Status != wire.JobCancelled {
 		t.Errorf("abort: %d %+v", code, status)
 	}
 	// In an outage nobody can serve: the answer is 503, at once.
 	cluster.state.Refuse("", true)
-	if code, _, h := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 503 || h.Get("Retry-After") == "" {
+	if code, _, h := cluster.ask(nodeA, http.MethodGet, jobPath("j-2"), nil); code != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("in an outage: %d %v", code, h)
 	}
 }
@@ -136,23 +135,22 @@
 // A node answers no poll from what it knew before the poll came: what another
 // node has told since must not be taken back.
 func TestPollsNeverGoBack(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	cluster.submit(nodeA, jobSpec("j-1", nil))
 	for _, node := range []*Service{nodeA, nodeB} {
-		if code, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || status.Status != wire.JobQueued {
+		if code, status, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); code != 200 || status.Status != wire.JobQueued {
 			t.Fatalf("%d %+v", code, status)
 		}
 	}
-	if code, _, _ := cluster.ask(nodeA, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
+	if code, _, _ := cluster.ask(nodeA, http.MethodPost, cancelPath("j-1"), nil); code != 200 {
 		t.Fatalf("abort: %d", code)
 	}
-	if _, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobCancelled {
+	if _, status, _ := cluster.ask(nodeB, http.MethodGet, jobPath("j-1"), nil); status.Status != wire.JobCancelled {
 		t.Errorf("the other node still says %q", status.Status)
 	}
 	cluster.submit(nodeB, jobSpec("j-2", nil))
 	cluster.state.Compact() // the history of changes is gone: all is read again
-	if code, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 200 || status.Status != wire.JobQueued {
+	if code, status, _ := cluster.ask(nodeA, http.MethodGet, jobPath("j-2"), nil); code != 200 || status.Status != wire.JobQueued {
 		t.Errorf("after the history was gone: %d %+v", code, status)
 	}
 }
@@ -171,7 +169,7 @@
 			heartbeat(t, leader, worker)
 			// Every node knows the time before, so that it could answer from it.
 			for _, node := range nodes {
-				if code, _, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusNotFound {
+				if code, _, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); code != http.StatusNotFound {
 					t.Fatalf("not submitted yet: %d", code)
 				}
 			}
@@ -182,18 +180,16 @@
 				}
 				cluster.checkAnswers("accepted", cluster.askEverywhere(nodes, uid, false), wire.JobQueued, wire.JobRunning, "503")
 			}
-			cluster.resync(leader)
-			cluster.settle(leader)
+			cluster.syncAndSettle(leader)
 			tr.set(cluster.state)
-			if _, status := cluster.askUntilAnswered(nodes[1:], http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
+			if _, status := cluster.askUntilAnswered(nodes[1:], http.MethodPost, cancelPath("j-2"), nil); status.Status != wire.JobCancelled {
 				t.Fatalf("abort: %+v", status)
 			}
 			cluster.checkAnswers("cancelled", cluster.askEverywhere(nodes, "j-2", true), wire.JobCancelled, "503")
 			cluster.resync(leader)
 			worker.EndTask("j-1/0", wire.CauseDone)
-			heartbeat(t, leader, worker)
-			cluster.settle(leader)
-			if _, status := cluster.askUntilAnswered(nodes, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobDone {
+			cluster.reportAndSettle(leader, worker)
+			if _, status := cluster.askUntilAnswered(nodes, http.MethodGet, jobPath("j-1"), nil); status.Status != wire.JobDone {
 				t.Fatalf("ended: %+v", status)
 			}
 			cluster.checkAnswers("done", cluster.askEverywhere(nodes, "j-1", true), wire.JobDone, "503")
@@ -241,7 +237,7 @@
 	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec("j-100", func(spec *wire.Spec) { spec.Priority = "critical" })); code != http.StatusCreated {
 		t.Errorf("a critical job: %d, want 201", code)
 	}
-	if code, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-0/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+	if code, status, _ := cluster.ask(node, http.MethodPost, cancelPath("j-0"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
 		t.Errorf("abort: %d %+v", code, status)
 	}
 }
@@ -253,7 +249,7 @@
 	node := cluster.node(nil)
 	_, _ = cluster.elect(node)
 	cluster.submit(node, jobSpec("j-1", nil))
-	if code, _, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK {
+	if code, _, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); code != http.StatusOK {
 		t.Fatalf("poll: %d", code)
 	}
 	small := node.cfg.Facts.State
@@ -273,7 +269,7 @@
 	if got[http.StatusNotFound] == 0 || got[http.StatusServiceUnavailable] < 60 || len(got) != 2 {
 		t.Errorf("answers by status: %v", got)
 	}
-	if code, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK || status.Status != wire.JobQueued {
+	if code, status, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); code != http.StatusOK || status.Status != wire.JobQueued {
 		t.Errorf("a job that runs, in the storm: %d %+v", code, status)
 	}
 }
