--- a/cancellation_outage_test.go
+++ b/cancellation_outage_test.go
@@ -57,8 +57,8 @@
 // attest: it began since, it has forgotten some, or they fit no message. Then
 // heartbeats go unanswered when the lease ends, and the leases do the rest.
 func TestNoAttestationWithoutCompleteCancellations(t *testing.T) {
-	tests := map[string]func(cluster *testCluster, node *Service) *Service{
-		"began since": func(cluster *testCluster, node *Service) *Service {
+	tests := map[string]func(cluster *testCluster, leading, node *Service) *Service{
+		"began since": func(cluster *testCluster, _, node *Service) *Service {
 			cluster.submit(node, jobSpec("j-7", nil))
 			cluster.nodeCount -= 2 // the same node again
 			again := cluster.node(nil)
@@ -66,22 +66,22 @@
 			cluster.checkStatus(again, "j-7", wire.JobQueued)
 			return again
 		},
-		"never had an answer": func(cluster *testCluster, _ *Service) *Service { return cluster.node(nil) },
-		"has forgotten": func(cluster *testCluster, node *Service) *Service {
+		"never had a response": func(cluster *testCluster, _, _ *Service) *Service { return cluster.node(nil) },
+		"has forgotten": func(cluster *testCluster, _, node *Service) *Service {
 			cluster.cancelJob(node, "j-1")
 			for i := range 9000 {
 				node.users.Cancels.Known(fmt.Sprintf("j-%d", 100+i), 1)
 			}
 			return node
 		},
-		"too many for a message": func(_ *testCluster, node *Service) *Service {
+		"too many for a message": func(_ *testCluster, _, node *Service) *Service {
 			for i := range 2000 {
 				node.users.Cancels.Expect(fmt.Sprintf("j-%d", 100+i))
 			}
 			return node
 		},
-		"knows a later leader": func(cluster *testCluster, node *Service) *Service {
-			cluster.disconnect(cluster.firstLeader)
+		"knows a later leader": func(cluster *testCluster, leading, node *Service) *Service {
+			cluster.disconnect(leading)
 			cluster.clock.Advance(6 * time.Second)
 			cluster.elect(node)
 			return node
@@ -90,19 +90,18 @@
 	for name, mod := range tests {
 		t.Run(name, func(t *testing.T) {
 			cluster, nodes, leader, _ := connectedCluster(t)
-			cluster.firstLeader = nodes[0]
-			o := peer.Outage{Asked: true, Lead: leader.term.Revision, Epoch: leader.syncedRevision()}
+			outage := peer.Outage{Asked: true, Lead: leader.term.Revision, Epoch: leader.syncedRevision()}
 			cluster.state.Refuse("", true)
-			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: o}); !r.Word.Attests {
+			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: outage}); !r.Word.Attests {
 				t.Fatal("does not attest though it can vouch")
 			}
 			cluster.state.Refuse("", false)
-			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: o}); r.Word.Attests {
+			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: outage}); r.Word.Attests {
 				t.Fatal("attests though the state service serves it")
 			}
-			node := mod(cluster, nodes[1])
+			node := mod(cluster, nodes[0], nodes[1])
 			cluster.state.Refuse("", true)
-			if r := node.answerPeer(t.Context(), peer.Ask{Outage: o}); r.Word.Attests {
+			if r := node.answerPeer(t.Context(), peer.Ask{Outage: outage}); r.Word.Attests {
 				t.Errorf("attests, with cancels %v", r.Word.Cancelled)
 			}
 			// An old form of the question, or none, is no question at all.
--- a/cancellation_test.go
+++ b/cancellation_test.go
@@ -25,9 +25,7 @@
 	heartbeat(t, leader, worker)
 	cluster.submit(nodeB, jobSpec("j-1", nil))
 	cluster.resync(leader)
-	if code, status, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-1"), nil); code != 200 || status.Status != wire.JobCancelled {
-		t.Fatalf("abort: %d %+v", code, status)
-	}
+	cluster.cancelJob(nodeB, "j-1")
 	cluster.settle(leader)
 	cluster.reportAndSettle(leader, worker)
 	if got := worker.StartedAttempts(); len(got) != 0 {
@@ -42,9 +40,7 @@
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.syncAndSettle(leader)
-	if code, _, _ := cluster.ask(node, http.MethodPost, cancelPath("j-1"), nil); code != 200 {
-		t.Fatalf("abort: %d", code)
-	}
+	cluster.cancelJob(node, "j-1")
 	cluster.syncAndSettle(leader)
 	if got := worker.LiveTasks(); len(got) != 0 {
 		t.Fatalf("still on the machine: %v", got)
@@ -264,13 +260,11 @@
 		}
 	}
 	newLeader, _ := cluster.elect(nodeB)
-	if code, status, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-1"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
-		t.Fatalf("abort: %d %+v", code, status)
-	}
+	cluster.cancelJob(nodeB, "j-1")
 	cluster.resync(newLeader)
 	cluster.checkAnswers("asked at the cut node", cluster.askEverywhere([]*Service{nodeA}, "j-1", true), "503")
 	cluster.settle(oldLeader)
-	if report := worker.Report(); func() bool { _, ok := oldLeader.Heartbeat(&report); return ok }() {
+	if answersHeartbeat(oldLeader, worker) {
 		t.Error("the cut leader still answers heartbeats")
 	}
 	for range 3 {
@@ -301,9 +295,7 @@
 		t.Fatalf("on the machine: %v", got)
 	}
 	worker.SetUnreachable(true)
-	if code, _, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-2"), nil); code != http.StatusOK {
-		t.Fatalf("abort: %d", code)
-	}
+	cluster.cancelJob(nodeB, "j-2")
 	stop()
 	leader, _ = cluster.elect(nodeB)
 	leader.mu.Lock()
--- a/commands_test.go
+++ b/commands_test.go
@@ -1,7 +1,6 @@
 package cedardoor
 
 import (
-	"net/http"
 	"slices"
 	"testing"
 	"time"
@@ -101,9 +100,7 @@
 		cluster.advance(3 * time.Second)
 		cluster.reportAndSettle(leader, other)
 	}
-	if code, _, _ := cluster.ask(node, http.MethodPost, cancelPath("j-2"), nil); code != http.StatusOK {
-		t.Fatalf("abort: %d", code)
-	}
+	cluster.cancelJob(node, "j-2")
 	cluster.syncAndSettle(leader)
 	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0"}) {
 		t.Errorf("on the mute machine %v after the cancel", got)
--- a/damaged_records_test.go
+++ b/damaged_records_test.go
@@ -210,8 +210,7 @@
 	for i := range 10 {
 		cluster.advance(3 * time.Second)
 		if i == 0 || i == 4 {
-			report := worker.Report()
-			newLeader.Heartbeat(&report) // the answer is lost, so the token is never shown
+			reportWithoutResponse(newLeader, worker) // so that the token is never reported
 		}
 		cluster.reportAndSettle(newLeader, other)
 	}
--- a/failover_test.go
+++ b/failover_test.go
@@ -31,7 +31,7 @@
 		t.Fatalf("token %d after %d", newLeader.term.Token, oldLeader.term.Token)
 	}
 	// The old leader's pass writes nothing any more.
-	if report := worker.Report(); func() bool { _, ok := oldLeader.Heartbeat(&report); return ok }() {
+	if answersHeartbeat(oldLeader, worker) {
 		t.Error("the old leader still answers heartbeats")
 	}
 	cluster.reportAndSettle(newLeader, other)
@@ -158,15 +158,15 @@
 // worker under a lead that it does not know to have; the token under which one does
 // is the one on record and above all that were there before, also the next leader's.
 func TestElectionWithLostTransactionResponse(t *testing.T) {
-	for _, tr := range transactionFaults[1:] {
-		t.Run(tr.name, func(t *testing.T) {
+	for _, fault := range transactionFaults[1:] {
+		t.Run(fault.name, func(t *testing.T) {
 			cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 			token := func() uint64 {
 				var on store.TokenRecord
 				cluster.state.Value(store.KeyToken, &on)
 				return on.Token
 			}
-			tr.set(cluster.state)
+			fault.inject(cluster.state)
 			ctx, cancel := context.WithCancel(t.Context())
 			ready, done := make(chan lead.Term, 1), make(chan struct{})
 			go func() {
@@ -194,8 +194,8 @@
 			if !cluster.state.Value(store.KeyLead, &key) || key.Node != nodeA.cfg.Node || term.Token <= before || term.Token != token() {
 				t.Fatalf("leads under %d, on record are %d, %d before, and %q", term.Token, token(), before, key.Node)
 			}
-			tr.set(cluster.state)
-			if _, err := nodeA.elector.RaiseToken(t.Context()); (err == nil) != (tr.name == "answer lost") {
+			fault.inject(cluster.state)
+			if _, err := nodeA.elector.RaiseToken(t.Context()); (err == nil) != (fault.name == "response lost") {
 				t.Errorf("raise: %v", err)
 			}
 			if now, ok := nodeA.elector.MayAnswerHeartbeats(); !ok || now != token() {
@@ -225,9 +225,7 @@
 	leader.dispatcher.TokenRaised(leader.clock.Now()) // no raise yet
 	leader.mu.Unlock()
 	cluster.settle(leader) // the run is held back and in doubt
-	if code, _, _ := cluster.ask(node, http.MethodPost, cancelPath("j-1"), nil); code != http.StatusOK {
-		t.Fatalf("abort: %d", code)
-	}
+	cluster.cancelJob(node, "j-1")
 	cluster.resync(leader)
 	before, _ := node.elector.HoldsLease()
 	cluster.state.DelayNextTransaction()
@@ -350,8 +348,7 @@
 	worker.SetUnreachable(true)
 	for range 10 {
 		cluster.advance(3 * time.Second)
-		report := worker.Report()
-		leader.Heartbeat(&report) // the answer is lost
+		reportWithoutResponse(leader, worker)
 		cluster.reportAndSettle(leader, other)
 		if got := other.StartedAttempts(); len(got) != 0 {
 			t.Fatalf("started elsewhere while it may run: %v", got)
--- a/harness_cluster_setups_test.go
+++ b/harness_cluster_setups_test.go
@@ -28,7 +28,7 @@
 	return cluster, cluster.node(mod), cluster.node(mod)
 }
 
-// clusterWithWorker is a site with one leading node and a worker that has reported.
+// clusterWithWorker returns a cluster with a leader and a worker that has reported.
 func clusterWithWorker(t *testing.T) (*testCluster, *Service, *leader, *standin.Worker) {
 	t.Helper()
 	cluster, node, leader := clusterWithLeader(t)
@@ -37,14 +37,15 @@
 	return cluster, node, leader, worker
 }
 
-// clusterWithWorkers is a leader with so many workers, on which the given jobs fail.
-func clusterWithWorkers(t *testing.T, n int, bad ...string) (*testCluster, *Service, *leader, []*standin.Worker) {
+// clusterWithWorkers returns a cluster with a leader and workers that have reported, on which
+// the given jobs and tasks fail.
+func clusterWithWorkers(t *testing.T, count int, failing ...string) (*testCluster, *Service, *leader, []*standin.Worker) {
 	t.Helper()
 	cluster, node, leader := clusterWithLeader(t)
 	var workers []*standin.Worker
-	for i := range n {
+	for i := range count {
 		worker := cluster.worker(fmt.Sprintf("n-%d", i+1), []string{"x", "y"}[i%2], true)
-		for _, uid := range bad {
+		for _, uid := range failing {
 			worker.FailJob(uid)
 		}
 		heartbeat(t, leader, worker)
@@ -53,8 +54,8 @@
 	return cluster, node, leader, workers
 }
 
-// connectedCluster is a site of three joined controllers of which the first leads, with a
-// worker that runs a task each of j-1 and j-2.
+// connectedCluster returns a cluster of three connected controllers of which the first leads,
+// with a worker that runs a task each of j-1 and j-2.
 func connectedCluster(t *testing.T) (cluster *testCluster, nodes []*Service, leader *leader, worker *standin.Worker) {
 	t.Helper()
 	cluster = newTestCluster(t)
@@ -69,7 +70,7 @@
 	for _, uid := range []string{"j-1", "j-2"} {
 		cluster.submit(nodes[1], jobSpec(uid, nil))
 	}
-	for _, node := range nodes { // each has had an answer from the state service since it began
+	for _, node := range nodes { // each has had a response from the state service
 		cluster.checkStatus(node, "j-1", wire.JobQueued)
 	}
 	cluster.syncAndSettle(leader)
@@ -80,7 +81,7 @@
 	return cluster, nodes, leader, worker
 }
 
-// leadWithJob is a platform whose first leader has placed what it could of a job.
+// leadWithJob makes a node lead, with a worker, and lets it place what it can of a job.
 func leadWithJob(t *testing.T, node *Service, cluster *testCluster, tasks int) (leader *leader, worker *standin.Worker, stop func()) {
 	t.Helper()
 	leader, stop = cluster.elect(node)
@@ -92,8 +93,8 @@
 	return leader, worker, stop
 }
 
-// adoptedFleet is a new leader that has read the records of so many machines with
-// the given tasks on each, all of them of predecessors.
+// adoptedFleet returns a new leader that has adopted machines with tasks of its predecessors
+// from the records, and has received no heartbeats.
 func adoptedFleet(t testing.TB, machines, tasks int) (*testCluster, *leader) {
 	t.Helper()
 	cluster, _, leader := clusterWithLeader(t)
@@ -126,7 +127,7 @@
 	return cluster, leader
 }
 
-// fleetReport is what the i-th machine of an adopted fleet says.
+// fleetReport returns a heartbeat of the i-th machine of an adopted fleet.
 func fleetReport(i, tasks int, sequence, token uint64) *wire.Heartbeat {
 	report := &wire.Heartbeat{Machine: fmt.Sprintf("n-%d", i), Endpoint: "e", MachineType: "b", Zone: "x", Incarnation: 1, Sequence: sequence, Token: token}
 	for k := range tasks {
@@ -135,14 +136,15 @@
 	return report
 }
 
-// trustedFleet is a leader that trusts machines with tasks on each.
+// trustedFleet returns a leader with machines that run tasks and have confirmed their adoption.
 func trustedFleet(tb testing.TB, machines, tasks int) (*testCluster, *leader) {
+	tb.Helper()
 	cluster, leader := adoptedFleet(tb, machines, tasks)
-	for tally, token := range []uint64{0, leader.term.Token, leader.term.Token} {
+	for round, token := range []uint64{0, leader.term.Token, leader.term.Token} {
 		for i := range machines {
-			report := fleetReport(i, tasks, uint64(tally)+1, token)
+			report := fleetReport(i, tasks, uint64(round)+1, token)
 			if _, ok := leader.Heartbeat(report); !ok {
-				tb.Fatal("beat not answered")
+				tb.Fatal("heartbeat not answered")
 			}
 		}
 	}
--- a/harness_cluster_test.go
+++ b/harness_cluster_test.go
@@ -23,47 +23,50 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// testCluster is a small platform with scripted parts and a fake clock.
+// testCluster is a small platform on a fake clock. Tests let time pass, workers report and
+// leaders run passes step by step. Controllers are called nodes, as in their settings.
 type testCluster struct {
 	tb           testing.TB
 	clock        *clockwork.FakeClock
 	state        *standin.State
 	cloud        *standin.Cloud
 	nodeCount    int
-	disconnected map[string]*atomic.Bool // by a node's address of the state service
-	firstLeader  *Service                // that led first, where a test needs it
+	disconnected map[string]*atomic.Bool // by the address at which a node reaches the state service
 }
 
+// largeMachineType is the machine type of the workers of a cluster.
 var largeMachineType = wire.MachineType{SKU: "b", Cores: 8, RAM: 32, HourlyPrice: 1, SpotPrice: 0.4, BootS: 30, Zones: []string{"x", "y"}}
 
+// newTestCluster returns a cluster without nodes and workers.
 func newTestCluster(t testing.TB) *testCluster {
-	clk := clockwork.NewFakeClock()
-	return &testCluster{tb: t, clock: clk, disconnected: map[string]*atomic.Bool{}, state: standin.NewState(clk), cloud: standin.NewCloud(largeMachineType)}
+	clock := clockwork.NewFakeClock()
+	return &testCluster{tb: t, clock: clock, disconnected: map[string]*atomic.Bool{}, state: standin.NewState(clock), cloud: standin.NewCloud(largeMachineType)}
 }
 
-func (s *testCluster) serve(h http.Handler) string {
-	srv := httptest.NewServer(h)
-	s.tb.Cleanup(srv.Close)
-	return strings.TrimPrefix(srv.URL, "http://")
+// serve serves a handler on loopback for the rest of the test, and returns its address.
+func (s *testCluster) serve(handler http.Handler) string {
+	server := httptest.NewServer(handler)
+	s.tb.Cleanup(server.Close)
+	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// node makes one controller of the site.
+// node returns a new controller. Its settings are changed by mod, if it is not nil.
 func (s *testCluster) node(mod func(facts *config.Facts)) *Service {
 	s.nodeCount++
 	cfg := &config.Platform{Node: fmt.Sprintf("node-%d", s.nodeCount), ClientListen: "127.0.0.1:0", Back: "127.0.0.1:0"}
-	dead := new(atomic.Bool)
+	disconnected := new(atomic.Bool)
 	inner := s.state.Handler(cfg.Node)
 	cfg.Outside.State = s.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if dead.Load() {
+		if disconnected.Load() {
 			panic(http.ErrAbortHandler)
 		}
 		inner.ServeHTTP(w, r)
 	}))
-	s.disconnected[cfg.Outside.State] = dead
+	s.disconnected[cfg.Outside.State] = disconnected
 	cfg.Outside.Cloud = s.serve(s.cloud)
 	cfg.Facts = config.Facts{InitialSize: 3, Zones: []string{"x", "y"}, Teams: []config.Team{{Name: "team"}},
 		Workers: config.Workers{ReportS: 3, LeaseS: 18, CancelS: 40},
-		State:   config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 8, TxnOps: 24}, // budgets go by the real clock: out of the way
+		State:   config.State{RPS: 1e6, WriteRPS: 1e6, ValueKB: 8, TxnOps: 24}, // rate limits use the real clock, so that they must not be reached
 		Cloud:   config.Cloud{RPS: 1000, ListLagS: 8},
 		Limits:  config.Limits{CoreShare: 1, MemMB: 200, FDLimit: 500}}
 	if mod != nil {
@@ -76,8 +79,10 @@
 	return newService(cfg, operator, slog.New(slog.NewTextHandler(io.Discard, nil)), clock.New(s.clock))
 }
 
-// elect makes a node lead for the rest of the test, or until stop is called.
+// elect makes a node lead for the rest of the test, or until stop is called, and lets it
+// load the records.
 func (s *testCluster) elect(node *Service) (leader *leader, stop func()) {
+	s.tb.Helper()
 	ctx, cancel := context.WithCancel(s.tb.Context())
 	ready := make(chan lead.Term)
 	done := make(chan struct{})
@@ -107,39 +112,49 @@
 	return leader, stop
 }
 
-// disconnect lets nothing of a node reach the state service any more.
+// disconnect cuts a node from the state service for the rest of the test.
 func (s *testCluster) disconnect(node *Service) { s.disconnected[node.cfg.Outside.State].Store(true) }
 
-// worker makes a worker whose /do is served.
+// worker returns a worker that is served.
 func (s *testCluster) worker(host, zone string, preemptible bool) *standin.Worker {
 	worker := standin.NewWorker(host, "", "b", zone, preemptible)
 	worker.Identity.Endpoint = s.serve(worker)
 	return worker
 }
 
-// connect lets controllers reach each other.
+// connect links controllers to each other.
 func (s *testCluster) connect(nodes ...*Service) {
 	s.tb.Helper()
 	for _, node := range nodes {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			s.tb.Fatal(err)
 		}
-		done := make(chan struct{})
 		ctx, cancel := context.WithCancel(s.tb.Context())
-		go func() { defer close(done); peer.Serve(ctx, ln, node.answerPeer, node.log) }()
+		done := make(chan struct{})
+		go func() { defer close(done); peer.Serve(ctx, listener, node.answerPeer, node.log) }()
 		s.tb.Cleanup(func() { cancel(); <-done })
+		address := listener.Addr().String()
 		for _, other := range nodes {
 			if other != node {
-				other.attestationLinks[node.cfg.Node] = peer.NewLink(ln.Addr().String())
-				other.relayLinks[node.cfg.Node] = peer.NewLink(ln.Addr().String())
+				other.attestationLinks[node.cfg.Node], other.relayLinks[node.cfg.Node] = peer.NewLink(address), peer.NewLink(address)
 				other.users.Relay = other.relay
 			}
 		}
 	}
 }
 
-// acquireTerm makes a node lead for the rest of the test, without loading anything.
+// connectWithIsolation links controllers to each other, and lets each refuse users while it
+// is isolated.
+func (s *testCluster) connectWithIsolation(nodes ...*Service) {
+	s.tb.Helper()
+	s.connect(nodes...)
+	for _, node := range nodes {
+		node.users.Alone = node.isolated
+	}
+}
+
+// acquireTerm makes a node lead for the rest of the test, without loading the records.
 func (s *testCluster) acquireTerm(node *Service) lead.Term {
 	s.tb.Helper()
 	ctx, cancel := context.WithCancel(s.tb.Context())
@@ -152,30 +167,7 @@
 	return <-ready
 }
 
-// withTeamLimit keeps a team to so many cores.
+// withTeamLimit returns a change of settings that limits the team of a cluster to so many cores.
 func withTeamLimit(cores float64) func(facts *config.Facts) {
 	return func(facts *config.Facts) { facts.Teams[0].CPUsMax = cores }
 }
-
-// connectWithIsolation links controllers to each other, as their settings would.
-func (s *testCluster) connectWithIsolation(nodes ...*Service) {
-	s.tb.Helper()
-	for _, node := range nodes {
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			s.tb.Fatal(err)
-		}
-		ctx, cancel := context.WithCancel(s.tb.Context())
-		done := make(chan struct{})
-		go func() { defer close(done); peer.Serve(ctx, ln, node.answerPeer, node.log) }()
-		s.tb.Cleanup(func() { cancel(); <-done })
-		for _, other := range nodes {
-			if other != node {
-				other.attestationLinks[node.cfg.Node], other.relayLinks[node.cfg.Node] = peer.NewLink(ln.Addr().String()), peer.NewLink(ln.Addr().String())
-			}
-		}
-	}
-	for _, node := range nodes {
-		node.users.Relay, node.users.Alone = node.relay, node.isolated
-	}
-}
--- a/harness_records_test.go
+++ b/harness_records_test.go
@@ -13,7 +13,7 @@
 // damagedRecord is the value of a record that can't be decoded.
 const damagedRecord = "torn"
 
-// writeRecord puts a record into the state service, past all controllers.
+// writeRecord writes a record to the state service directly.
 func (s *testCluster) writeRecord(node *Service, key string, value any) {
 	s.tb.Helper()
 	if _, err := node.store.Commit(s.tb.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: key, Value: value}}}); err != nil {
@@ -21,7 +21,7 @@
 	}
 }
 
-// deleteRecord deletes a record, past all controllers.
+// deleteRecord deletes a record from the state service directly.
 func (s *testCluster) deleteRecord(node *Service, key string) {
 	s.tb.Helper()
 	if _, err := node.store.Commit(s.tb.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Delete: key}}}); err != nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// lookUpOrphans reads the jobs of tasks that workers show and that are not on the books.
+// lookUpOrphans lets the leader read the jobs of the orphans that workers have reported.
 func (s *testCluster) lookUpOrphans(leader *leader) {
 	s.tb.Helper()
 	for _, uid := range leader.takeWantedLookups() {
@@ -39,6 +39,7 @@
 	}
 }
 
+// mustRecoveryReport returns the leader's report of its recovery.
 func mustRecoveryReport(t *testing.T, leader *leader) recovery.Report {
 	t.Helper()
 	report, known := leader.recoveryReport()
@@ -48,24 +49,24 @@
 	return report
 }
 
-// startTask lets a worker run a task as some earlier leader may have told it to.
+// startTask starts a task on a worker, as an earlier leader may have done.
 func startTask(worker *standin.Worker, token uint64, task string, attempt uint64) {
 	worker.HandleResponse(wire.HeartbeatResponse{Token: token, Commands: []wire.Command{{Verb: wire.VerbRun, Task: task, Attempt: attempt}}})
 }
 
-// forgetEnded lets a worker forget what has ended, as an earlier leader may have told it.
+// forgetEnded lets a worker forget the tasks that have ended, as an earlier leader may have done.
 func forgetEnded(worker *standin.Worker, token uint64) {
-	var orders []wire.Command
+	var commands []wire.Command
 	report := worker.Report()
-	for _, p := range report.Tasks {
-		if p.Status == wire.TaskEnded {
-			orders = append(orders, wire.Command{Verb: wire.VerbForget, Task: p.Task, Attempt: p.Attempt})
+	for _, task := range report.Tasks {
+		if task.Status == wire.TaskEnded {
+			commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: task.Task, Attempt: task.Attempt})
 		}
 	}
-	worker.HandleResponse(wire.HeartbeatResponse{Token: token, Commands: orders})
+	worker.HandleResponse(wire.HeartbeatResponse{Token: token, Commands: commands})
 }
 
-// reportUnknownTasks is a report that names so many tasks of jobs that are on nobody's books.
+// reportUnknownTasks delivers a report with tasks of jobs that the leader does not know.
 func reportUnknownTasks(t *testing.T, leader *leader, worker *standin.Worker, jobs int) {
 	t.Helper()
 	report := worker.Report()
--- a/harness_requests_test.go
+++ b/harness_requests_test.go
@@ -15,6 +15,7 @@
 	"github.com/go-chi/chi/v5"
 )
 
+// jobSpec returns a batch job of one task, changed by mod, if it is not nil.
 func jobSpec(uid string, mod func(*wire.Spec)) wire.Spec {
 	spec := wire.Spec{UID: uid, Class: "lane", Team: "team", Kind: wire.KindBatch, Priority: "standard", Tasks: 1, Cores: 2, RAM: 4,
 		Image: "img", ImageGB: 1, Preemptible: true, ExpectedS: 10}
@@ -30,7 +31,7 @@
 // cancelPath returns the path at which users cancel a job.
 func cancelPath(uid string) string { return jobPath(uid) + "/abort" }
 
-// submissionBody is a submission's body, changed by mod.
+// submissionBody returns the body of a submission, changed by mod, if it is not nil.
 func submissionBody(t testing.TB, spec wire.Spec, mod func(m map[string]any)) []byte {
 	t.Helper()
 	encoded, err := wire.Marshal(spec)
@@ -53,7 +54,7 @@
 	return encoded
 }
 
-// users serves a node's users' interface and answers one request.
+// ask sends a request to a node's interface for users.
 func (s *testCluster) ask(node *Service, method, path string, body any) (int, wire.JobStatus, http.Header) {
 	s.tb.Helper()
 	r := chi.NewRouter()
@@ -78,6 +79,7 @@
 	return recorder.Code, status, recorder.Header()
 }
 
+// submit submits a job that must be accepted.
 func (s *testCluster) submit(node *Service, spec wire.Spec) {
 	s.tb.Helper()
 	if code, _, _ := s.ask(node, http.MethodPost, wire.PathJobs, spec); code != http.StatusCreated {
@@ -85,6 +87,7 @@
 	}
 }
 
+// checkStatus fails the test if a node does not report the status of a job.
 func (s *testCluster) checkStatus(node *Service, uid, want string) {
 	s.tb.Helper()
 	if code, status, _ := s.ask(node, http.MethodGet, jobPath(uid), nil); code != http.StatusOK || status.Status != want {
@@ -92,16 +95,18 @@
 	}
 }
 
+// cancelJob cancels a job, which must be confirmed.
 func (s *testCluster) cancelJob(node *Service, uid string) {
 	s.tb.Helper()
 	if code, status, _ := s.ask(node, http.MethodPost, cancelPath(uid), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
-		s.tb.Fatalf("abort of %s at %s: %d %q", uid, node.cfg.Node, code, status.Status)
+		s.tb.Fatalf("cancellation of %s at %s: %d %q", uid, node.cfg.Node, code, status.Status)
 	}
 }
 
-// askEverywhere are all the ways in which a user may ask about a job, at every node at
-// once: polls, the same submission again, another under its name, and malformed ones.
-func (s *testCluster) askEverywhere(nodes []*Service, uid string, abort bool) (answers []string) {
+// askEverywhere asks about a job at all nodes at once in all ways in which users may: by polls, by the
+// same submission again, by another under its name and by malformed ones, and by cancellations if cancel
+// is set. It returns the statuses, or the codes where there is none.
+func (s *testCluster) askEverywhere(nodes []*Service, uid string, cancel bool) (answers []string) {
 	s.tb.Helper()
 	type question struct {
 		method, path string
@@ -115,7 +120,7 @@
 		{http.MethodPost, wire.PathJobs, submissionBody(s.tb, jobSpec(uid, nil), func(m map[string]any) { delete(m, "rank") })},
 		{http.MethodPost, wire.PathJobs, submissionBody(s.tb, jobSpec(uid, nil), func(m map[string]any) { m["pieces"] = "many" })},
 	}
-	if abort {
+	if cancel {
 		questions = append(questions, question{http.MethodPost, cancelPath(uid), nil})
 	}
 	var mu sync.Mutex
@@ -138,7 +143,7 @@
 	return answers
 }
 
-// checkAnswers fails the test if one of the answers is not allowed.
+// checkAnswers fails the test if one of the answers of askEverywhere is not allowed.
 func (s *testCluster) checkAnswers(when string, answers []string, allowed ...string) {
 	s.tb.Helper()
 	for _, a := range answers {
@@ -148,7 +153,7 @@
 	}
 }
 
-// askUntilAnswered repeats a user's request, at one node after another, until it gets an answer.
+// askUntilAnswered repeats a user's request, at one node after another, until one can serve it.
 func (s *testCluster) askUntilAnswered(nodes []*Service, method, path string, body any) (code int, status wire.JobStatus) {
 	s.tb.Helper()
 	for i := range 6 {
@@ -160,14 +165,15 @@
 	return code, status
 }
 
-// transactionFault is what befalls the next transaction.
+// transactionFault is what happens to the next transaction.
 type transactionFault struct {
-	name string
-	set  func(st *standin.State)
+	name   string
+	inject func(state *standin.State)
 }
 
+// transactionFaults are all faults of the next transaction; the first is none.
 var transactionFaults = []transactionFault{
 	{"none", func(*standin.State) {}},
-	{"answer lost", func(st *standin.State) { st.LoseResponses(1) }},
-	{"carried out late", func(st *standin.State) { st.DelayNextTransaction() }},
+	{"response lost", func(state *standin.State) { state.LoseResponses(1) }},
+	{"delayed", func(state *standin.State) { state.DelayNextTransaction() }},
 }
--- a/harness_steps_test.go
+++ b/harness_steps_test.go
@@ -14,7 +14,7 @@
 	"cedardoor/wire"
 )
 
-// advance moves the clock in steps, letting the leader renew its lease at each.
+// advance moves the clock in steps of a second, at each of which the leader can renew its lease.
 func (s *testCluster) advance(d time.Duration) {
 	s.tb.Helper()
 	for ; d > 0; d -= time.Second {
@@ -25,15 +25,15 @@
 	}
 }
 
-// heartbeat lets a worker report to the leader and execute the answer; and once more
-// when the leader has yet to see that the worker knows its token.
+// heartbeat lets a worker report to the leader and execute the response, and once more if
+// the worker has not confirmed the leader's token yet.
 func heartbeat(t testing.TB, leader *leader, worker *standin.Worker) {
 	t.Helper()
 	for range 2 {
 		report := worker.Report()
 		response, ok := leader.Heartbeat(&report)
 		if !ok {
-			t.Fatalf("beat of %s not answered", report.Machine)
+			t.Fatalf("heartbeat of %s not answered", report.Machine)
 		}
 		worker.HandleResponse(response)
 		leader.mu.Lock()
@@ -46,26 +46,27 @@
 	}
 }
 
-// settle runs passes until all direct commands have landed and been taken in.
+// settle runs passes until no direct command or probe is in flight.
 func (s *testCluster) settle(leader *leader) {
 	s.tb.Helper()
 	for range 4 {
 		leader.pass(s.tb.Context())
 		for i := 0; ; i++ {
 			leader.mu.Lock()
-			n := leader.dispatcher.InFlightCount() + leader.detector.OpenProbes()
+			inFlight := leader.dispatcher.InFlightCount() + leader.detector.OpenProbes()
 			leader.mu.Unlock()
-			if n == 0 {
+			if inFlight == 0 {
 				break
 			}
 			if i > 100_000 {
-				s.tb.Fatal("direct commands never landed")
+				s.tb.Fatal("direct commands are in flight for ever")
 			}
-			<-leader.wakeups // every landing wakes the loop
+			<-leader.wakeups // the end of each wakes the loop
 		}
 	}
 }
 
+// resync lets the leader read all jobs.
 func (s *testCluster) resync(leader *leader) {
 	s.tb.Helper()
 	if _, err := leader.resync(s.tb.Context(), 0); err != nil {
@@ -110,7 +111,7 @@
 	}
 }
 
-// runSeconds lets seconds go by, with a heartbeat of every worker and a pass in each.
+// runSeconds lets seconds pass, with a heartbeat of every worker and passes in each.
 func (s *testCluster) runSeconds(leader *leader, workers []*standin.Worker, seconds int) {
 	s.tb.Helper()
 	for range seconds {
@@ -122,6 +123,7 @@
 	}
 }
 
+// quarantined lists the workers' machines that are quarantined, with the reasons.
 func quarantined(leader *leader, workers []*standin.Worker) (out []string) {
 	for _, worker := range workers {
 		if machine := leader.fleet.Machine(worker.Identity.Machine); machine.QuarantineReason != "" {
@@ -131,10 +133,11 @@
 	return out
 }
 
+// startCount returns how many attempts of a job have started on workers.
 func startCount(workers []*standin.Worker, uid string) (n int) {
 	for _, worker := range workers {
-		for _, k := range worker.StartedAttempts() {
-			if strings.HasPrefix(k, uid+"/") {
+		for _, attempt := range worker.StartedAttempts() {
+			if strings.HasPrefix(attempt, uid+"/") {
 				n++
 			}
 		}
@@ -142,6 +145,7 @@
 	return n
 }
 
+// machineUsable reports whether the leader may place tasks on a machine.
 func (s *testCluster) machineUsable(leader *leader, host string) bool {
 	leader.mu.Lock()
 	defer leader.mu.Unlock()
@@ -149,32 +153,47 @@
 	return machine != nil && planinput.Usable(machine, leader.clock.Now())
 }
 
-// deliverReport hands a report to the leader without the worker learning the answer.
+// deliverReport delivers a report to the leader and returns the response, which the worker
+// does not receive.
 func deliverReport(t *testing.T, leader *leader, report wire.Heartbeat) wire.HeartbeatResponse {
 	t.Helper()
 	response, ok := leader.Heartbeat(&report)
 	if !ok {
-		t.Fatalf("beat of %s not answered", report.Machine)
+		t.Fatalf("heartbeat of %s not answered", report.Machine)
 	}
 	return response
 }
 
-// loseAnswerDuring runs a step of the leader in which a transaction gets no answer, lets
-// others look while the leader does not know yet, and then lets it go on.
-func (s *testCluster) loseAnswerDuring(do func(), look func()) {
+// reportWithoutResponse lets a worker report, and loses the response.
+func reportWithoutResponse(leader *leader, worker *standin.Worker) {
+	report := worker.Report()
+	leader.Heartbeat(&report)
+}
+
+// answersHeartbeat reports whether a leader responds to a worker's next report. The worker
+// does not receive the response.
+func answersHeartbeat(leader *leader, worker *standin.Worker) bool {
+	report := worker.Report()
+	_, ok := leader.Heartbeat(&report)
+	return ok
+}
+
+// loseAnswerDuring runs a step of the leader in which the response to a transaction is lost. It
+// calls look while the leader does not know the outcome, and then lets the step go on.
+func (s *testCluster) loseAnswerDuring(step func(), look func()) {
 	s.tb.Helper()
-	was := s.state.LostResponses()
+	before := s.state.LostResponses()
 	s.state.LoseResponses(1)
 	done := make(chan struct{})
-	go func() { defer close(done); do() }()
-	for s.state.LostResponses() == was {
+	go func() { defer close(done); step() }()
+	for s.state.LostResponses() == before {
 		runtime.Gosched()
 	}
 	look()
 	ctx, cancel := context.WithCancel(s.tb.Context())
 	defer cancel()
 	go func() {
-		// The repeat waits on the clock, as does the elector.
+		// The retry waits on the clock, as does the elector.
 		for s.clock.BlockUntilContext(ctx, 2) == nil {
 			s.clock.Advance(100 * time.Millisecond)
 		}
--- a/heartbeat_test.go
+++ b/heartbeat_test.go
@@ -109,9 +109,7 @@
 	}
 	stop()
 	if cancel {
-		if code, _, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-1"), nil); code != http.StatusOK {
-			t.Fatalf("abort: %d", code)
-		}
+		cluster.cancelJob(nodeB, "j-1")
 	}
 	cluster.submit(nodeB, jobSpec("j-2", nil)) // the team's limit keeps it waiting
 	leader, _ = cluster.elect(nodeB)
--- a/job_lifecycle_test.go
+++ b/job_lifecycle_test.go
@@ -128,9 +128,7 @@
 	spec := jobSpec("j-1", nil)
 	over := store.NewFinalRecord(&spec, wire.JobDone, "earlier")
 	record := store.JobRecord{Spec: wire.Spec{UID: "j-1"}, Final: &over}
-	if _, err := node.store.Commit(t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey("j-1"), Value: record}}}); err != nil {
-		t.Fatal(err)
-	}
+	cluster.writeRecord(node, store.JobKey("j-1"), record)
 	for range 3 {
 		cluster.settle(leader)
 		heartbeat(t, leader, worker)
--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -269,9 +269,7 @@
 	cluster.syncAndSettle(leader)
 	worker.EndTask("j-1/0", wire.CauseDone)
 	cluster.reportAndSettle(leader, worker)
-	if code, _, _ := cluster.ask(node, "POST", cancelPath("j-2"), nil); code != 200 {
-		t.Fatalf("abort: %d", code)
-	}
+	cluster.cancelJob(node, "j-2")
 	if _, err := node.elector.RaiseToken(t.Context()); err != nil {
 		t.Fatal(err)
 	}
--- a/quota_failover_test.go
+++ b/quota_failover_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -42,9 +41,7 @@
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
 	cluster.syncAndSettle(oldLeader)
 	stop()
-	if code, _, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-1"), nil); code != 200 {
-		t.Fatalf("abort: %d", code)
-	}
+	cluster.cancelJob(nodeB, "j-1")
 	cluster.submit(nodeB, jobSpec("j-2", nil))
 	newLeader, _ := cluster.elect(nodeB)
 	cluster.reportAndSettle(newLeader, other)
@@ -82,9 +79,7 @@
 				}
 				hung.SetUnreachable(true)
 				for _, uid := range uids {
-					if code, _, _ := cluster.ask(nodeB, http.MethodPost, cancelPath(uid), nil); code != http.StatusOK {
-						t.Fatalf("abort: %d", code)
-					}
+					cluster.cancelJob(nodeB, uid)
 				}
 				cluster.submit(nodeB, jobSpec("j-3", func(spec *wire.Spec) { spec.Tasks = 2 }))
 				nothing := func(when string, leader *leader) {
--- a/resignation_test.go
+++ b/resignation_test.go
@@ -125,8 +125,7 @@
 		cluster.settle(leader)
 		cluster.advance(2 * time.Second)
 		for _, worker := range all {
-			report := worker.Report()
-			leader.Heartbeat(&report) // the answer is lost
+			reportWithoutResponse(leader, worker)
 		}
 	}
 	leader.pass(t.Context())
--- a/team_reports_test.go
+++ b/team_reports_test.go
@@ -48,9 +48,7 @@
 		t.Errorf("at its limit: %s", diff)
 	}
 	worker.SetUnreachable(true) // direct commands don't arrive
-	if code, _, _ := cluster.ask(node, http.MethodPost, cancelPath("j-1"), nil); code != http.StatusOK {
-		t.Fatalf("abort: %d", code)
-	}
+	cluster.cancelJob(node, "j-1")
 	cluster.resync(leader)
 	want.Tasks, want.Waiting = quota.TasksReport{Stopping: 2}, quota.WaitingReport{}
 	want.Cores.Running, want.Cores.Stopping = 0, 4
--- a/user_requests_test.go
+++ b/user_requests_test.go
@@ -142,9 +142,7 @@
 			t.Fatalf("%d %+v", code, status)
 		}
 	}
-	if code, _, _ := cluster.ask(nodeA, http.MethodPost, cancelPath("j-1"), nil); code != 200 {
-		t.Fatalf("abort: %d", code)
-	}
+	cluster.cancelJob(nodeA, "j-1")
 	if _, status, _ := cluster.ask(nodeB, http.MethodGet, jobPath("j-1"), nil); status.Status != wire.JobCancelled {
 		t.Errorf("the other node still says %q", status.Status)
 	}
@@ -160,8 +158,8 @@
 // it so: no node may answer something older, nor anything else than the state to a
 // repeat, even a malformed one, and a transaction carried out late changes nothing.
 func TestAllControllersAgreeAfterResponse(t *testing.T) {
-	for _, tr := range transactionFaults {
-		t.Run(tr.name, func(t *testing.T) {
+	for _, fault := range transactionFaults {
+		t.Run(fault.name, func(t *testing.T) {
 			cluster := newTestCluster(t)
 			nodes := []*Service{cluster.node(nil), cluster.node(nil), cluster.node(nil)}
 			leader, _ := cluster.elect(nodes[0])
@@ -174,14 +172,14 @@
 				}
 			}
 			for _, uid := range []string{"j-1", "j-2"} {
-				tr.set(cluster.state)
+				fault.inject(cluster.state)
 				if code, _ := cluster.askUntilAnswered(nodes[1:], http.MethodPost, wire.PathJobs, jobSpec(uid, nil)); code != http.StatusCreated && code != http.StatusOK {
 					t.Fatalf("submit: %d", code)
 				}
 				cluster.checkAnswers("accepted", cluster.askEverywhere(nodes, uid, false), wire.JobQueued, wire.JobRunning, "503")
 			}
 			cluster.syncAndSettle(leader)
-			tr.set(cluster.state)
+			fault.inject(cluster.state)
 			if _, status := cluster.askUntilAnswered(nodes[1:], http.MethodPost, cancelPath("j-2"), nil); status.Status != wire.JobCancelled {
 				t.Fatalf("abort: %+v", status)
 			}
