--- a/autoscaling_test.go
+++ b/autoscaling_test.go
@@ -46,8 +46,8 @@
 	return len(overdue.Replace), len(overdue.Return)
 }
 
-// A machine that stays away while others come is replaced and returned long
-// before the whole of the patience with it.
+// A machine that does not boot while others do is replaced and returned long before the longest
+// time that a boot may take.
 func TestMachineThatNeverBootsIsReplaced(t *testing.T) {
 	cluster, leader := bootingFleet(t, 10, 30*time.Second)
 	leader.markUp(1, 9)
@@ -65,8 +65,8 @@
 	}
 }
 
-// When all come late, neither a second fleet is rented on top nor all are
-// returned and rented anew; when new ones come in time again, the rest goes.
+// When all machines boot late, neither is a second fleet rented nor are all returned and rented
+// again. When new machines boot in time, the late ones are returned.
 func TestSlowBootsRentNoSecondFleet(t *testing.T) {
 	cluster, leader := bootingFleet(t, 20, 60*time.Second)
 	if out, up := overdueCounts(leader); out == 0 || out > 6 || up != 0 {
@@ -86,8 +86,8 @@
 	}
 }
 
-// A machine may report before the rental is answered and before any list shows
-// it: it counts once, and nothing is rented in its stead.
+// A machine may report before the rental has a response and before a list shows it: it counts once,
+// and no other is rented in its place.
 func TestHeartbeatBeforeRentalResponseCountsOnce(t *testing.T) {
 	cluster, node, leader := clusterWithLeader(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// A leader that hears no worker any more is cut off itself: it rents no second
-// fleet before it gives the lead up.
+// A leader that receives no heartbeats is isolated itself: it rents no second fleet before it
+// resigns.
 func TestIsolatedLeaderRentsNothing(t *testing.T) {
 	for _, machines := range []int{3, 14} {
 		cluster, node, leader, workers := clusterWithWorkers(t, machines)
@@ -142,7 +142,7 @@
 	}
 }
 
-// A rental whose answer was lost is repeated under its own name and rents nothing more.
+// A rental whose response is lost is retried with the same request ID and rents nothing more.
 func TestLostRentalResponseIsRetriedIdempotently(t *testing.T) {
 	cluster, node, leader := clusterWithLeader(t)
 	cluster.cloud.LoseNextResponse = true
@@ -166,7 +166,7 @@
 	}
 }
 
-// With no work at all, the machines that were held for more are given back.
+// Without work, the machines that were held for more work are returned.
 func TestScaleInWhenIdle(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
--- a/cancellation_outage_test.go
+++ b/cancellation_outage_test.go
@@ -17,10 +17,10 @@
 // dropCancelHints lets no hint of a node's cancels reach the leader: they are hints.
 func dropCancelHints(node *Service) { node.users.Cancelled = nil }
 
-// The cancellation gap: the state service refuses the leader alone, another
-// controller confirms a cancel, then it is down for all. The leader goes on
-// answering heartbeats on the others' word, which must carry the cancel: the task is
-// stopped by the answer to a heartbeat, without any hold, and no other is.
+// The state service refuses the leader alone, another controller confirms a cancellation, and then
+// the service is down for all. The leader goes on responding to heartbeats with the attestations of
+// the others, which must carry the cancellation: the response to a heartbeat stops the task,
+// without the leader's lease, and no other.
 func TestAttestationCarriesCancellations(t *testing.T) {
 	cluster, nodes, leader, worker := connectedCluster(t)
 	dropCancelHints(nodes[1])
@@ -53,9 +53,9 @@
 	cluster.checkStatus(nodes[0], "j-1", wire.JobCancelled)
 }
 
-// A controller that can't name every cancel since the leader last knew does not
-// attest: it began since, it has forgotten some, or they fit no message. Then
-// heartbeats go unanswered when the lease ends, and the leases do the rest.
+// A controller that can't name every cancellation since the revision that the leader has synced
+// does not attest: it has started since, it has forgotten some, or they do not fit a message.
+// Heartbeats are not answered then once the lease has ended.
 func TestNoAttestationWithoutCompleteCancellations(t *testing.T) {
 	tests := map[string]func(cluster *testCluster, leading, node *Service) *Service{
 		"began since": func(cluster *testCluster, _, node *Service) *Service {
@@ -112,8 +112,8 @@
 	}
 }
 
-// A cancel counts as told whether this node made it, passed it on, read it, or
-// does not know yet what became of it.
+// A controller remembers a cancellation whether it made it, relayed it, read it, or does not know
+// the outcome yet.
 func TestConfirmedCancellationsAreRemembered(t *testing.T) {
 	cluster, nodes, leader, _ := connectedCluster(t)
 	since := leader.syncedRevision()
@@ -152,9 +152,9 @@
 	}
 }
 
-// A cancel made elsewhere is told to the leader at once, over the link between
-// controllers: its task is stopped directly before any change could be read.
-// Lost, repeated or untrue, the hint harms nothing.
+// A cancellation made elsewhere is sent to the leader at once, over the link between controllers:
+// the task is stopped by a direct command before any change could be read. Lost, repeated or wrong
+// hints do no harm.
 func TestCancellationHintStopsTask(t *testing.T) {
 	cluster, nodes, leader, worker := connectedCluster(t)
 	nodes[1].elector = nodes[0].elector // knows who leads
@@ -187,8 +187,8 @@
 	cluster.checkStatus(nodes[2], "j-2", wire.JobQueued)
 }
 
-// After a spell in which changes may have been missed, no run goes out before
-// they have been read, not even one that was recorded before the spell.
+// After an interruption in which changes may have been missed, no run command is sent before they
+// have been read, not even for an attempt that was recorded before the interruption.
 func TestNoRunCommandsOnStaleState(t *testing.T) {
 	spells := map[string]func(cluster *testCluster, node *Service, leader *leader){
 		"refused alone": func(cluster *testCluster, node *Service, _ *leader) {
@@ -254,8 +254,8 @@
 	}
 }
 
-// A cancel that the leader knows, of a task whose machine could not be told, stops
-// it also when the machine reports only in an outage that all attest.
+// A cancellation that the leader knows, of a task whose machine could not be reached, stops the
+// task also when the machine reports only in an outage that all attest.
 func TestKnownCancellationStopsTaskInOutage(t *testing.T) {
 	cluster, nodes, leader, worker := connectedCluster(t)
 	worker.SetUnreachable(true)
--- a/cancellation_test.go
+++ b/cancellation_test.go
@@ -17,7 +17,7 @@
 	"cedardoor/wire"
 )
 
-// A cancel accepted elsewhere, unseen by the leader, still keeps it from placing.
+// A cancellation accepted elsewhere, which the leader has not seen, still prevents the placement.
 func TestCancellationPrecedesPlacement(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	leader, _ := cluster.elect(nodeA)
@@ -36,6 +36,7 @@
 	}
 }
 
+// A cancellation stops the tasks that run, and removes their records.
 func TestCancellationStopsRunningTasks(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -50,9 +51,9 @@
 	}
 }
 
-// Several users' requests meet while the state service is slow: one submits, others
-// repeat it at other nodes and cancel at once. Whoever is told that the job is
-// cancelled is told nothing else from then on, and it never runs.
+// Several users' requests are in flight while the state service is slow: one submits, others repeat
+// the submission at other nodes and cancel at once. Whoever is told that the job is cancelled is
+// told nothing else from then on, and it never runs.
 func TestImmediateCancellationWithSlowState(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodes := []*Service{cluster.node(nil), cluster.node(nil), cluster.node(nil)}
@@ -90,8 +91,8 @@
 	}
 }
 
-// A cancel meets the end of a job's last task: whichever is recorded first is what
-// every node says from then on, and the other comes to nothing.
+// A cancellation races with the completion of a job's last task: whichever is recorded first is
+// what every node reports from then on, and the other has no effect.
 func TestCancellationRacesCompletion(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
 		for _, first := range []string{"cancel", "end", "end between the cancel's reading and writing"} {
@@ -143,10 +144,9 @@
 	}
 }
 
-// A job is cancelled in the seconds in which one controller's work changes hands:
-// before the successor reads the records, after any of its reads, or between those
-// and its first watch. Its task is stopped in each case, its room is free after that
-// and not before, and what else the successor found goes on.
+// A job is cancelled during a failover: before the successor reads the records, after any of its
+// reads, or between those and its first watch. In each case its task is stopped, its resources are
+// free after that and not before, and the successor's other tasks go on.
 func TestCancellationDuringFailover(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
 		for _, moment := range []string{"before", "starts=j", "starts=p", "starts=s", "catalog", "demand", "watch"} {
@@ -232,10 +232,10 @@
 	}
 }
 
-// A leader is cut from the state service and from the other controllers, while its
-// workers and users reach it. Another takes over and cancels a job. The old one tells
-// users nothing and answers no worker once another can act, a command of it that was
-// under way is void, and the task is stopped by the new leader.
+// A leader is cut from the state service and the other controllers, while its workers and users
+// reach it. Another takes over and cancels a job. The old one reports nothing to users and responds
+// to no worker once another may lead, a command of it that is in flight is fenced off, and the new
+// leader stops the task.
 func TestCancellationThroughNewLeaderWhileOldIsPartitioned(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	nodeA.attestationLinks["node-2"], nodeA.relayLinks["node-2"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
@@ -280,8 +280,8 @@
 	}
 }
 
-// A cancelled job's attempt stays on record until nothing of it can be anywhere,
-// whichever jobs share the record, and under the next leader too.
+// The attempt of a cancelled job stays on record until it is proved gone, whichever jobs share the
+// record, and under the next leader, too.
 func TestCancellationInSharedRecord(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	leader, stop := cluster.elect(nodeA)
--- a/commands_test.go
+++ b/commands_test.go
@@ -8,8 +8,8 @@
 	"cedardoor/wire"
 )
 
-// A run sent directly may arrive minutes after it was given up. The task must
-// not be started elsewhere, nor its room given away, before that is ruled out.
+// A direct run command may arrive minutes after it was given up. The task must not be started
+// elsewhere, nor its allocation freed, before that is ruled out.
 func TestDelayedRunCommandKeepsTaskReserved(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	other := cluster.worker("n-2", "y", true)
@@ -50,7 +50,8 @@
 	}
 }
 
-// A forget must not go out while a copy of the run may: the worker would start it again.
+// A forget command must not be sent while a copy of the run command is in flight: the worker would
+// start the task again.
 func TestNoForgetWhileRunCommandIsInFlight(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	worker.HoldNextCommand()
@@ -86,9 +87,9 @@
 	}
 }
 
-// A worker can't open connections to any controller, while direct commands reach it.
-// They do not renew its lease: it gets nothing new beyond that, what it holds is
-// started elsewhere only then, and a cancel still stops a task there at once.
+// A worker can't reach any controller, while direct commands reach it. They do not renew its lease:
+// it gets no new tasks beyond that, its tasks are started elsewhere only then, and a cancellation
+// still stops a task there at once.
 func TestDirectCommandsDoNotRenewLease(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	other := cluster.worker("n-2", "y", true)
--- a/concurrent_failures_test.go
+++ b/concurrent_failures_test.go
@@ -17,9 +17,9 @@
 // whole services as the random schedules do, under the same checks, and asserts
 // besides that its meeting took place.
 
-// A zone with workers and a controller is cut off for much longer than the lease,
-// with the leader inside or outside of it, and users cancel through the others.
-// What ran in the zone is dropped by then, runs elsewhere, and nothing runs twice.
+// A zone with workers and a controller is isolated for much longer than the lease, with the leader
+// inside or outside of it, and users cancel through the other controllers. Tasks in the zone are
+// dropped by then and run elsewhere, and nothing runs twice.
 func TestZonePartitionBeyondLease(t *testing.T) {
 	for _, leads := range []int{1, 2} {
 		t.Run(fmt.Sprintf("node %d leads", leads), func(t *testing.T) {
@@ -63,11 +63,10 @@
 	}
 }
 
-// There is more work than room, urgent and not, and every message takes long. The
-// largest job, which is in no hurry and needs whole machines, begins within four
-// minutes all the same, as does every other. Urgent work alone would find room, so it
-// begins soon, however much has waited long beside it: that goes first with one task
-// a job, not with so many that they fill all room.
+// There is more work than capacity, urgent and not, and every message is slow. The largest job,
+// which has the lowest priority and needs whole machines, starts within four minutes all the same,
+// as does every other. Urgent work starts soon, however many jobs have waited long: of those only
+// one task each goes first.
 func TestOverloadWithSlowLinks(t *testing.T) {
 	schedule := faultSchedule{seed: 2, duration: seconds(300), maxMachines: 3, extraLatency: seconds(0.15)}
 	schedule.submissions = append(schedule.submissions, newSubmission(1, 10, 20, func(spec *wire.Spec) {
@@ -108,9 +107,9 @@
 	})
 }
 
-// The state service refuses the leader alone, users cancel through the others, and
-// then it is out for all for longer than cancel_s. Inside the outage the others
-// start anew, which know nothing of the cancels, then the leader, and again.
+// The state service refuses the leader alone, users cancel through the other controllers, and then
+// it is down for all for longer than the cancellation limit. During the outage the others restart,
+// which know nothing of the cancellations then, then the leader, and again.
 func TestFailoversDuringStateOutage(t *testing.T) {
 	schedule := faultSchedule{seed: 3, duration: seconds(100), firstLeader: 2}
 	kill := func(node int, when float64) scheduledFault {
@@ -141,9 +140,9 @@
 	})
 }
 
-// Two teams are at their limits while their jobs are cancelled, whose machines
-// hang or are cut off, and leaders change. What may still run counts for its team
-// until it is proved gone; the work that waits then takes its place.
+// Two teams are at their limits while their jobs are cancelled, whose machines hang or are
+// unreachable, and leaders change. Tasks that may still run count for their team until they are
+// proved gone; the tasks that wait then start in their place.
 func TestTeamLimitsDuringFailovers(t *testing.T) {
 	limits := map[string]float64{"tight": tightLimit, "narrow": 4}
 	schedule := faultSchedule{seed: 4, duration: seconds(80), limits: map[string]float64{"narrow": 4}, firstLeader: 1}
@@ -204,9 +203,9 @@
 	})
 }
 
-// The leader ends a moment after its request for machines was carried out without
-// an answer, and they are up within two seconds. No later request bears its name,
-// the work runs, and no machine stays that nobody uses.
+// The leader crashes right after its request for machines was executed without a response, and the
+// machines boot within two seconds. No later request has the same ID, the work runs, and no unused
+// machine remains.
 func TestFailoverDuringUnansweredRental(t *testing.T) {
 	schedule := faultSchedule{seed: 5, duration: seconds(40), bootTime: seconds(1.2), listLags: true}
 	schedule.submissions = []scheduledSubmission{newSubmission(1, 10, 25, func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.MachineTypes = 6, 4, []string{"b"} }),
@@ -253,11 +252,11 @@
 	})
 }
 
-// Messages from the leader to the machines of a zone wait for seconds, while those
-// machines are heard: their reports go on and show nothing of the runs that are on
-// their way. The job is cancelled meanwhile and its team's next one waits, since the
-// runs do arrive in the end. Held the other way, the runs arrive at once and nothing
-// of them is heard; and what the state service answers the leader may wait, too.
+// Messages from the leader to the machines of a zone are held for seconds, while their reports
+// arrive and show nothing of the runs that are in flight. The job is cancelled meanwhile and its
+// team's next one waits, since the runs do arrive in the end. Held in the other direction, the runs
+// arrive at once and no report does; and responses of the state service to the leader may be held,
+// too.
 func TestAsymmetricMessageDelay(t *testing.T) {
 	const from, until = 24.0, 31.0
 	for _, tt := range []struct {
@@ -327,9 +326,9 @@
 	}
 }
 
-// Jobs of one task each come faster than the machines work them off, so that each
-// has waited long when it begins. Urgent work that comes beside them begins soon all
-// the same, and none of them waits for ever.
+// Jobs of one task each arrive faster than the machines complete them, so that each has waited long
+// when it starts. Urgent work that arrives beside them starts soon all the same, and no job
+// starves.
 func TestStarvedSingleTaskJobsDoNotDelayUrgentWork(t *testing.T) {
 	schedule := faultSchedule{seed: 7, duration: seconds(150), maxMachines: 2}
 	for n := range 90 {
--- a/damaged_records_test.go
+++ b/damaged_records_test.go
@@ -12,7 +12,7 @@
 	"cedardoor/wire"
 )
 
-// A job whose record can't be decoded stays known and its tasks run on; the others are served.
+// A job whose record can't be decoded stays known and its tasks run on; other jobs are served.
 func TestDamagedJobRecord(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -56,8 +56,8 @@
 	}
 }
 
-// A record that is restored, or a job that is submitted again, comes to a leader that has passed over
-// its attempts: the next one reads them, and nothing starts a second time.
+// A record that is restored, or a job that is submitted again, reaches a leader that has passed
+// over its attempts: the next leader reads them, and no task is started a second time.
 func TestRestoredRecordIsReadWithAttempts(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -111,8 +111,8 @@
 	}
 }
 
-// Where the record of attempts can't be decoded, what runs goes on under its own attempt and the
-// rest starts only once every machine is accounted for, under numbers that were never used.
+// When a record of attempts can't be decoded, the tasks that run go on as the same attempts. The
+// others start only once every machine is reconciled, with attempt numbers that were never used.
 func TestDamagedAttemptRecord(t *testing.T) {
 	for _, shared := range []bool{false, true} {
 		cluster := newTestCluster(t)
@@ -193,8 +193,8 @@
 	}
 }
 
-// A machine that has not shown the new leader's token may yet get an old command: nothing of an
-// unreadable record starts while its lease may last, though it answers questions.
+// A machine that has not reported the new leader's token may yet receive an old command: no task of
+// an unreadable record starts while the machine's lease may last, although it answers probes.
 func TestUnreconciledMachineDelaysUnreadableTasks(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -229,8 +229,8 @@
 	}
 }
 
-// The record that can't be decoded is not written over before all of its tasks are known: a
-// leader that ends in between leaves its successor what it found.
+// A record that can't be decoded is not overwritten before all of its tasks are known: a leader
+// that crashes before leaves it to its successor as it was.
 func TestFailoverBeforeDamagedRecordIsRepaired(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB, nodeC := cluster.node(nil), cluster.node(nil), cluster.node(nil)
@@ -267,7 +267,7 @@
 	}
 }
 
-// Nothing of what can be made anew keeps a leader from leading.
+// Damaged records that can be written anew do not prevent a leader from leading.
 func TestDamagedCatalog(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	_, stop := cluster.elect(nodeA)
--- a/failover_test.go
+++ b/failover_test.go
@@ -16,8 +16,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A new leader takes placements over and starts nothing twice, even for a
-// worker that it can't reach until the lease has run out.
+// A new leader adopts placements and starts no task twice, even if it can't reach a worker until
+// the lease has expired.
 func TestFailoverKeepsPlacements(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -52,7 +52,7 @@
 	}
 }
 
-// Two leaders and a worker behind a cut: a late transaction of the old one fails.
+// A delayed transaction of a deposed leader fails.
 func TestDeposedLeadersDelayedTransactionFails(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -78,8 +78,8 @@
 	}
 }
 
-// A controller back within a moment does not wait for its own earlier lease to
-// lapse, and nothing that its predecessor left under way counts for it.
+// A controller that restarts at once does not wait for its own earlier lease to expire, and
+// transactions that the earlier process left in flight fail.
 func TestControllerRestartWithinLease(t *testing.T) {
 	cluster, node, leader := clusterWithLeader(t)
 	worker := cluster.worker("n-1", "x", true)
@@ -113,8 +113,7 @@
 	}
 }
 
-// Runs or stays known: after refusals, an outage and a change of leaders have
-// ended, each accepted job is answered for by every node, and runs.
+// After refusals, an outage and a failover, each accepted job is known to every node, and runs.
 func TestAcceptedJobsSurviveOutageAndFailover(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -153,10 +152,10 @@
 	}
 }
 
-// The transaction that takes the lead is carried out and not answered, or late, and
-// so is one that raises the token, while another controller reads. Nobody answers a
-// worker under a lead that it does not know to have; the token under which one does
-// is the one on record and above all that were there before, also the next leader's.
+// The transaction of an election, or one that raises the fencing token, is executed without a
+// response, or delayed, while another controller reads. No controller responds to workers in a term
+// that it does not know to have begun. The token of a leader is the one on record and above all
+// earlier ones, also the next leader's.
 func TestElectionWithLostTransactionResponse(t *testing.T) {
 	for _, fault := range transactionFaults[1:] {
 		t.Run(fault.name, func(t *testing.T) {
@@ -213,9 +212,9 @@
 	}
 }
 
-// A raise of the token gets no answer and is carried out late. Later raises must
-// go through all the same: without them no run in doubt is ever ruled out, so that
-// what a cancelled task takes counts for ever while its machine reports.
+// A raise of the fencing token gets no response and is executed later. Later raises must succeed
+// all the same: without them no run in doubt is ever ruled out, and a cancelled task would count
+// for ever while its machine reports.
 func TestFencingTokenRaisedAfterDelayedRaise(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	worker.HoldNextCommand()
@@ -255,11 +254,10 @@
 	}
 }
 
-// A machine is up within a second: it reports before its rental is answered or any
-// list shows it, and gets work at once. The record of that gets no answer (it is
-// carried out late, or at once) and the leader ends. Its successor starts the task
-// once, on the machine that it was recorded for or on one that it trusts, and keeps
-// the machine though no list shows it.
+// A machine boots within a second: it reports before its rental has a response or a list shows it,
+// and gets work at once. The record of that gets no response (it is delayed, or executed at once)
+// and the leader crashes. Its successor starts the task once, on the recorded machine or on one
+// that it trusts, and keeps the machine though no list shows it.
 func TestFailoverDuringPlacementOnNewMachine(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		for _, pieces := range []int{1, 2} {
@@ -332,9 +330,9 @@
 	}
 }
 
-// Machines with long tasks report to a new leader and do not hear its answers. Each
-// answer may have been heard, so the tasks are started nowhere else for as long as
-// the sessions may go on, and as soon as the worker's new session proves the end.
+// A machine with long tasks reports to a new leader and does not receive the responses. Each may
+// have been received, so the tasks are started nowhere else while the incarnation may go on, and as
+// soon as the worker's next incarnation proves that it has ended.
 func TestMachineThatDoesNotReceiveNewLeadersResponses(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	leader, stop := cluster.elect(nodeA)
@@ -363,9 +361,9 @@
 	}
 }
 
-// Leaders change ten times in two minutes, also inside an outage of the state
-// service, and controllers are back within a moment. Jobs of two and three tasks end
-// far apart meanwhile, each task once, and are done when all of them are.
+// The leader changes ten times in two minutes, also during an outage of the state service, and
+// controllers restart at once. Jobs of two and three tasks complete at different times meanwhile,
+// each task once, and are done when all of their tasks are.
 func TestTenFailoversWhileTasksComplete(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodes := []*Service{cluster.node(nil), cluster.node(nil)}
@@ -423,9 +421,8 @@
 	}
 }
 
-// All controllers are away for longer than the leases. The one that is back starts
-// nothing on the word of records, until the machines report or cannot have gone on,
-// and then everything once.
+// All controllers are down for longer than the leases. The one that returns starts nothing from the
+// records alone until the machines report or their leases have expired, and then everything once.
 func TestAllControllersDownBeyondLease(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
--- a/failure_attribution_test.go
+++ b/failure_attribution_test.go
@@ -9,10 +9,9 @@
 	"cedardoor/wire"
 )
 
-// Jobs submitted with a mistake fail wherever they run. Machines that have run
-// nothing else must not be taken for sick by them, and once a few machines have
-// been tried, a task now and then is all that they cost; one machine that is
-// truly sick is found all the same, whichever comes first.
+// Jobs submitted with a mistake fail wherever they run. Machines that have run nothing else must
+// not be quarantined for that, and once a few machines have been tried, only a few attempts are
+// made. A machine that fails all tasks is quarantined all the same, whichever comes first.
 func TestFailingJobsAndFailingMachine(t *testing.T) {
 	for _, badFirst := range []bool{true, false} {
 		cluster, node, leader, workers := clusterWithWorkers(t, 6, "j-1", "j-2")
@@ -66,7 +65,7 @@
 	}
 }
 
-// Nothing is rented for a job that fails everywhere, and no room kept.
+// Nothing is rented for a job that fails everywhere, and no capacity is reserved for it.
 func TestFailingJobDoesNotScaleOut(t *testing.T) {
 	cluster, node, leader, workers := clusterWithWorkers(t, 4, "j-1")
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 200, 4, 4 }))
@@ -85,8 +84,8 @@
 	}
 }
 
-// A new leader does not know what its predecessor knew of a bad job: it tries
-// one task, not all of them at once.
+// A new leader does not know that its predecessor had found a job to be failing: it tries one task,
+// not all of them at once.
 func TestFailingJobAcrossLeaders(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -109,8 +108,8 @@
 	}
 }
 
-// Some tasks of a job fail everywhere while the others succeed: the job is not
-// bad, its other tasks run, and machines are not banned for those that fail.
+// Some tasks of a job fail everywhere while the others succeed: the job is not failing, its other
+// tasks run, and no machine is quarantined.
 func TestFailingTasksOfHealthyJob(t *testing.T) {
 	cluster, node, leader, workers := clusterWithWorkers(t, 6, "j-1/3", "j-1/7", "j-1/11", "j-1/12", "j-1/13", "j-1/14")
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 40, 1, 1 }))
@@ -133,8 +132,8 @@
 	}
 }
 
-// Replicas that spot machines may hold are demand for as long as they are wanted,
-// whatever their class's run times.
+// Replicas that may run on spot machines are demand for as long as they are wanted, whatever the
+// run times of their class.
 func TestPreemptibleReplicasCountAsDemand(t *testing.T) {
 	cluster, node, leader, workers := clusterWithWorkers(t, 1)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Kind, spec.Tasks, spec.ExpectedS = wire.KindService, 12, 0 }))
@@ -147,9 +146,8 @@
 	}
 }
 
-// What fails on one machine only says nothing against the task: the machine is
-// found to be sick, and the task goes to the next one at once, rather than ever
-// more seldom.
+// A task that fails on one machine only is not at fault: the machine is quarantined, and the task
+// goes to the next one at once, without a backoff.
 func TestTaskFailingOnOneMachineIsNotBackedOff(t *testing.T) {
 	cluster, node, leader, workers := clusterWithWorkers(t, 1)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 2 }))
--- a/fleet_of_four_thousand_test.go
+++ b/fleet_of_four_thousand_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Four thousand machines are rented and loaded, their leader is killed, the state
-// service goes out and a zone is lost for longer than the lease. No rule breaks,
-// and every job is served.
+// Four thousand machines are rented and loaded, their leader is killed, the state service is down
+// for a while and a zone is isolated for longer than the lease. No rule is violated, and every job
+// is served.
 func TestFourThousandMachines(t *testing.T) {
 	t.Parallel()
 	schedule := faultSchedule{seed: 1, duration: seconds(100), firstLeader: 1, maxMachines: maxSimulatedFleet, submissions: largeFleetSubmissions(),
@@ -34,8 +34,8 @@
 }
 
 // Four thousand machines, each with a task, lose all their controllers, which return within the
-// workers' leases. Nothing that runs is touched, every machine is reconciled, and the state service is
-// asked for little more than the records.
+// workers' leases. No running task is touched, every machine is reconciled, and the state service
+// gets little more requests than it takes to read the records.
 func TestTotalLossOfFourThousandMachines(t *testing.T) {
 	t.Parallel()
 	events := &eventLog{}
--- a/heartbeat_test.go
+++ b/heartbeat_test.go
@@ -8,9 +8,9 @@
 	"cedardoor/wire"
 )
 
-// A report that changes nothing costs the same few allocations however many
-// machines there are and however many tasks it lists: its task list is compared
-// where it lies in the body, not copied and not decoded.
+// A heartbeat that changes nothing costs the same few allocations however many machines there are
+// and however many tasks it lists: its task list is compared in its encoded form, not copied and
+// not decoded.
 func TestUnchangedHeartbeatAllocatesLittle(t *testing.T) {
 	allocs := func(machines, tasks int) float64 {
 		_, leader := trustedFleet(t, machines, tasks)
@@ -39,8 +39,8 @@
 	}
 }
 
-// A copy of an old report that reaches a new leader first proves nothing, does
-// not make the machine trusted, and moves nothing.
+// A copy of an old heartbeat that reaches a new leader first proves nothing, does not make the
+// machine trusted, and starts nothing elsewhere.
 func TestStaleHeartbeatReachesNewLeaderFirst(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -68,8 +68,8 @@
 	}
 }
 
-// A result in a late copy that the record does not know is nobody's: only the
-// attempt on record can end the task.
+// A result in an old copy, of an attempt that is not on record, has no effect: only the attempt on
+// record can end the task.
 func TestStaleHeartbeatBringsNoResult(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -83,9 +83,9 @@
 	}
 }
 
-// Copies of old reports, from an earlier session and of an earlier attempt, reach
-// every controller just as a new leader begins, and again when it has acted: nobody
-// but the leader answers them, and they start, end and prove nothing.
+// Copies of old heartbeats, of an earlier incarnation and of an earlier attempt, reach every
+// controller just as a new leader begins, and again when it has acted: only the leader responds to
+// them, and they start, end and prove nothing.
 func TestStaleHeartbeatsReachEveryController(t *testing.T) {
 	t.Run("running", func(t *testing.T) { checkOldReports(t, false) })
 	t.Run("cancelled", func(t *testing.T) { checkOldReports(t, true) })
@@ -164,9 +164,9 @@
 	}
 }
 
-// All workers come to a new leader within a second or two. What each heartbeat costs
-// does not grow with the fleet, nothing is moved or started meanwhile, and each
-// machine is trusted by its second heartbeat.
+// All workers report to a new leader within a second or two. The cost of a heartbeat does not grow
+// with the fleet, no task is moved or started meanwhile, and each machine is trusted by its second
+// heartbeat.
 func TestHeartbeatSurgeAfterTotalLoss(t *testing.T) {
 	const tasks = 4
 	visits := func(machines int) float64 {
--- a/job_lifecycle_test.go
+++ b/job_lifecycle_test.go
@@ -12,6 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// A job runs until all of its tasks are done, and is reported as done once that is recorded.
 func TestJobRunsToCompletion(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
@@ -58,6 +59,7 @@
 	}
 }
 
+// A worker is not told to forget a result before it is recorded.
 func TestResultIsDurableBeforeForget(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
@@ -70,9 +72,8 @@
 	}
 }
 
-// A task that comes to wait again before its job's waiting tasks were looked
-// through stands among them once: placed twice by one plan, it would leave a
-// booking that nothing ever frees.
+// A task that is queued again before its job's waiting tasks were processed is queued once: placed
+// twice by one plan, it would leave an allocation that nothing frees.
 func TestTaskIsQueuedOnce(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -94,8 +95,8 @@
 	}
 }
 
-// The start of an adopted task was not seen, so its run must not be compared:
-// it once made sound machines look slow.
+// The start of an adopted attempt was not observed, so its run time must not be compared with
+// others.
 func TestAdoptedAttemptsAreNotMeasured(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -119,8 +120,8 @@
 	}
 }
 
-// A listing that was read before a job ended may be taken in after it. The job's
-// record then says that it is over, and nothing of it is started again.
+// A listing that was read before a job ended may be processed after it. The job's record then says
+// that it is over, and no task of it is started again.
 func TestStaleJobListingStartsNothing(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -142,6 +143,7 @@
 	cluster.checkStatus(node, "j-1", wire.JobDone)
 }
 
+// A watch from a revision whose history has been compacted reads all jobs again.
 func TestCompactedWatchReadsAgain(t *testing.T) {
 	cluster, node, leader := clusterWithLeader(t)
 	cluster.submit(node, jobSpec("j-1", nil))
--- a/job_load_test.go
+++ b/job_load_test.go
@@ -13,9 +13,9 @@
 	"cedardoor/wire"
 )
 
-// A huge batch of short tasks: what a task costs in changes, direct commands and
-// machines looked at does not grow with the batch, urgent work begins in its
-// midst, and a change of leaders neither loses a task nor runs one twice.
+// The changes, direct commands and examined machines that a task of a large batch costs do not grow
+// with the batch. Urgent work starts in its midst, and a failover neither loses a task nor runs one
+// twice.
 func TestLargeBatchCostPerTask(t *testing.T) {
 	run := func(tasks int) (changes, visits float64) {
 		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
@@ -109,9 +109,9 @@
 		"rows": rows, "records": len(s.state.Keys(store.PrefixAttempts))}
 }
 
-// Jobs of one task come four a second for minutes, a quarter of them cancelled at
-// some point of their life, with polls and a change of leaders. What is kept follows
-// the jobs that are there, and nothing is left of those that are over.
+// Jobs of one task arrive four a second for minutes, a quarter of them are cancelled at some point
+// of their life, with polls and a failover. What is stored follows the unfinished jobs, and nothing
+// remains of those that are over.
 func TestManySmallJobsWithCancellationsLeaveNothing(t *testing.T) {
 	const perSecond, lasts = 4, 150
 	cluster := newTestCluster(t)
--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A transaction whose answer was lost is settled by its nonce, not done twice.
+// A transaction whose response was lost is settled by its nonce, not executed twice.
 func TestLostCommitResponse(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -38,9 +38,9 @@
 	}
 }
 
-// The leader's transactions are carried out and only the answer is lost, while
-// other nodes read what they wrote: what they have told stays true, and nothing is
-// started, recorded or moved twice when the leader finds out.
+// The leader's transactions are executed and only the response is lost, while other nodes read what
+// they wrote: what they have reported stays true, and nothing is started, recorded or moved twice
+// when the leader finds out.
 func TestLostCommitResponsesWhileOthersRead(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	leader, _ := cluster.elect(nodeA)
@@ -100,10 +100,10 @@
 	}
 }
 
-// Each of the leader's transactions in the life of jobs (their attempts, ends and
-// moves to the final place) is carried out and not answered. While the leader does
-// not know, every node reads what was written, also one that remembers nothing; the
-// leader then finds out, and nothing is recorded again, moved again or kept.
+// The response to each of the leader's transactions in the life of jobs (attempts, ends and moves
+// to the final records) is lost. While the leader does not know the outcome, every node reads what
+// was written, also one that has just started; the leader then finds out, and nothing is recorded
+// again, moved again or left behind.
 func TestEveryLostCommitResponse(t *testing.T) {
 	life := func(pieces int, lossy bool) (puts int) {
 		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
@@ -184,9 +184,8 @@
 	}
 }
 
-// Every one of the leader's transactions gets no answer and is carried out late,
-// after newer ones of the same leader: each is carried out once, and nothing that was
-// told or written since changes by the late one.
+// Every transaction of the leader is executed without a response, and again after newer ones of the
+// same leader: each takes effect once, and the late execution changes nothing.
 func TestDelayedTransactionsOfTheLeader(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
 		cluster, node, leader, worker := clusterWithWorker(t)
@@ -259,8 +258,8 @@
 	}
 }
 
-// Every transaction may be applied by the store, answered, and arrive again:
-// nothing that users were told, and nobody's lead, changes by it.
+// Every transaction may be applied, answered, and arrive again: nothing that users were told
+// changes by it, nor does the leader.
 func TestRepeatedTransactionsChangeNothing(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
--- a/mass_loss_test.go
+++ b/mass_loss_test.go
@@ -12,9 +12,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Hundreds of machines lost at once: what is lost is found by looking at it
-// alone; its records go by priority, each within a transaction's limits, and its
-// machines are asked for in whole batches.
+// Hundreds of machines are lost at once: finding the lost tasks examines only those; they are
+// recorded by priority, each transaction within its limits, and machines are rented in whole
+// batches.
 func TestMassLoss(t *testing.T) {
 	const tasks = 4
 	visits := func(machines, lost int) int {
--- a/orphans_test.go
+++ b/orphans_test.go
@@ -16,8 +16,8 @@
 	"cedardoor/wire"
 )
 
-// A task of a job that the state never recorded is left alone, counted and shown. When its
-// user submits the job, that attempt is stopped before the task begins anywhere else.
+// A task of a job that was never recorded is left alone, counted and reported to operators. When
+// its user submits the job, that attempt is stopped before the task starts anywhere else.
 func TestTaskOfUnrecordedJob(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	other := cluster.worker("n-2", "y", true)
@@ -71,8 +71,8 @@
 	}
 }
 
-// A task of a job that is over is stopped as soon as that has been read, not with the next
-// heartbeat; one of a job that was submitted and cancelled again after it had been looked up, too.
+// A task of a finished job is stopped as soon as that has been read, not with the next heartbeat;
+// also one of a job that was submitted and cancelled after it had been looked up.
 func TestTaskOfFinishedJobIsStopped(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	over := jobSpec("j-9", nil)
@@ -96,7 +96,7 @@
 	}
 }
 
-// A copy of an old report may name hundreds of jobs that are over: they are read at a pace.
+// A copy of an old report may name hundreds of finished jobs: they are looked up at a limited rate.
 func TestOrphanLookupsAreRateLimited(t *testing.T) {
 	cluster, _, leader, worker := clusterWithWorker(t)
 	reportUnknownTasks(t, leader, worker, 200)
@@ -121,7 +121,7 @@
 	}
 }
 
-// Jobs of which no worker shows a task any more are not read.
+// Jobs of which no worker reports a task any more are not looked up.
 func TestNoLookupOfUnreportedTasks(t *testing.T) {
 	cluster, _, leader, worker := clusterWithWorker(t)
 	reportUnknownTasks(t, leader, worker, 200)
@@ -135,7 +135,7 @@
 	}
 }
 
-// What is read of a job counts only under the leader's lease.
+// The result of a look-up counts only while the leader holds its lease.
 func TestNoOrphanDecisionWithoutLease(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	startTask(worker, leader.term.Token, "j-9/0", 3)
--- a/peer_messages_test.go
+++ b/peer_messages_test.go
@@ -16,8 +16,8 @@
 	"cedardoor/wire"
 )
 
-// What comes between controllers cut short, too large, of unknown form or with
-// nonsense in it ends its own connection at most: the others are served as before.
+// Messages between controllers that are truncated, too large, of an unknown form or invalid close
+// their own connection at most: others are served as before.
 func TestMalformedPeerMessagesCloseTheirConnectionOnly(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
--- a/placement_test.go
+++ b/placement_test.go
@@ -14,7 +14,8 @@
 	"cedardoor/wire"
 )
 
-// The zone cap counts tasks whose machine has not been heard of.
+// The limit of replicas in a zone counts tasks on a machine that has not reported to the new
+// leader.
 func TestZoneSpreadCountsUnreportedMachine(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -36,7 +37,7 @@
 	}
 }
 
-// A long job whose own deadline is far must not wait for longer than its class may.
+// The slack of a job follows its deadline and the objectives of its class.
 func TestSlackFollowsObjectives(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) {
@@ -68,9 +69,9 @@
 	}
 }
 
-// Jobs bound to one zone lose machines there: an array that must stay together, and a
-// job with a zone of its own. Nothing of the array starts in another zone while some
-// of it may go on in its own, and all of it once nothing can; the bound job never does.
+// Jobs bound to one zone lose machines there: a same-zone job, and a job with a zone of its own. No
+// task of the same-zone job starts in another zone while some may go on in its own, and all of them
+// start there once none can; the job with a zone of its own never does.
 func TestZonalJobsLoseMachines(t *testing.T) {
 	cluster, node, leader := clusterWithLeader(t)
 	here := []*standin.Worker{cluster.worker("n-1", "x", true), cluster.worker("n-2", "x", true), cluster.worker("n-3", "x", true)}
@@ -115,8 +116,8 @@
 	}
 }
 
-// A job that waits long begins although work of higher priority keeps coming: its
-// first task goes first, and room is kept for it.
+// A job that waits long starts although work of higher priority keeps arriving: its first task goes
+// first, and capacity is reserved for it.
 func TestLargeJobStartsUnderOverload(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t) // 8 cores
 	uid := 100
@@ -154,8 +155,8 @@
 	}
 }
 
-// The lowest priority's starts follow the controller's share of a processor, however
-// much room there is; work of higher priority does not wait for them.
+// The starts of best-effort tasks follow the controller's share of a processor, however much
+// capacity there is; work of higher priority does not wait for them.
 func TestBestEffortStartsAreRateLimited(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) { facts.Limits.CoreShare = 0.1 })
--- a/process_pause_test.go
+++ b/process_pause_test.go
@@ -10,9 +10,8 @@
 	"cedardoor/wire"
 )
 
-// A process may stand still, longer than its lease, at any point. Whatever it had
-// computed before and is about to send is checked against the lease at the last
-// step, so that nothing of it goes out after.
+// A process may be paused at any point for longer than its lease. Whatever it was about to send is
+// checked against the lease at the last step, so that nothing of it is sent after the pause.
 func TestNothingIsSentAfterProcessPause(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -63,9 +62,9 @@
 	}
 }
 
-// A leader that keeps its lease while it stands still (the state service was out
-// for all) has heard nobody meanwhile. That is its own silence, not the machines':
-// nothing is given up, and the lead is kept.
+// A leader that keeps its lease through a pause (the state service was down for all) has received
+// no heartbeats meanwhile. That is no failure of the machines: none is given up, and the leader
+// does not resign.
 func TestProcessPauseIsNotMachineFailure(t *testing.T) {
 	cluster, node, leader := clusterWithLeader(t)
 	hosts := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
--- a/provisioning_test.go
+++ b/provisioning_test.go
@@ -17,15 +17,15 @@
 	})
 }
 
-// Replicas that are to be apart get machines in a second zone.
+// Replicas that are to be spread get machines in a second zone.
 func TestSpreadJobGetsMachinesInTwoZones(t *testing.T) {
 	playUntilPlaced(t, newSubmission(1, 2, 0, func(spec *wire.Spec) {
 		spec.Kind, spec.Tasks, spec.MachineTypes, spec.Spread = wire.KindService, 2, []string{"b"}, true
 	}))
 }
 
-// A job that is to be in one zone gets a machine where neither zone has room for
-// all of it, and both together have.
+// A same-zone job gets a machine where neither zone has capacity for all of it, although both
+// together have.
 func TestSameZoneJobGetsCapacityInOneZone(t *testing.T) {
 	single := func(zone string) func(spec *wire.Spec) {
 		return func(spec *wire.Spec) { spec.Kind, spec.Zone, spec.MachineTypes = wire.KindService, zone, []string{"s"} }
@@ -36,15 +36,15 @@
 		}))
 }
 
-// A task gets a machine where what is left beside replicas on each machine is too
-// little for it: as much on all of them as it wants is no room.
+// A task gets a machine when no machine has enough capacity left beside its replicas, although the
+// sum of what is left is enough.
 func TestTaskGetsCapacityBesideReplicas(t *testing.T) {
 	playUntilPlaced(t, newSubmission(1, 2, 0, func(spec *wire.Spec) { spec.Kind, spec.Cores, spec.MachineTypes = wire.KindService, 7, []string{"b"} }),
 		newSubmission(2, 30, 4, func(spec *wire.Spec) { spec.Cores, spec.Priority = 2, "high" }))
 }
 
-// Work that is bound to a zone gets a machine there where other work, that could be
-// elsewhere and does not give way, fills those that are there.
+// Replicas bound to a zone get a machine there when other work, which could run elsewhere and may
+// not be preempted, fills the machines of the zone.
 func TestZonalReplicasGetCapacityBesideReplicas(t *testing.T) {
 	playUntilPlaced(t, newSubmission(1, 2, 0, func(spec *wire.Spec) {
 		asService(1)(spec)
--- a/quota_failover_test.go
+++ b/quota_failover_test.go
@@ -11,7 +11,7 @@
 	"cedardoor/wire"
 )
 
-// The team's limit counts what a predecessor started and may still exist.
+// A team's limit counts tasks that a predecessor started and that may still run.
 func TestTeamLimitAcrossLeaders(t *testing.T) {
 	limit := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 4 }
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, limit)
@@ -31,7 +31,7 @@
 	}
 }
 
-// A new leader counts what a cancelled job's tasks take while they may still exist.
+// A new leader counts the tasks of a cancelled job while they may still run.
 func TestCancelledTasksCountTowardsLimit(t *testing.T) {
 	limit := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 4 }
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, limit)
@@ -56,10 +56,10 @@
 	}
 }
 
-// A team is at its limit when its jobs are cancelled, whose machine is cut off or
-// hangs, and the leader changes twice. What may still be there counts under each
-// successor, for jobs with records of their own and in shared ones, until it is
-// proved gone: then the room is used at once, and not before.
+// A team is at its limit when its jobs are cancelled, whose machine is unreachable or hangs, and
+// the leader changes twice. Tasks that may still run count under each successor, for jobs with
+// records of their own and in shared ones, until they are proved gone: then the quota is used at
+// once, and not before.
 func TestCancelledTasksCountUntilProvedGone(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
 		for _, proof := range []string{"lease end", "return", "newer session", "halted"} {
@@ -136,9 +136,9 @@
 	}
 }
 
-// A job is recorded as done and its leader ends before it could delete what else is
-// recorded of it. The result proves that its tasks have ended, so the successor does
-// not count them for the team's limit while their machine can't be asked.
+// A job is recorded as done and its leader crashes before it could delete its other records. The
+// result proves that its tasks have ended, so the successor does not count them for the team's
+// limit while their machine is unreachable.
 func TestCompletedTasksDoNotCountAfterFailover(t *testing.T) {
 	for _, pieces := range []int{1, 2} {
 		cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(4))
@@ -166,9 +166,9 @@
 	}
 }
 
-// A leader is paused right after it has reserved a team's last room and before that is
-// durable. Its successor uses the room. When the first wakes, its record fails and
-// nothing of what it reserved is ever started.
+// A leader is paused right after it has reserved the rest of a team's quota and before that is
+// durable. Its successor uses the quota. When the first goes on, its transaction fails and no task
+// that it reserved quota for is ever started.
 func TestPausedLeaderCannotUseReservedQuota(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(4))
 	oldLeader, stop := cluster.elect(nodeA)
@@ -203,8 +203,8 @@
 	}
 }
 
-// Under lower limits after a restart, what runs goes on and counts; nothing starts until
-// enough of it is proved gone.
+// Under a lower limit after a restart, running tasks go on and count; nothing starts until enough
+// of them are proved gone.
 func TestLowerLimitAfterFailover(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(4))
--- a/quota_guarantees_test.go
+++ b/quota_guarantees_test.go
@@ -18,9 +18,9 @@
 	quotaSeed  = flag.Uint64("quota.seed", 0, "the seed of the first of them")
 )
 
-// Four teams submit at three controllers, at the same moments, more than there is room
-// for, while leaders are killed, cut off and refused. No team is ever above its limit, and none
-// under its guarantee for longer than the bound while it has work that fits.
+// Four teams submit at three controllers, at the same moments, more work than there is capacity
+// for, while leaders are killed, isolated and refused. No team is ever above its limit, and none is
+// under its guarantee for longer than maxUnserved while it has work that fits.
 func TestTeamsKeepTheirLimitsAndGuarantees(t *testing.T) {
 	for seed := *quotaSeed; seed < *quotaSeed+*quotaSeeds; seed++ {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// The checker sees a ledger that knows no limits, and one that knows no guarantees.
+// The checks detect a ledger that knows no limits, and one that knows no guarantees.
 func TestCheckerDetectsBrokenLedgers(t *testing.T) {
 	for name, tt := range map[string]struct {
 		strip func(l quota.Limits) quota.Limits
@@ -68,7 +68,7 @@
 	}
 }
 
-// Three controllers accept jobs for a team's last free room in the same instant. All are
+// Three controllers accept jobs for the rest of a team's quota in the same instant. All are
 // accepted, one runs, and the others follow one by one.
 func TestLastQuotaAcceptedByThreeControllers(t *testing.T) {
 	schedule := faultSchedule{seed: 3, duration: seconds(60), firstLeader: 1}
--- a/quota_test.go
+++ b/quota_test.go
@@ -13,8 +13,8 @@
 	"cedardoor/wire"
 )
 
-// A limit that is smaller than one task: its submission is refused for good; a job that
-// was accepted under a higher limit waits and stays known, and no machine is rented for it.
+// A submission of tasks above the team's limit is refused for good; a job that was accepted under a
+// higher limit waits and stays known, and no machine is rented for it.
 func TestLimitSmallerThanOneTask(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(1))
@@ -42,8 +42,8 @@
 	}
 }
 
-// Ends of attempts that are reported late, twice, or of an earlier attempt free nothing
-// of the present one's room.
+// Reports of completed attempts that arrive late, twice, or of an earlier attempt free none of the
+// present attempt's quota.
 func TestStaleCompletionsFreeNothing(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(withTeamLimit(2))
@@ -79,7 +79,7 @@
 	}
 }
 
-// Bad input gets what the protocol says and leaves the ledger alone.
+// Invalid submissions get the status of the protocol and do not change the ledger.
 func TestInvalidSubmissionsDoNotChangeLedger(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(withTeamLimit(4))
@@ -117,8 +117,8 @@
 	}
 }
 
-// Work within a team's guarantee takes the place of what another team runs beyond its
-// own, whatever the priorities, and what it took the place of does not take it back.
+// Work within a team's guarantee preempts what another team runs beyond its own, whatever the
+// priorities, and is not preempted by that in turn.
 func TestGuaranteedCapacityIsReclaimed(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) {
--- a/random_schedules_test.go
+++ b/random_schedules_test.go
@@ -21,11 +21,11 @@
 	firstSeed     = flag.Uint64("meeting", 0, "the seed of the first random schedule")
 )
 
-// Whole services play random schedules of troubles against stand-ins on virtual
-// time, and the rules of the protocol are held against what is seen from outside.
+// Whole services run random schedules of faults against stand-ins on virtual time, and the rules of
+// the protocol are checked against what is observed from outside.
 func TestRandomSchedules(t *testing.T) { playRandomSchedules(t, *scheduleCount, randomSchedule) }
 
-// The same with the further troubles.
+// The same with further kinds of faults.
 func TestRandomSchedulesWithFurtherFaults(t *testing.T) {
 	playRandomSchedules(t, *furtherCount, randomFurtherSchedule)
 }
@@ -49,7 +49,7 @@
 	}
 }
 
-// Without troubles every array is done and every replica runs.
+// Without faults every batch job is done and every replica runs.
 func TestScheduleWithoutFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -75,7 +75,7 @@
 	})
 }
 
-// A job that comes while nothing is rented gets a machine where it may run.
+// A job that arrives while nothing is rented gets a machine on which it may run.
 func TestJobGetsEligibleMachine(t *testing.T) {
 	bound := map[string]func(spec *wire.Spec){
 		"anywhere": func(*wire.Spec) {},
--- a/recording_test.go
+++ b/recording_test.go
@@ -12,8 +12,8 @@
 	"cedardoor/wire"
 )
 
-// What is written follows the records touched, not the tasks: results wait for
-// each other, and placements of a job go in one change.
+// The number of changes follows the records written, not the tasks: results are recorded together,
+// and the placements of a job in one change.
 func TestChangesFollowRecordsNotTasks(t *testing.T) {
 	puts := func(tasks int) (placed, ended int) {
 		cluster, node, leader, worker := clusterWithWorker(t)
@@ -41,9 +41,9 @@
 	}
 }
 
-// Jobs of one task each share the records of their attempts, and each is called
-// done by one change. What a swarm costs a job may not grow with it, and a change
-// of leaders in the middle neither loses one nor runs one twice.
+// Jobs of one task each share the records of their attempts, and each is recorded as done by one
+// change. The changes of a job do not grow with their number, and a failover neither loses a job
+// nor runs one twice.
 func TestSingleTaskJobsShareRecords(t *testing.T) {
 	puts := func(jobs int) float64 {
 		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
@@ -117,9 +117,9 @@
 	}
 }
 
-// Whatever is due at a time, a transaction keeps to the changes and conditions
-// that the state service takes: one that does not is refused for ever, and
-// everything behind it waits. If one is refused all the same, the rest goes on.
+// Whatever is to be recorded at a time, a transaction keeps to the changes and conditions that the
+// state service accepts: one that does not is refused for ever, and everything behind it waits. If
+// one is refused all the same, the others are recorded.
 func TestTransactionsKeepTheLimits(t *testing.T) {
 	cluster, node, leader, workers := clusterWithWorkers(t, 16)
 	uids := []string{}
--- a/resignation_test.go
+++ b/resignation_test.go
@@ -18,8 +18,8 @@
 	"cedardoor/wire"
 )
 
-// A leader that renews its lease but can't read the changes of jobs gives the
-// lead up while its successor can still stop in time what was cancelled.
+// A leader that renews its lease but can't read the changes of jobs resigns while its successor can
+// still stop cancelled tasks in time.
 func TestLeaderWithStaleStateResigns(t *testing.T) {
 	cluster, node, leader, _ := clusterWithWorker(t)
 	limit := leader.maxUnsynced().Duration()
@@ -41,7 +41,8 @@
 	}
 }
 
-// Settings under which a cut leader's tasks outlast cancel_s are refused.
+// Settings under which the tasks of a partitioned leader outlast the cancellation limit are
+// refused.
 func TestSettingsKeepCancellationsInTime(t *testing.T) {
 	operator, err := config.LoadOperator("")
 	if err != nil {
@@ -64,7 +65,7 @@
 	}
 }
 
-// A leader cut off from every worker makes room for one that may hear them.
+// A leader that receives heartbeats from no worker resigns, so that another may lead.
 func TestIsolatedLeaderResigns(t *testing.T) {
 	cluster, node, leader := clusterWithLeader(t)
 	heartbeat(t, leader, cluster.worker("n-1", "x", true))
@@ -80,8 +81,8 @@
 	cluster.awaitResignation()
 }
 
-// With many machines, one interval without any heartbeat is proof enough: the sooner
-// another leads, the fewer leases run out.
+// With many machines, one interval without any heartbeat is proof enough: the sooner another leads,
+// the fewer leases expire.
 func TestIsolatedLeaderOfManyMachinesResignsSooner(t *testing.T) {
 	cluster, node, leader := clusterWithLeader(t)
 	cluster.advance(time.Second)
@@ -98,6 +99,7 @@
 	cluster.awaitResignation()
 }
 
+// A leader whose lease may have expired does not respond to heartbeats.
 func TestNoHeartbeatResponseWithoutLease(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	node.attestationLinks["other"] = peer.NewLink("127.0.0.1:1") // nobody attests
@@ -109,7 +111,8 @@
 	}
 }
 
-// When none hears, the fault is this leader's: another may be heard.
+// When no worker acknowledges commands, the fault is the leader's: it resigns, and another may
+// reach them.
 func TestUnacknowledgedLeaderResigns(t *testing.T) {
 	cluster, node, leader := clusterWithLeader(t)
 	var all []*standin.Worker
@@ -135,9 +138,8 @@
 	}
 }
 
-// Without the state service and the other controllers, a leader stops answering
-// heartbeats before anybody else can act, sends no steward, tells users nothing and
-// is not healthy.
+// Without the state service and the other controllers, a leader stops responding to heartbeats
+// before another may lead, names no leader, tells users nothing and is not healthy.
 func TestPartitionedLeaderAnswersNothing(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
@@ -175,7 +177,7 @@
 	}
 }
 
-// A node that was not told for a while who leads sends workers nowhere.
+// A controller that was not told for a while who leads redirects workers nowhere.
 func TestLeaderHintExpires(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	cluster.elect(nodeA)
--- a/team_reports_test.go
+++ b/team_reports_test.go
@@ -27,7 +27,7 @@
 	return quota.TeamReport{}
 }
 
-// The report follows a team's work from waiting at its limit to its proof of absence.
+// The report follows a team's work from waiting at its limit until it is proved gone.
 func TestTeamsReport(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) { facts.Teams[0].CPUsMax, facts.Teams[0].CPUs = 4, 2 })
@@ -77,8 +77,8 @@
 	return process.Teams(s.ctx)
 }
 
-// Every controller tells what the leader's ledger holds; when nobody leads, what it saw
-// last, and how old that is. One that never heard a leader says so.
+// Every controller reports the leader's ledger; when nobody leads, what it saw last, and how old
+// that is. One that has never reached a leader says so.
 func TestTeamsFromEveryController(t *testing.T) {
 	schedule := faultSchedule{seed: 1, duration: seconds(60), firstLeader: 1, limits: map[string]float64{}}
 	schedule.submissions = []scheduledSubmission{newSubmission(1, 2, 0, func(spec *wire.Spec) { asService(2)(spec); spec.Team = "tight" })}
@@ -124,7 +124,7 @@
 	playSchedule(t, schedule, nil)
 }
 
-// A thousand teams take several messages between controllers.
+// The report of a thousand teams takes several messages between controllers.
 func TestTeamsComeInPages(t *testing.T) {
 	cluster := newTestCluster(t)
 	many := func(facts *config.Facts) {
--- a/total_loss_test.go
+++ b/total_loss_test.go
@@ -21,9 +21,9 @@
 // not answer, a report and a quarter, and as much as starts take.
 const allGoingWithin = 5 + 10 + 3.75 + 3
 
-// All controllers end at once while everything runs, and one, two or three return: at once, within
-// the workers' lease, beyond it, and beyond the time within which what is cancelled must be gone.
-// Nothing that runs is stopped or started again without a cause.
+// All controllers crash at once while everything runs, and one, two or three return: at once,
+// within the workers' lease, beyond it, and beyond the cancellation limit. No running task is
+// stopped or started again without a cause.
 func TestTotalLoss(t *testing.T) {
 	for _, spell := range []float64{0.4, 6, 25, 50} {
 		for returns := 1; returns <= 3; returns++ {
@@ -51,8 +51,9 @@
 	}
 }
 
-// Where one of three controllers returns, its workers first wait for the two that do not answer. Meanwhile
-// it hears nobody for longer than would have it give up the lead, if another could be reached.
+// When one of three controllers returns, its workers first wait for the two that do not respond.
+// Meanwhile it receives no heartbeats for longer than it would take to resign, if another could
+// lead.
 func TestWorkersFindOnlyReturnedController(t *testing.T) {
 	for _, spell := range []float64{6, 14, 32} {
 		t.Run(fmt.Sprintf("spell=%v", spell), func(t *testing.T) {
@@ -69,7 +70,7 @@
 	}
 }
 
-// The checker sees a leader that starts at once, as if nothing of its predecessors ran.
+// The checks detect a leader that starts tasks at once, as if none of its predecessors' ran.
 func TestCheckerDetectsLeaderThatStartsAtOnce(t *testing.T) {
 	forget := func(r *recovery.Records) {
 		for i := range r.Chunks {
@@ -91,7 +92,7 @@
 	}
 }
 
-// Random losses and returns of all controllers: no rule breaks, and every job is served.
+// Random losses and returns of all controllers: no rule is violated.
 func TestRandomTotalLosses(t *testing.T) {
 	for seed := *lossSeed; seed < *lossSeed+*lossSeeds; seed++ {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -101,7 +102,7 @@
 	}
 }
 
-// After a total loss the leader ends right before one of its requests to the state service,
+// After a total loss the leader crashes right before one of its requests to the state service,
 // whichever, and its successor at the same one: every step of a recovery can be the last.
 func TestLeaderCrashesAtEveryRequest(t *testing.T) {
 	for request := 1; request <= crashPoints; request++ {
--- a/unresponsive_machines_test.go
+++ b/unresponsive_machines_test.go
@@ -14,8 +14,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A machine that hung before the leaders changed is returned by the new one,
-// so that its replica does not wait out a lease with every leader.
+// A machine that hung before the failover is returned by the new leader, so that its replica does
+// not wait for a lease to expire with every leader.
 func TestHungMachineIsReturnedByNextLeader(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
@@ -104,7 +104,7 @@
 	leader.probeSilentMachines(s.tb.Context())
 }
 
-// Silent machines with replicas are returned together, in one request.
+// Unresponsive machines with replicas are returned in one request.
 func TestUnresponsiveMachinesAreReturnedTogether(t *testing.T) {
 	cluster, node, leader := clusterWithLeader(t)
 	cluster.makeUnresponsive(leader, node, []string{"y", "y"}, 12)
@@ -116,8 +116,8 @@
 	}
 }
 
-// A zone that falls silent as a whole is cut off: its replicas run on until
-// their leases end, so it is replaced, but not returned.
+// A zone in which all machines are unresponsive is partitioned: its replicas run on until their
+// leases expire, so its machines are replaced, but not returned.
 func TestPartitionedZoneIsNotReturned(t *testing.T) {
 	cluster, node, leader := clusterWithLeader(t)
 	cluster.makeUnresponsive(leader, node, []string{"x", "x", "x"}, 18)
@@ -132,8 +132,8 @@
 	}
 }
 
-// A deaf machine reports on while nothing told to it takes effect. It gets no
-// more work, its task is settled by the cloud's word, and it is gone.
+// A machine that receives nothing goes on reporting while commands to it have no effect. It gets no
+// more work, the cloud confirms that its task is gone, and it is returned.
 func TestUnacknowledgingMachineIsReturned(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	for i := range 4 { // others that hear, so that the fault is not the leader's
@@ -176,7 +176,7 @@
 	}
 }
 
-// A machine that hears again is trusted again.
+// A machine that acknowledges commands again is trusted again.
 func TestUnacknowledgingMachineRecovers(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	leader.operator.Fleet.Enabled = false // nothing is returned
@@ -199,8 +199,8 @@
 	}
 }
 
-// A machine that was silent is not given work on the word of one report, which
-// may have been held back all the while; its answer to a question is of now.
+// A machine that was unresponsive gets no work after one report, which may have been delayed all
+// the while; its response to a probe is recent.
 func TestUnresponsiveMachineMustAnswerProbe(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	held := worker.Report()
@@ -220,8 +220,8 @@
 	}
 }
 
-// A worker that is back within a moment as a new process counts from the start
-// again. It is not ignored, and its predecessor's task starts once more, once.
+// A worker that returns at once as a new process counts its sequence from the start. It is not
+// ignored, and its predecessor's task starts once more, once.
 func TestWorkerProcessRestart(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -244,8 +244,8 @@
 	}
 }
 
-// A new leader that asks for such proof may be too busy to hear the answers:
-// workers that report are not mute for that, and are not returned.
+// A new leader that probes workers may be too busy to receive the responses: workers that report
+// are not unreachable for that, and are not returned.
 func TestProbesLostInSurgeReturnNothing(t *testing.T) {
 	const machines = 12
 	cluster, leader := adoptedFleet(t, machines, 2)
@@ -270,9 +270,8 @@
 	}
 }
 
-// A worker tells of a new token at once, but not twice within half a lease.
-// Where leaders change faster, it is asked, so that it need not stand idle until
-// its next regular report.
+// A worker reports a new token at once, but not twice within half a lease. Where leaders change
+// faster, it is probed, so that it need not be idle until its next regular report.
 func TestWorkerIsProbedForToken(t *testing.T) {
 	cluster, node, leader := clusterWithLeader(t)
 	worker := cluster.worker("n-1", "x", true)
--- a/user_requests_test.go
+++ b/user_requests_test.go
@@ -13,6 +13,7 @@
 	"cedardoor/wire"
 )
 
+// Requests get the status of the protocol, also in an outage.
 func TestResponsesToUsers(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) { facts.Teams = append(facts.Teams, config.Team{Name: "small", CPUsMax: 3}) })
@@ -74,7 +75,7 @@
 	}
 }
 
-// A node that the state service refuses alone serves users through another.
+// A controller that the state service refuses alone serves users through another.
 func TestRefusedControllerRelays(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	cluster.connect(nodeA, nodeB)
@@ -103,8 +104,8 @@
 	}
 }
 
-// A node judges jobs by the machine types of now: an old catalogue will do for a
-// moment in which nobody tells it the new one, and no longer.
+// A controller validates jobs against the current machine types: it uses an old catalog for a short
+// time while the cloud does not respond, and no longer.
 func TestStaleCatalogAcceptsNothing(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
@@ -132,8 +133,8 @@
 	}
 }
 
-// A node answers no poll from what it knew before the poll came: what another
-// node has told since must not be taken back.
+// A controller answers no poll from what it knew before the poll arrived: what another has reported
+// since must not be taken back.
 func TestPollsNeverGoBack(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	cluster.submit(nodeA, jobSpec("j-1", nil))
@@ -153,10 +154,10 @@
 	}
 }
 
-// Users ask at all nodes at the same moment, right after one of them has said that
-// a job is accepted, done or cancelled, whatever befell the transaction that made
-// it so: no node may answer something older, nor anything else than the state to a
-// repeat, even a malformed one, and a transaction carried out late changes nothing.
+// Users ask at all controllers at the same moment, right after one of them has reported that a job
+// is accepted, done or cancelled, whatever happened to the transaction: no controller may report
+// anything older, nor anything else than the status to a repeated submission, even a malformed one,
+// and a delayed transaction changes nothing.
 func TestAllControllersAgreeAfterResponse(t *testing.T) {
 	for _, fault := range transactionFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -204,9 +205,8 @@
 	}
 }
 
-// More submissions than the state service takes: what can't be taken is refused
-// at once and told when to come back, the lowest priority first; what is known
-// already stays known, and cancels go through.
+// Submissions beyond the rate of the state service are refused at once with a time to retry after,
+// the lowest priority first. Known jobs stay known, and cancellations are accepted.
 func TestExcessSubmissionsAreRefusedAtOnce(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
@@ -240,8 +240,8 @@
 	}
 }
 
-// A storm of questions about jobs that nobody submitted: what can't be looked up
-// is refused at once, and jobs that run are answered for as ever.
+// Polls of unknown jobs beyond the rate of the state service are refused at once, and polls of jobs
+// that run are answered as ever.
 func TestFloodOfUnknownJobs(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
@@ -272,8 +272,8 @@
 	}
 }
 
-// Submissions that share a transaction share neither a refusal nor a conflict:
-// what is known hears so, what the store does not take fails alone.
+// Submissions that share a transaction share neither a refusal nor a conflict: a known job is
+// reported as known, and one that the store refuses fails alone.
 func TestBatchedSubmissionsAreJudgedSeparately(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
@@ -298,8 +298,8 @@
 	}
 }
 
-// How often polls make a node read is bounded by its share of a processor, however
-// many come, and an answer never waits long for its read.
+// The rate at which polls make a controller read is bounded by its share of a processor, however
+// many arrive, and a response never waits long for its read.
 func TestPollRateFollowsCPUShare(t *testing.T) {
 	for _, tt := range []struct {
 		share float64
