--- a/autoscaling_test.go
+++ b/autoscaling_test.go
@@ -128,7 +128,7 @@
 		cluster.resync(leader)
 		cluster.runSeconds(leader, workers, 20)
 		for range 4 {
-			leader.autoscale(t.Context()) // what is short is rented while they are heard
+			leader.autoscale(t.Context()) // rents what is missing while workers report
 		}
 		before := len(cluster.cloud.RentalRequests())
 		for range 8 {
@@ -137,7 +137,7 @@
 			leader.autoscale(t.Context())
 		}
 		if more := cluster.cloud.RentalRequests()[before:]; len(more) != 0 {
-			t.Errorf("%d machines silent at once: rented %+v", machines, more)
+			t.Errorf("%d machines unresponsive at once: rented %+v", machines, more)
 		}
 	}
 }
--- a/bench_serving_test.go
+++ b/bench_serving_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// BenchmarkBeat is a report taken in by the leader, decoding included.
+// BenchmarkBeat is a heartbeat that the leader processes, with its decoding.
 func BenchmarkBeat(b *testing.B) {
 	for _, c := range []struct {
 		name   string
@@ -109,11 +109,11 @@
 
 func (d *discardResponse) WriteHeader(int) {}
 
-// setSequence replaces a report's tally in place; it is written with eight bytes.
+// setSequence replaces the sequence of an encoded report in place; it takes eight bytes.
 func setSequence(tb testing.TB, encoded []byte, sequence uint64) {
 	at := bytes.Index(encoded, []byte("\xa5tally\xcf"))
 	if at < 0 {
-		tb.Fatalf("no tally in %x", encoded)
+		tb.Fatalf("no sequence in %x", encoded)
 	}
 	for k := range 8 {
 		encoded[at+7+k] = byte(sequence >> (56 - 8*k))
@@ -182,7 +182,7 @@
 	return node
 }
 
-// BenchmarkPoll is one poll of an unfinished job, alone in its read, over a connection.
+// BenchmarkPollServed is one poll of an unfinished job, with a read of its own, over a connection.
 func BenchmarkPollServed(b *testing.B) {
 	cluster, leader := trustedFleet(b, benchMachines, benchTasks)
 	node := leader.servingNode(b)
@@ -195,7 +195,7 @@
 	}
 }
 
-// BenchmarkSubmitServed is one submission, alone in its transaction, over a connection.
+// BenchmarkSubmitServed is one submission, with a transaction of its own, over a connection.
 func BenchmarkSubmitServed(b *testing.B) {
 	_, leader := trustedFleet(b, benchMachines, benchTasks)
 	node := leader.servingNode(b)
@@ -207,7 +207,7 @@
 	}
 }
 
-// BenchmarkHealth is a probe of the load balancer.
+// BenchmarkHealthServed is a probe of the load balancer.
 func BenchmarkHealthServed(b *testing.B) {
 	_, leader := trustedFleet(b, 10, benchTasks)
 	node := leader.servingNode(b)
--- a/cancellation_outage_test.go
+++ b/cancellation_outage_test.go
@@ -14,7 +14,7 @@
 	"cedardoor/wire"
 )
 
-// dropCancelHints lets no hint of a node's cancels reach the leader: they are hints.
+// dropCancelHints makes a node send no hints of cancellations to the leader.
 func dropCancelHints(node *Service) { node.users.Cancelled = nil }
 
 // The state service refuses the leader alone, another controller confirms a cancellation, and then
@@ -41,7 +41,7 @@
 	if got := worker.LiveTasks(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Fatalf("running %v after the attested leader answered, want j-2/0 alone", got)
 	}
-	// What the leader was told is a hint: after the outage the store is the truth.
+	// Attested cancellations are hints: after the outage the store decides.
 	cluster.state.Refuse(nodes[0].cfg.Node, false)
 	cluster.state.Refuse("", false)
 	cluster.advance(2 * time.Second)
@@ -93,7 +93,7 @@
 			outage := peer.Outage{Asked: true, Lead: leader.term.Revision, Epoch: leader.syncedRevision()}
 			cluster.state.Refuse("", true)
 			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: outage}); !r.Word.Attests {
-				t.Fatal("does not attest though it can vouch")
+				t.Fatal("does not attest though it knows every cancellation")
 			}
 			cluster.state.Refuse("", false)
 			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: outage}); r.Word.Attests {
@@ -104,7 +104,7 @@
 			if r := node.answerPeer(t.Context(), peer.Ask{Outage: outage}); r.Word.Attests {
 				t.Errorf("attests, with cancels %v", r.Word.Cancelled)
 			}
-			// An old form of the question, or none, is no question at all.
+			// A request without the question, or in an old form, is not answered.
 			if r := nodes[2].answerPeer(t.Context(), peer.Ask{}); r.Word.Attests {
 				t.Error("attests unasked")
 			}
@@ -120,7 +120,7 @@
 	named := func(node *Service) []string {
 		uids, whole := node.users.Cancels.Since(since, node.store.FirstRevision())
 		if !whole {
-			t.Fatalf("%s can't vouch", node.cfg.Node)
+			t.Fatalf("%s does not know every cancellation", node.cfg.Node)
 		}
 		return uids
 	}
@@ -141,12 +141,12 @@
 	if got := named(nodes[0]); len(got) != 1 || got[0] != "j-3" || nodes[0].users.Cancels.Epoch("j-3") == 0 {
 		t.Errorf("passed on: %v, of epoch %d", got, nodes[0].users.Cancels.Epoch("j-3"))
 	}
-	// The answer to the change is lost, and it may be done any time.
+	// The response to the change is lost, and it may be executed at any time.
 	cluster.state.DelayNextTransaction()
 	if code, _, _ := cluster.ask(nodes[1], http.MethodPost, cancelPath("j-2"), nil); code != http.StatusServiceUnavailable {
-		t.Fatalf("an abort of unknown outcome: %d", code)
+		t.Fatalf("a cancellation of unknown outcome: %d", code)
 	}
-	// j-3 may be there, too: it was asked of both other nodes, and one of them did it.
+	// j-3 may be listed, too: it was relayed to both other nodes, and one of them executed it.
 	if got := named(nodes[1]); !slices.Contains(got, "j-2") {
 		t.Errorf("of unknown outcome: %v", got)
 	}
@@ -190,7 +190,7 @@
 // After an interruption in which changes may have been missed, no run command is sent before they
 // have been read, not even for an attempt that was recorded before the interruption.
 func TestNoRunCommandsOnStaleState(t *testing.T) {
-	spells := map[string]func(cluster *testCluster, node *Service, leader *leader){
+	interruptions := map[string]func(cluster *testCluster, node *Service, leader *leader){
 		"refused alone": func(cluster *testCluster, node *Service, _ *leader) {
 			cluster.state.Refuse(node.cfg.Node, true)
 			cluster.advance(3 * time.Second)
@@ -201,7 +201,7 @@
 			leader.checkPause()
 		},
 	}
-	for name, spell := range spells {
+	for name, interrupt := range interruptions {
 		t.Run(name, func(t *testing.T) {
 			cluster := newTestCluster(t)
 			node, other := cluster.node(nil), cluster.node(nil)
@@ -219,10 +219,10 @@
 				t.Fatal("not recorded")
 			}
 			cluster.cancelJob(other, "j-1")
-			spell(cluster, node, leader)
+			interrupt(cluster, node, leader)
 			cluster.advance(2 * time.Second)
 			if _, may := node.elector.HoldsLease(); !may {
-				t.Fatal("the lead was lost")
+				t.Fatal("the leader has lost its lease")
 			}
 			leader.mu.Lock()
 			scope := leader.commandScope()
--- a/cancellation_test.go
+++ b/cancellation_test.go
@@ -71,7 +71,7 @@
 				if code == http.StatusOK && status.Status == wire.JobCancelled {
 					cluster.checkAnswers("told to be cancelled", cluster.askEverywhere(nodes, uid, true), wire.JobCancelled, "503")
 				} else if code != http.StatusNotFound {
-					t.Errorf("abort: %d %+v", code, status)
+					t.Errorf("cancellation: %d %+v", code, status)
 				}
 			})
 		}
@@ -81,7 +81,7 @@
 		release()
 		wg.Wait()
 		if _, status, _ := cluster.ask(nodes[k%3], http.MethodPost, cancelPath(uid), nil); status.Status != wire.JobCancelled {
-			t.Fatalf("abort: %+v", status)
+			t.Fatalf("cancellation: %+v", status)
 		}
 		cluster.checkAnswers("cancelled", cluster.askEverywhere(nodes, uid, true), wire.JobCancelled)
 	}
@@ -94,17 +94,17 @@
 // A cancellation races with the completion of a job's last task: whichever is recorded first is
 // what every node reports from then on, and the other has no effect.
 func TestCancellationRacesCompletion(t *testing.T) {
-	for _, pieces := range []int{1, 2} {
+	for _, tasks := range []int{1, 2} {
 		for _, first := range []string{"cancel", "end", "end between the cancel's reading and writing"} {
 			cluster := newTestCluster(t)
 			nodes := []*Service{cluster.node(nil), cluster.node(nil)}
 			leader, _ := cluster.elect(nodes[0])
 			worker := cluster.worker("n-1", "x", true)
 			heartbeat(t, leader, worker)
-			cluster.submit(nodes[1], jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = pieces }))
+			cluster.submit(nodes[1], jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tasks }))
 			cluster.syncAndSettle(leader)
-			for _, p := range worker.LiveTasks() {
-				worker.EndTask(p, wire.CauseDone)
+			for _, task := range worker.LiveTasks() {
+				worker.EndTask(task, wire.CauseDone)
 			}
 			heartbeat(t, leader, worker)
 			transaction := nextTransaction(leader) // about to be recorded
@@ -148,16 +148,16 @@
 // reads, or between those and its first watch. In each case its task is stopped, its resources are
 // free after that and not before, and the successor's other tasks go on.
 func TestCancellationDuringFailover(t *testing.T) {
-	for _, pieces := range []int{1, 2} {
+	for _, tasks := range []int{1, 2} {
 		for _, moment := range []string{"before", "starts=j", "starts=p", "starts=s", "catalog", "demand", "watch"} {
-			t.Run(fmt.Sprintf("%d tasks, %s", pieces, moment), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d tasks, %s", tasks, moment), func(t *testing.T) {
 				cluster := newTestCluster(t)
 				nodeA, nodeB, nodeC := cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(8))
 				leader, stop := cluster.elect(nodeA)
 				worker := cluster.worker("n-1", "x", true)
 				heartbeat(t, leader, worker)
 				for _, uid := range []string{"j-1", "j-2"} {
-					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 4/float64(pieces) }))
+					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 4/float64(tasks) }))
 				}
 				cluster.submit(nodeA, jobSpec("j-3", func(spec *wire.Spec) { spec.Cores = 4 }))
 				cluster.syncAndSettle(leader)
@@ -165,7 +165,7 @@
 				cancelled := false
 				cancel := func() {
 					if code, status, _ := cluster.ask(nodeC, http.MethodPost, cancelPath("j-2"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
-						t.Errorf("abort: %d %+v", code, status)
+						t.Errorf("cancellation: %d %+v", code, status)
 					}
 					cancelled = true
 				}
@@ -173,7 +173,7 @@
 					cancel()
 				} else {
 					cluster.state.BeforeRequest(func(path string) {
-						// Just before this read of the load is carried out.
+						// Right before this read is executed.
 						if !cancelled && strings.Contains(path, moment) {
 							cancel()
 						}
@@ -197,7 +197,7 @@
 				}
 				heartbeat(t, leader, worker)
 				leader.mu.Lock()
-				if used := leader.fleet.Machine("n-1").UsedCores; used != 8 && len(worker.LiveTasks()) == 2*pieces {
+				if used := leader.fleet.Machine("n-1").UsedCores; used != 8 && len(worker.LiveTasks()) == 2*tasks {
 					t.Errorf("%v cores in use while %v are there", used, worker.LiveTasks())
 				}
 				leader.mu.Unlock()
@@ -215,13 +215,13 @@
 					cluster.settle(leader)
 					heartbeat(t, leader, worker)
 				}
-				for _, p := range worker.LiveTasks() {
-					if strings.HasPrefix(p, "j-2/") {
-						t.Errorf("%s goes on", p)
+				for _, task := range worker.LiveTasks() {
+					if strings.HasPrefix(task, "j-2/") {
+						t.Errorf("%s goes on", task)
 					}
 				}
 				workers := []*standin.Worker{worker}
-				if startCount(workers, "j-1") != pieces || startCount(workers, "j-2") != pieces || startCount(workers, "j-3") != 1 {
+				if startCount(workers, "j-1") != tasks || startCount(workers, "j-2") != tasks || startCount(workers, "j-3") != 1 {
 					t.Errorf("starts %v", worker.StartedAttempts())
 				}
 				if left := cluster.state.Keys(store.PrefixAttempts + "j-2"); len(left) != 0 {
--- a/commands_test.go
+++ b/commands_test.go
@@ -104,7 +104,7 @@
 	cluster.cancelJob(node, "j-2")
 	cluster.syncAndSettle(leader)
 	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0"}) {
-		t.Errorf("on the mute machine %v after the cancel", got)
+		t.Errorf("on the machine that can't report: %v after the cancellation", got)
 	}
 	for range 4 {
 		cluster.advance(3 * time.Second)
@@ -122,6 +122,6 @@
 		cluster.reportAndSettle(leader, other)
 	}
 	if got := other.LiveTasks(); !slices.Equal(got, []string{"j-1/0", "j-3/0"}) || len(worker.StartedAttempts()) != before {
-		t.Errorf("after the lease: %v on the other machine, %v started on the mute one", got, worker.StartedAttempts()[before:])
+		t.Errorf("after the lease: %v on the other machine, %v started on the one that can't report", got, worker.StartedAttempts()[before:])
 	}
 }
--- a/concurrent_failures_test.go
+++ b/concurrent_failures_test.go
@@ -13,9 +13,8 @@
 	"cedardoor/wire"
 )
 
-// The scenes are meetings of troubles that chance seldom brings about. Each plays
-// whole services as the random schedules do, under the same checks, and asserts
-// besides that its meeting took place.
+// The schedules of this file let failures coincide that random schedules seldom do. Each runs
+// whole services under the same checks, and checks besides that the failures coincided.
 
 // A zone with workers and a controller is isolated for much longer than the lease, with the leader
 // inside or outside of it, and users cancel through the other controllers. Tasks in the zone are
@@ -81,8 +80,8 @@
 		sim.mu.Lock()
 		defer sim.mu.Unlock()
 		began := map[string]time.Time{}
-		for p, when := range sim.observed.firstStarts {
-			uid := jobOf(p)
+		for task, when := range sim.observed.firstStarts {
+			uid := jobOf(task)
 			if b, ok := began[uid]; !ok || when.Before(b) {
 				began[uid] = when
 			}
@@ -166,13 +165,13 @@
 			schedule.submissions = append(schedule.submissions, newSubmission(n, 12, 0, owned(2)))
 		}
 	}
-	// Its machines have room when it goes, so that nothing waits for a boot.
+	// Its machines have capacity when it is cancelled, so that nothing waits for a boot.
 	schedule.submissions = append(schedule.submissions, newSubmission(n+1, 1, 0, func(spec *wire.Spec) { asService(4)(spec); spec.Cores, spec.RAM = 4, 8 }))
 	schedule.submissions[n].cancelAfter = seconds(21)
 	schedule.setup = func(sim *simulation) {
-		sim.runAt(25, func() { // the machines of what is cancelled: every other hangs, or is cut off
+		sim.runAt(25, func() { // machines with cancelled tasks: every other one hangs, or is unreachable
 			for i, machine := range sim.cloud.Machines() {
-				if slices.ContainsFunc(machine.RunningTasks(), func(p string) bool { uid := jobOf(p); return slices.Contains(cancelled, uid) }) {
+				if slices.ContainsFunc(machine.RunningTasks(), func(task string) bool { uid := jobOf(task); return slices.Contains(cancelled, uid) }) {
 					kinds := []faultKind{machineHangs}
 					if i%2 == 1 {
 						kinds = []faultKind{machineReceivesNothing, machineSendsNothing}
@@ -273,7 +272,7 @@
 				}
 			}
 			schedule.submissions = []scheduledSubmission{
-				// Machines have room and connections when it begins.
+				// Its machines have capacity and connections when the hold begins.
 				newSubmission(1, 1, 0, func(spec *wire.Spec) {
 					asService(4)(spec)
 					spec.Cores, spec.Zone, spec.MachineTypes = 6, "x", []string{"b"}
--- a/failover_test.go
+++ b/failover_test.go
@@ -179,7 +179,7 @@
 			if code, _, _ := cluster.ask(nodeB, http.MethodGet, jobPath("j-1"), nil); code != http.StatusNotFound {
 				t.Errorf("another node answers %d", code)
 			}
-			// The candidate waits before it tries again.
+			// The candidate waits before its next attempt.
 			if err := cluster.clock.BlockUntilContext(t.Context(), 1); err != nil {
 				t.Fatal(err)
 			}
@@ -260,11 +260,11 @@
 // that it trusts, and keeps the machine though no list shows it.
 func TestFailoverDuringPlacementOnNewMachine(t *testing.T) {
 	for _, late := range []bool{true, false} {
-		for _, pieces := range []int{1, 2} {
-			t.Run(fmt.Sprintf("late %t, %d tasks", late, pieces), func(t *testing.T) {
+		for _, tasks := range []int{1, 2} {
+			t.Run(fmt.Sprintf("late %t, %d tasks", late, tasks), func(t *testing.T) {
 				cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 				leader, stop := cluster.elect(nodeA)
-				cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = pieces }))
+				cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tasks }))
 				cluster.resync(leader)
 				worker, other := cluster.worker("n-000200", "x", true), cluster.worker("n-000201", "y", true)
 				heartbeat(t, leader, worker)
@@ -297,7 +297,7 @@
 						t.Errorf("the earlier leader's late transaction was applied: %v, then %v", before, after)
 					}
 				}
-				if pieces == 2 {
+				if tasks == 2 {
 					deliver()
 				}
 				// The machine that holds nothing comes first: it may get the task only if
@@ -311,8 +311,8 @@
 					cluster.reportAndSettle(leader, worker, other)
 				}
 				leader.autoscale(t.Context())
-				if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != pieces || len(worker.LiveTasks())+len(other.LiveTasks()) != pieces {
-					t.Errorf("starts %v and %v, want %d", worker.StartedAttempts(), other.StartedAttempts(), pieces)
+				if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != tasks || len(worker.LiveTasks())+len(other.LiveTasks()) != tasks {
+					t.Errorf("starts %v and %v, want %d", worker.StartedAttempts(), other.StartedAttempts(), tasks)
 				}
 				for range 10 { // longer than three times the list's lag
 					cluster.advance(3 * time.Second)
@@ -376,8 +376,8 @@
 	ends := map[int]string{1: "j-1/0", 3: "j-2/0", 5: "j-2/1", 7: "j-1/1", 9: "j-2/2"}
 	last := leader.term.Token
 	for k := 1; k <= 10; k++ {
-		if p := ends[k]; p != "" {
-			worker.EndTask(p, wire.CauseDone)
+		if task := ends[k]; task != "" {
+			worker.EndTask(task, wire.CauseDone)
 			heartbeat(t, leader, worker)
 			if k != 5 { // this result is not recorded when the leader ends
 				cluster.settle(leader)
--- a/failure_attribution_test.go
+++ b/failure_attribution_test.go
@@ -13,45 +13,45 @@
 // not be quarantined for that, and once a few machines have been tried, only a few attempts are
 // made. A machine that fails all tasks is quarantined all the same, whichever comes first.
 func TestFailingJobsAndFailingMachine(t *testing.T) {
-	for _, badFirst := range []bool{true, false} {
+	for _, failingFirst := range []bool{true, false} {
 		cluster, node, leader, workers := clusterWithWorkers(t, 6, "j-1", "j-2")
 		workers[0].FailAllTasks(true)
-		bad := func() {
+		failingJobs := func() {
 			for _, uid := range []string{"j-1", "j-2"} {
 				cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 100, 1, 1 }))
 			}
 			cluster.resync(leader)
 			cluster.runSeconds(leader, workers, 8)
 		}
-		good := func() {
+		healthyJob := func() {
 			cluster.submit(node, jobSpec("j-3", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM, spec.Priority = 12, 1, 1, "high" }))
 			cluster.resync(leader)
 			cluster.runSeconds(leader, workers, 8)
 		}
-		if badFirst {
-			bad()
+		if failingFirst {
+			failingJobs()
 			if got := quarantined(leader, workers); len(got) > 0 {
-				t.Fatalf("banned for bad jobs: %v", got)
+				t.Fatalf("quarantined for failing jobs: %v", got)
 			}
-			good()
+			healthyJob()
 		} else {
-			good()
-			bad()
+			healthyJob()
+			failingJobs()
 		}
 		if got := quarantined(leader, workers); len(got) != 1 || got[0] != "n-1 failing" {
-			t.Fatalf("bad jobs first: %t: banned %v, want n-1 alone", badFirst, got)
+			t.Fatalf("failing jobs first: %t: quarantined %v, want n-1 alone", failingFirst, got)
 		}
 		live := 0
 		for _, worker := range workers[1:] {
 			live += len(worker.LiveTasks())
 		}
 		if live != 12 {
-			t.Errorf("bad jobs first: %t: %d tasks of the good job run, want 12", badFirst, live)
+			t.Errorf("failing jobs first: %t: %d tasks of the healthy job run, want 12", failingFirst, live)
 		}
 		before := startCount(workers, "j-1") + startCount(workers, "j-2")
 		cluster.runSeconds(leader, workers, 60)
 		if more := startCount(workers, "j-1") + startCount(workers, "j-2") - before; more < 2 || more > 16 {
-			t.Errorf("bad jobs first: %t: %d tries of two bad jobs in a minute, want a few", badFirst, more)
+			t.Errorf("failing jobs first: %t: %d attempts of two failing jobs in a minute, want a few", failingFirst, more)
 		}
 		// They are known and can be cancelled.
 		for _, uid := range []string{"j-1", "j-2"} {
@@ -59,7 +59,7 @@
 				t.Errorf("%s: %+v, want queued", uid, status)
 			}
 			if code, status, _ := cluster.ask(node, http.MethodPost, cancelPath(uid), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
-				t.Errorf("abort of %s: %d %+v", uid, code, status)
+				t.Errorf("cancellation of %s: %d %+v", uid, code, status)
 			}
 		}
 	}
@@ -74,13 +74,13 @@
 	leader.mu.Lock()
 	defer leader.mu.Unlock()
 	if !leader.jobs.Get("j-1").Failures.Failing() {
-		t.Fatalf("not found bad: %+v", leader.jobs.Get("j-1").Failures)
+		t.Fatalf("not found to be failing: %+v", leader.jobs.Get("j-1").Failures)
 	}
 	if need := leader.autoscaler.Demand(leader.scalingView(leader.clock.Now())); need.Preemptible.Cores > 0 || need.Urgent.Cores > 0 {
-		t.Errorf("needed for a bad job: %+v", need)
+		t.Errorf("needed for a failing job: %+v", need)
 	}
 	if len(leader.planner.ReservedRoom()) > 0 {
-		t.Errorf("room is kept for a bad job: %v", leader.planner.ReservedRoom())
+		t.Errorf("capacity is reserved for a failing job: %v", leader.planner.ReservedRoom())
 	}
 }
 
@@ -104,7 +104,7 @@
 	before := startCount(workers, "j-1")
 	cluster.runSeconds(newLeader, workers, 10)
 	if more := startCount(workers, "j-1") - before; more < 1 || more > 8 {
-		t.Errorf("%d tries under a new leader, want a few", more)
+		t.Errorf("%d attempts under a new leader, want a few", more)
 	}
 }
 
@@ -116,19 +116,19 @@
 	cluster.resync(leader)
 	cluster.runSeconds(leader, workers, 6)
 	for _, worker := range workers {
-		for _, p := range worker.LiveTasks() {
-			worker.EndTask(p, wire.CauseDone)
+		for _, task := range worker.LiveTasks() {
+			worker.EndTask(task, wire.CauseDone)
 		}
 	}
 	cluster.runSeconds(leader, workers, 40)
 	if got := quarantined(leader, workers); len(got) > 0 {
-		t.Errorf("banned: %v", got)
+		t.Errorf("quarantined: %v", got)
 	}
 	if job := leader.jobs.Get("j-1"); job.Done != 34 || job.Failures.Failing() {
-		t.Errorf("%d tasks done, bad %t; want 34 and not bad", job.Done, job.Failures.Failing())
+		t.Errorf("%d tasks done, failing %t; want 34 and not failing", job.Done, job.Failures.Failing())
 	}
-	if tries := startCount(workers, "j-1"); tries > 34+6*9 {
-		t.Errorf("%d starts: those that fail are not slowed down", tries)
+	if attempts := startCount(workers, "j-1"); attempts > 34+6*9 {
+		t.Errorf("%d starts: those that fail are not backed off", attempts)
 	}
 }
 
@@ -159,7 +159,7 @@
 	workers[0].EndTask("j-1/1", wire.CauseError)
 	cluster.runSeconds(leader, workers, 40)
 	if got := quarantined(leader, workers); len(got) != 1 || got[0] != "n-1 failing" {
-		t.Errorf("banned %v, want the machine as sick", got)
+		t.Errorf("quarantined %v, want the machine as failing", got)
 	}
 	workers = append(workers, cluster.worker("n-2", "x", true))
 	cluster.runSeconds(leader, workers, 8)
--- a/fleet_size_norace_test.go
+++ b/fleet_size_norace_test.go
@@ -2,5 +2,5 @@
 
 package cedardoor
 
-// simulatedFleet is how many machines the large scene has.
+// simulatedFleet is how many machines the large simulations have.
 const simulatedFleet = 4000
--- a/fleet_size_race_test.go
+++ b/fleet_size_race_test.go
@@ -2,7 +2,7 @@
 
 package cedardoor
 
-// sceneFleet is how many machines the large scene has. The race detector's work
-// grows with the square of the goroutines, so that it looks at a quarter of them;
-// scripts/test runs the scene in full without it, too.
+// simulatedFleet is how many machines the large simulations have. The race detector's
+// work grows with the square of the goroutines, so that it runs with a quarter of them;
+// scripts/test runs the simulations in full without it, too.
 const sceneFleet = 1000
--- a/harness_requests_test.go
+++ b/harness_requests_test.go
@@ -126,9 +126,9 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, node := range nodes {
-		for _, q := range questions {
+		for _, question := range questions {
 			wg.Go(func() {
-				code, status, _ := s.ask(node, q.method, q.path, q.body)
+				code, status, _ := s.ask(node, question.method, question.path, question.body)
 				got := status.Status
 				if code != http.StatusOK {
 					got = fmt.Sprint(code)
--- a/heartbeat_test.go
+++ b/heartbeat_test.go
@@ -26,7 +26,7 @@
 			response, ok := leader.Heartbeat(&report)
 			// The first list that comes as bytes is new.
 			if !ok || len(response.Commands) != 0 || report.Tasks != nil && sequence > 101 {
-				t.Fatalf("answered %t with %d orders, %d tasks decoded", ok, len(response.Commands), len(report.Tasks))
+				t.Fatalf("answered %t with %d commands, %d tasks decoded", ok, len(response.Commands), len(report.Tasks))
 			}
 		}
 		heartbeat()
@@ -87,11 +87,11 @@
 // controller just as a new leader begins, and again when it has acted: only the leader responds to
 // them, and they start, end and prove nothing.
 func TestStaleHeartbeatsReachEveryController(t *testing.T) {
-	t.Run("running", func(t *testing.T) { checkOldReports(t, false) })
-	t.Run("cancelled", func(t *testing.T) { checkOldReports(t, true) })
+	t.Run("running", func(t *testing.T) { checkStaleHeartbeats(t, false) })
+	t.Run("cancelled", func(t *testing.T) { checkStaleHeartbeats(t, true) })
 }
 
-func checkOldReports(t *testing.T, cancel bool) {
+func checkStaleHeartbeats(t *testing.T, cancel bool) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(2))
 	leader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
@@ -99,10 +99,10 @@
 	copies := []wire.Heartbeat{worker.Report()} // nothing there yet
 	cluster.submit(nodeA, jobSpec("j-1", nil))
 	cluster.syncAndSettle(leader)
-	copies = append(copies, worker.Report()) // the first attempt, in the first session
+	copies = append(copies, worker.Report()) // the first attempt, in the first incarnation
 	worker.ExpireLease()
 	heartbeat(t, leader, worker)
-	copies = append(copies, worker.Report()) // nothing there, in the second session
+	copies = append(copies, worker.Report()) // nothing there, in the second incarnation
 	cluster.settle(leader)
 	if got := worker.StartedAttempts(); len(got) != 2 {
 		t.Fatalf("starts %v", got)
@@ -153,7 +153,7 @@
 	all()
 	leader.mu.Lock()
 	if machine := leader.fleet.Machine("n-1"); machine.Incarnation != 2 || !machine.Reported || machine.LiveCount() != 1 {
-		t.Errorf("after copies came behind newer reports: session %d, trusted %t, %d tasks", machine.Incarnation, machine.Reported, machine.LiveCount())
+		t.Errorf("after copies came behind newer reports: incarnation %d, trusted %t, %d tasks", machine.Incarnation, machine.Reported, machine.LiveCount())
 	}
 	leader.mu.Unlock()
 	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0"}) {
--- a/job_lifecycle_test.go
+++ b/job_lifecycle_test.go
@@ -86,7 +86,7 @@
 	leader.jobs.SetChanged(true)
 	leader.runPlan(now)
 	if got := leader.fleet.Machine("n-1").AllocationCount(); got != 1 {
-		t.Errorf("%d bookings of one task", got)
+		t.Errorf("%d allocations of one task", got)
 	}
 	leader.mu.Unlock()
 	cluster.settle(leader)
@@ -138,7 +138,7 @@
 		t.Errorf("started %v of a job that is done", got)
 	}
 	if leader.jobs.Get("j-1") != nil {
-		t.Error("the job stays on the leader's books")
+		t.Error("the leader keeps the job")
 	}
 	cluster.checkStatus(node, "j-1", wire.JobDone)
 }
--- a/job_load_test.go
+++ b/job_load_test.go
@@ -44,12 +44,12 @@
 			}
 			leader.pass(t.Context())
 			for _, worker := range workers {
-				heartbeat(t, leader, worker) // takes its orders
+				heartbeat(t, leader, worker) // receives its commands
 			}
 			for _, worker := range workers {
-				for _, p := range worker.LiveTasks() {
-					if strings.HasPrefix(p, "j-1/") {
-						worker.EndTask(p, wire.CauseDone)
+				for _, task := range worker.LiveTasks() {
+					if strings.HasPrefix(task, "j-1/") {
+						worker.EndTask(task, wire.CauseDone)
 					}
 				}
 				heartbeat(t, leader, worker)
@@ -95,8 +95,8 @@
 func (s *testCluster) retainedCounts(leader *leader) map[string]int {
 	leader.mu.Lock()
 	defer leader.mu.Unlock()
-	bookings := 0
-	leader.fleet.EachMachine(func(machine *fleet.Machine) { bookings += machine.AllocationCount() })
+	allocations := 0
+	leader.fleet.EachMachine(func(machine *fleet.Machine) { allocations += machine.AllocationCount() })
 	rows := 0
 	for _, k := range s.state.Keys(store.PrefixShared) {
 		var record store.SharedRecord
@@ -105,7 +105,7 @@
 	}
 	left := leader.writer.Backlog()
 	return map[string]int{"jobs": leader.jobs.Len(), "dirty": left.Dirty, "pending results": left.PendingResults, "queue": leader.jobs.WaitingLen(), "stale shared records": left.StaleShared, "final moves": left.FinalMoves,
-		"bookings": bookings, "unfinished jobs": len(s.state.Keys(store.PrefixJob)), "shared records": len(s.state.Keys(store.PrefixShared)),
+		"allocations": allocations, "unfinished jobs": len(s.state.Keys(store.PrefixJob)), "shared records": len(s.state.Keys(store.PrefixShared)),
 		"rows": rows, "records": len(s.state.Keys(store.PrefixAttempts))}
 }
 
@@ -133,7 +133,7 @@
 				cluster.submit(nodes[k%2], jobSpec(uid(k), func(spec *wire.Spec) { spec.Cores, spec.RAM = 0.5, 0.5 }))
 			}
 		}
-		// One of each four is cancelled: at once, or up to three seconds later, some after their end.
+		// Every fourth job is cancelled: at once, or up to three seconds later, some after their end.
 		if k := (at-at%4)*perSecond + at%4; submit {
 			if _, status, _ := cluster.ask(nodes[at%2], http.MethodPost, cancelPath(uid(k)), nil); status.Status == wire.JobCancelled {
 				cancelled[uid(k)] = true
@@ -141,9 +141,9 @@
 		}
 		cluster.syncAndSettle(leader)
 		for i, worker := range workers {
-			for n, p := range worker.LiveTasks() {
+			for n, task := range worker.LiveTasks() {
 				if (n+i+at)%3 == 0 {
-					worker.EndTask(p, wire.CauseDone)
+					worker.EndTask(task, wire.CauseDone)
 				}
 			}
 			heartbeat(t, leader, worker)
@@ -173,14 +173,14 @@
 	for at := range 90 {
 		second(lasts+at, false)
 	}
-	// The last of all are cancelled as they run: no other job's end takes their rows along.
+	// The last jobs are cancelled as they run: no other job's end removes their rows.
 	for k := perSecond * lasts; k < perSecond*lasts+3; k++ {
 		cluster.submit(nodes[0], jobSpec(uid(k), nil))
 	}
 	cluster.syncAndSettle(leader)
 	for k := perSecond * lasts; k < perSecond*lasts+3; k++ {
 		if _, status, _ := cluster.ask(nodes[0], http.MethodPost, cancelPath(uid(k)), nil); status.Status != wire.JobCancelled {
-			t.Errorf("abort: %+v", status)
+			t.Errorf("cancellation: %+v", status)
 		}
 	}
 	for at := range 90 {
--- a/loopback_loss_test.go
+++ b/loopback_loss_test.go
@@ -247,7 +247,7 @@
 		l.signal(name, syscall.SIGKILL)
 	}
 	l.wg.Wait()
-	for _, b := range l.violations {
-		t.Error(b)
+	for _, violation := range l.violations {
+		t.Error(violation)
 	}
 }
--- a/loopback_quota_test.go
+++ b/loopback_quota_test.go
@@ -174,7 +174,7 @@
 	for team := range l.schedule.guarantees {
 		t.Logf("%s: at most %v under its guarantee without a start, %.2f of it on average", team, watch.longestUnserved[team], watch.servedShare(team))
 	}
-	for _, b := range append(l.violations, watch.unservedTeams()...) {
-		t.Error(b)
+	for _, violation := range append(l.violations, watch.unservedTeams()...) {
+		t.Error(violation)
 	}
 }
--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -63,7 +63,7 @@
 			t.Errorf("started before the leader knows that it is recorded: %v", worker.StartedAttempts())
 		}
 		if code, status, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-3"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
-			t.Errorf("abort: %d %+v", code, status)
+			t.Errorf("cancellation: %d %+v", code, status)
 		}
 	})
 	cluster.syncAndSettle(leader)
@@ -80,7 +80,7 @@
 		for _, uid := range []string{"j-1", "j-2"} {
 			is(uid, wire.JobDone)
 			_, status, _ := cluster.ask(nodeB, http.MethodPost, cancelPath(uid), nil)
-			cluster.checkAnswers("abort after the end", []string{status.Status}, wire.JobDone)
+			cluster.checkAnswers("cancellation after the end", []string{status.Status}, wire.JobDone)
 		}
 	})
 	nodeC := cluster.node(nil) // remembers nothing
@@ -105,14 +105,14 @@
 // was written, also one that has just started; the leader then finds out, and nothing is recorded
 // again, moved again or left behind.
 func TestEveryLostCommitResponse(t *testing.T) {
-	life := func(pieces int, lossy bool) (puts int) {
+	life := func(tasks int, lossy bool) (puts int) {
 		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 		leader, _ := cluster.elect(nodeA)
 		worker := cluster.worker("n-1", "x", true)
 		heartbeat(t, leader, worker)
 		uids := []string{"j-1", "j-2"}
 		for _, uid := range uids {
-			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 1 }))
+			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 1 }))
 		}
 		cluster.resync(leader)
 		before := cluster.state.ChangeCount()
@@ -149,11 +149,11 @@
 		planNow(leader)
 		drain()
 		cluster.settle(leader)
-		if got := len(worker.LiveTasks()); got != 2*pieces {
+		if got := len(worker.LiveTasks()); got != 2*tasks {
 			t.Fatalf("%d tasks run", got)
 		}
-		for _, p := range worker.LiveTasks() {
-			worker.EndTask(p, wire.CauseDone)
+		for _, task := range worker.LiveTasks() {
+			worker.EndTask(task, wire.CauseDone)
 		}
 		heartbeat(t, leader, worker)
 		drain()
@@ -165,21 +165,21 @@
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
 		if left := leader.writer.Backlog(); left.FinalMoves+leader.jobs.Len()+left.Dirty+left.StaleShared != 0 {
-			t.Errorf("%d tasks a job: %+v and %d jobs are left", pieces, left, leader.jobs.Len())
+			t.Errorf("%d tasks a job: %+v and %d jobs are left", tasks, left, leader.jobs.Len())
 		}
 		if left := cluster.state.Keys(store.PrefixJob); len(left) != 0 {
 			t.Errorf("jobs that have not moved: %v", left)
 		}
-		if got := len(worker.StartedAttempts()); got != 2*pieces {
-			t.Errorf("%d starts of %d tasks", got, 2*pieces)
+		if got := len(worker.StartedAttempts()); got != 2*tasks {
+			t.Errorf("%d starts of %d tasks", got, 2*tasks)
 		}
 		return cluster.state.ChangeCount() - before
 	}
-	for _, pieces := range []int{1, 2} {
-		// Deletions of what a finished job leaves carry no stamp of their own: the repeat deletes nothing.
-		again := 2 * (pieces - 1)
-		if plain, lost := life(pieces, false), life(pieces, true); lost != plain+again {
-			t.Errorf("%d tasks a job: %d changes where every answer is lost, %d where none is", pieces, lost, plain)
+	for _, tasks := range []int{1, 2} {
+		// Deletions of what a finished job leaves have no condition: the retry deletes nothing.
+		again := 2 * (tasks - 1)
+		if plain, lost := life(tasks, false), life(tasks, true); lost != plain+again {
+			t.Errorf("%d tasks a job: %d changes where every response is lost, %d where none is", tasks, lost, plain)
 		}
 	}
 }
@@ -187,11 +187,11 @@
 // Every transaction of the leader is executed without a response, and again after newer ones of the
 // same leader: each takes effect once, and the late execution changes nothing.
 func TestDelayedTransactionsOfTheLeader(t *testing.T) {
-	for _, pieces := range []int{1, 2} {
+	for _, tasks := range []int{1, 2} {
 		cluster, node, leader, worker := clusterWithWorker(t)
 		uids := []string{"j-1", "j-2", "j-3"}
 		for _, uid := range uids {
-			cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 1 }))
+			cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 1 }))
 		}
 		cluster.resync(leader)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -220,12 +220,12 @@
 		worker.EndTask("j-1/1", wire.CauseDone)
 		worker.EndTask("j-2/0", wire.CauseError)
 		if _, status, _ := cluster.ask(node, http.MethodPost, cancelPath("j-3"), nil); status.Status != wire.JobCancelled {
-			t.Fatalf("abort: %+v", status)
+			t.Fatalf("cancellation: %+v", status)
 		}
 		heartbeat(t, leader, worker)
 		cluster.resync(leader)
 		drain()
-		// One that is recorded twice alone: its first record must not come back over the second.
+		// A job that is recorded twice by itself: its first record must not overwrite the second.
 		cluster.submit(node, jobSpec("j-4", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 0.5 }))
 		cluster.resync(leader)
 		planNow(leader)
@@ -245,10 +245,10 @@
 		}
 		cluster.state.DeliverDelayed()
 		if after := cluster.state.Keys(""); !slices.Equal(keys, after) {
-			t.Errorf("%d tasks a job: late transactions turn %v into %v", pieces, keys, after)
+			t.Errorf("%d tasks a job: late transactions turn %v into %v", tasks, keys, after)
 		}
 		if got := cluster.state.ChangeCount() - puts; got != 0 {
-			t.Errorf("%d tasks a job: %d changes were made late", pieces, got)
+			t.Errorf("%d tasks a job: %d changes were made late", tasks, got)
 		}
 		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-3": wire.JobCancelled} {
 			if _, status, _ := cluster.ask(cluster.node(nil), http.MethodGet, jobPath(uid), nil); status.Status != want {
@@ -294,9 +294,9 @@
 		t.Error(diff)
 	}
 	if code, status, _ := cluster.ask(node, "POST", wire.PathJobs, jobSpec("j-2", nil)); code != 200 || status.Status != wire.JobCancelled {
-		t.Errorf("a submission that comes again after the abort: %d %+v", code, status)
+		t.Errorf("a submission that comes again after the cancellation: %d %+v", code, status)
 	}
 	if _, ok := node.elector.MayAnswerHeartbeats(); !ok {
-		t.Error("the lead was lost")
+		t.Error("the leader has lost its lease")
 	}
 }
--- a/placement_test.go
+++ b/placement_test.go
@@ -85,7 +85,7 @@
 	if startCount(here, "j-1") != 2 || startCount(here, "j-2") != 4 {
 		t.Fatalf("started %v, %v and %v", here[0].StartedAttempts(), here[1].StartedAttempts(), here[2].StartedAttempts())
 	}
-	// One with some of the array is gone, and the zone has no room for that.
+	// A machine with some of its tasks is gone, and the zone has no capacity for them.
 	lost := slices.IndexFunc(here, func(worker *standin.Worker) bool { return startCount([]*standin.Worker{worker}, "j-2") > 0 })
 	leader.returnMachines(t.Context(), []string{here[lost].Identity.Machine})
 	for _, worker := range here {
--- a/process_pause_test.go
+++ b/process_pause_test.go
@@ -50,7 +50,7 @@
 		t.Error("a heartbeat was answered")
 	}
 	if leader.fleet.Machine("n-1").NotAcknowledging() {
-		t.Error("a command that was not sent counts as a sign of deafness")
+		t.Error("a command that was not sent counts as not acknowledged")
 	}
 	// The successor counts the recorded attempt as possible, though it was never sent.
 	nodeB := cluster.node(nil)
@@ -87,7 +87,7 @@
 	leader.autoscale(t.Context())
 	leader.pass(t.Context())
 	if got := cluster.cloud.Returns(); len(got) != 0 {
-		t.Errorf("returned on waking: %v", got)
+		t.Errorf("returned after the pause: %v", got)
 	}
 	for _, h := range hosts {
 		if leader.fleet.Machine(h).Returning {
@@ -95,9 +95,9 @@
 		}
 	}
 	if _, ok := node.elector.MayAnswerHeartbeats(); !ok {
-		t.Error("gave the lead up on waking")
+		t.Error("resigned after the pause")
 	}
-	// From then on silence counts as ever, while one is heard.
+	// From then on missing heartbeats count as ever, while one worker reports.
 	for range 50 {
 		cluster.advance(time.Second)
 		cluster.resync(leader) // no watch runs here, and a leader that reads nothing gives up
@@ -106,6 +106,6 @@
 	}
 	leader.autoscale(t.Context())
 	if len(cluster.cloud.Returns()) == 0 {
-		t.Error("silence after waking is not counted")
+		t.Error("missing heartbeats after the pause are not counted")
 	}
 }
--- a/provisioning_test.go
+++ b/provisioning_test.go
@@ -7,8 +7,8 @@
 	"cedardoor/wire"
 )
 
-// Without any trouble, work gets the machines that it wants, though the sum of all
-// that is held seems to be enough.
+// playUntilPlaced plays a schedule without faults, in which every task must get a machine,
+// even if the sum of the free capacity seems to be enough.
 func playUntilPlaced(t *testing.T, users ...scheduledSubmission) {
 	playSchedule(t, faultSchedule{seed: 1, duration: 40 * time.Second, submissions: users}, func(sim *simulation) {
 		if left := sim.unplacedTasks(true); len(left) > 0 {
--- a/quota_failover_test.go
+++ b/quota_failover_test.go
@@ -61,17 +61,17 @@
 // records of their own and in shared ones, until they are proved gone: then the quota is used at
 // once, and not before.
 func TestCancelledTasksCountUntilProvedGone(t *testing.T) {
-	for _, pieces := range []int{1, 2} {
+	for _, tasks := range []int{1, 2} {
 		for _, proof := range []string{"lease end", "return", "newer session", "halted"} {
-			t.Run(fmt.Sprintf("%d tasks, %s", pieces, proof), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d tasks, %s", tasks, proof), func(t *testing.T) {
 				cluster := newTestCluster(t)
 				nodeA, nodeB, nodeC := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
 				l, stop := cluster.elect(nodeA)
 				hung, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 				heartbeat(t, l, hung)
-				uids := []string{"j-1", "j-2"}[:3-pieces]
+				uids := []string{"j-1", "j-2"}[:3-tasks]
 				for _, uid := range uids {
-					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = pieces }))
+					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = tasks }))
 				}
 				cluster.syncAndSettle(l)
 				if got := hung.LiveTasks(); len(got) != 2 {
@@ -140,15 +140,15 @@
 // result proves that its tasks have ended, so the successor does not count them for the team's
 // limit while their machine is unreachable.
 func TestCompletedTasksDoNotCountAfterFailover(t *testing.T) {
-	for _, pieces := range []int{1, 2} {
+	for _, tasks := range []int{1, 2} {
 		cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(4))
 		leader, stop := cluster.elect(nodeA)
 		worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 		heartbeat(t, leader, worker)
-		cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 4/float64(pieces) }))
+		cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 4/float64(tasks) }))
 		cluster.syncAndSettle(leader)
-		for _, p := range worker.LiveTasks() {
-			worker.EndTask(p, wire.CauseDone)
+		for _, task := range worker.LiveTasks() {
+			worker.EndTask(task, wire.CauseDone)
 		}
 		heartbeat(t, leader, worker)
 		transaction := nextTransaction(leader)
@@ -161,7 +161,7 @@
 		cluster.reportAndSettle(leader, other)
 		heartbeat(t, leader, other)
 		if got := other.StartedAttempts(); len(got) != 1 {
-			t.Errorf("%d tasks a job: %v started beside tasks that have ended, want the job that waits", pieces, got)
+			t.Errorf("%d tasks a job: %v started beside tasks that have ended, want the job that waits", tasks, got)
 		}
 	}
 }
--- a/quota_guarantees_test.go
+++ b/quota_guarantees_test.go
@@ -45,7 +45,7 @@
 		"without limits": {
 			func(l quota.Limits) quota.Limits { return quota.Limits{Guarantee: l.Guarantee} },
 			func(broken []string, _ *guaranteeMonitor) bool {
-				return slices.ContainsFunc(broken, func(b string) bool { return strings.Contains(b, "quota") })
+				return slices.ContainsFunc(broken, func(violation string) bool { return strings.Contains(violation, "quota") })
 			}},
 		"without guarantees": {
 			func(l quota.Limits) quota.Limits { return quota.Limits{Limit: l.Limit} },
--- a/random_schedules_test.go
+++ b/random_schedules_test.go
@@ -12,10 +12,10 @@
 	"cedardoor/wire"
 )
 
-// How many random schedules are played, and the seed of the first.
+// The numbers of random schedules to play, and the seed of the first.
 var (
 	scheduleCount = flag.Uint64("meetings", 200, "how many random schedules are played")
-	furtherCount  = flag.Uint64("further", 100, "how many random schedules with further troubles are played")
+	furtherCount  = flag.Uint64("further", 100, "how many random schedules with further faults are played")
 	heldCount     = flag.Uint64("held", 40, "how many random schedules are played whose messages are held, too")
 	oneWayCount   = flag.Uint64("oneway", 30, "how many random schedules are played whose messages are held in one direction only")
 	firstSeed     = flag.Uint64("meeting", 0, "the seed of the first random schedule")
@@ -66,8 +66,8 @@
 			}
 		}
 		sim.shutDown(cancel)
-		for _, b := range sim.violations {
-			t.Error(b)
+		for _, violation := range sim.violations {
+			t.Error(violation)
 		}
 		if t.Failed() {
 			t.Log(strings.Join(sim.history, "\n"))
@@ -99,8 +99,8 @@
 					t.Errorf("after %v: %v", schedule.duration+faultFreeTail, left)
 				}
 				sim.shutDown(cancel)
-				for _, b := range sim.violations {
-					t.Error(b)
+				for _, violation := range sim.violations {
+					t.Error(violation)
 				}
 				if t.Failed() {
 					t.Log(strings.Join(sim.history, "\n"))
--- a/recording_test.go
+++ b/recording_test.go
@@ -65,9 +65,9 @@
 			for range rounds {
 				cluster.settle(leader)
 				for _, worker := range workers {
-					for _, p := range worker.LiveTasks() {
-						worker.EndTask(p, wire.CauseDone)
-						ended[p] = true
+					for _, task := range worker.LiveTasks() {
+						worker.EndTask(task, wire.CauseDone)
+						ended[task] = true
 					}
 					heartbeat(t, leader, worker)
 				}
@@ -141,8 +141,8 @@
 	leader.mu.Unlock()
 	cluster.runSeconds(leader, workers, 3)
 	for _, worker := range workers {
-		for _, p := range worker.LiveTasks() {
-			worker.EndTask(p, wire.CauseDone)
+		for _, task := range worker.LiveTasks() {
+			worker.EndTask(task, wire.CauseDone)
 		}
 	}
 	for k := range 30 {
--- a/resignation_test.go
+++ b/resignation_test.go
@@ -160,7 +160,7 @@
 	}
 	agent.ServeHeartbeat(node, func() bool { return false })(recorder, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, bytes.NewReader(encoded)))
 	if recorder.Code != http.StatusServiceUnavailable {
-		t.Errorf("beat: %d %s", recorder.Code, recorder.Body)
+		t.Errorf("heartbeat: %d %s", recorder.Code, recorder.Body)
 	}
 	cluster.settle(leader)
 	if len(worker.StartedAttempts()) != 0 {
--- a/total_loss_test.go
+++ b/total_loss_test.go
@@ -31,8 +31,8 @@
 			t.Run(fmt.Sprintf("spell=%v,returns=%d", spell, returns), func(t *testing.T) {
 				t.Parallel()
 				broken, measured := playTotalLoss(t, loss, *lossMachines, nil)
-				for _, b := range broken {
-					t.Error(b)
+				for _, violation := range broken {
+					t.Error(violation)
 				}
 				// Workers whose leases lasted need nothing: no starts, no machines. (With controllers that
 				// stay down some workers try those first, until their leases are over.)
@@ -59,8 +59,8 @@
 		t.Run(fmt.Sprintf("spell=%v", spell), func(t *testing.T) {
 			t.Parallel()
 			broken, measured := playTotalLoss(t, totalLoss{lossAtS: 40, outageS: spell, returning: 1, timing: defaultTiming}, 20, nil)
-			for _, b := range broken {
-				t.Error(b)
+			for _, violation := range broken {
+				t.Error(violation)
 			}
 			if measured.AllGoingS == 0 || measured.AllGoingS > allGoingWithin {
 				t.Errorf("all goes on %.2f s after the return, want within %v s", measured.AllGoingS, allGoingWithin)
@@ -80,9 +80,9 @@
 	}
 	broken, _ := playTotalLoss(t, totalLoss{lossAtS: 40, outageS: 6, returning: 3}, 20, forget)
 	kinds := map[string]bool{}
-	for _, b := range broken {
+	for _, violation := range broken {
 		for _, kind := range []string{"is stopped without a cause", "starts on"} {
-			if strings.Contains(b, kind) {
+			if strings.Contains(violation, kind) {
 				kinds[kind] = true
 			}
 		}
--- a/unresponsive_machines_test.go
+++ b/unresponsive_machines_test.go
@@ -31,7 +31,7 @@
 	leader := newLeader
 	leader.mu.Lock()
 	leader.fleet.Machine("n-1").Endpoint = "127.0.0.1:1" // nobody answers there
-	for i := range 5 {                                   // booting machines are not silent ones
+	for i := range 5 {                                   // booting machines are not unresponsive
 		machine := leader.fleet.Ensure(fmt.Sprintf("n-9%d", i), leader.clock.Now()+8*clock.Second)
 		machine.Endpoint, machine.Type, machine.Zone, machine.CloudStatus = "127.0.0.1:1", "b", "x", wire.MachineBooting
 	}
@@ -63,36 +63,36 @@
 	}
 }
 
-// makeUnresponsive lets machines with a replica each fall silent while others report,
-// and asks them until they count as mute.
+// makeUnresponsive lets machines with a replica each become unresponsive while others report,
+// and probes them until they count as unreachable.
 func (s *testCluster) makeUnresponsive(leader *leader, node *Service, zones []string, others int) {
 	s.tb.Helper()
-	var hung []*standin.Worker
+	var unresponsive []*standin.Worker
 	for i, z := range zones {
 		worker := s.worker(fmt.Sprintf("n-1%d", i), z, false)
 		heartbeat(s.tb, leader, worker)
-		hung = append(hung, worker)
+		unresponsive = append(unresponsive, worker)
 	}
 	s.submit(node, jobSpec("j-1", func(spec *wire.Spec) {
 		spec.Kind, spec.Priority, spec.Preemptible, spec.Tasks = wire.KindService, "critical", false, len(zones)
 	}))
 	s.resync(leader)
 	s.settle(leader)
-	for _, worker := range hung {
+	for _, worker := range unresponsive {
 		heartbeat(s.tb, leader, worker)
 		worker.SetUnreachable(true)
 	}
-	var rest []*standin.Worker
+	var reporting []*standin.Worker
 	for i := range others {
-		rest = append(rest, s.worker(fmt.Sprintf("n-2%02d", i), "y", true))
+		reporting = append(reporting, s.worker(fmt.Sprintf("n-2%02d", i), "y", true))
 	}
 	for range 2 {
-		for _, worker := range rest {
+		for _, worker := range reporting {
 			heartbeat(s.tb, leader, worker)
 		}
 		s.advance(3 * time.Second)
 	}
-	for _, worker := range rest {
+	for _, worker := range reporting {
 		heartbeat(s.tb, leader, worker)
 	}
 	for range detector.UnreachableAfterProbes {
@@ -125,10 +125,10 @@
 		t.Errorf("returned %v", got)
 	}
 	leader.mu.Lock()
-	muted := leader.detector.UnreachableCount()
+	unreachable := leader.detector.UnreachableCount()
 	leader.mu.Unlock()
-	if muted != 3 {
-		t.Errorf("%d machines unreachable, want 3", muted)
+	if unreachable != 3 {
+		t.Errorf("%d machines unreachable, want 3", unreachable)
 	}
 }
 
@@ -136,7 +136,7 @@
 // more work, the cloud confirms that its task is gone, and it is returned.
 func TestUnacknowledgingMachineIsReturned(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
-	for i := range 4 { // others that hear, so that the fault is not the leader's
+	for i := range 4 { // others that acknowledge, so that the fault is not the leader's
 		heartbeat(t, leader, cluster.worker(fmt.Sprintf("n-9%d", i), "z", false))
 	}
 	other := cluster.worker("n-2", "y", true)
@@ -189,13 +189,13 @@
 		cluster.settle(leader)
 	}
 	if cluster.machineUsable(leader, "n-1") && leader.fleet.Machine("n-1").QuarantineReason == "" {
-		t.Fatal("not banned")
+		t.Fatal("not quarantined")
 	}
 	worker.SetUnreachable(false)
 	heartbeat(t, leader, worker)
 	cluster.reportAndSettle(leader, worker)
 	if !cluster.machineUsable(leader, "n-1") || leader.fleet.Machine("n-1").QuarantineReason != "" || len(worker.StartedAttempts()) != 1 {
-		t.Errorf("banned %q after it heard again, starts %v", leader.fleet.Machine("n-1").QuarantineReason, worker.StartedAttempts())
+		t.Errorf("quarantined %q after it acknowledged again, starts %v", leader.fleet.Machine("n-1").QuarantineReason, worker.StartedAttempts())
 	}
 }
 
--- a/user_requests_test.go
+++ b/user_requests_test.go
@@ -95,7 +95,7 @@
 		t.Errorf("unknown job: %d", code)
 	}
 	if code, status, _ := cluster.ask(nodeA, http.MethodPost, cancelPath("j-1"), nil); code != 200 || status.Status != wire.JobCancelled {
-		t.Errorf("abort: %d %+v", code, status)
+		t.Errorf("cancellation: %d %+v", code, status)
 	}
 	// In an outage nobody can serve: the answer is 503, at once.
 	cluster.state.Refuse("", true)
@@ -182,7 +182,7 @@
 			cluster.syncAndSettle(leader)
 			fault.inject(cluster.state)
 			if _, status := cluster.askUntilAnswered(nodes[1:], http.MethodPost, cancelPath("j-2"), nil); status.Status != wire.JobCancelled {
-				t.Fatalf("abort: %+v", status)
+				t.Fatalf("cancellation: %+v", status)
 			}
 			cluster.checkAnswers("cancelled", cluster.askEverywhere(nodes, "j-2", true), wire.JobCancelled, "503")
 			cluster.resync(leader)
@@ -236,7 +236,7 @@
 		t.Errorf("a critical job: %d, want 201", code)
 	}
 	if code, status, _ := cluster.ask(node, http.MethodPost, cancelPath("j-0"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
-		t.Errorf("abort: %d %+v", code, status)
+		t.Errorf("cancellation: %d %+v", code, status)
 	}
 }
 
