--- a/autoscaling_test.go
+++ b/autoscaling_test.go
@@ -18,9 +18,7 @@
 // shows them, and none has come up.
 func bootingFleet(t *testing.T, n int, ago time.Duration) (*testCluster, *leader) {
 	t.Helper()
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, _, leader := clusterWithLeader(t)
 	addRentals(leader, 0, n)
 	cluster.advance(ago)
 	return cluster, leader
@@ -49,8 +47,8 @@
 	return len(overdue.Replace), len(overdue.Return)
 }
 
-// A machine that stays away while others come is replaced and returned long
-// before the whole of the patience with it.
+// A machine that does not boot while others do is replaced and returned long before the longest
+// time that a boot may take.
 func TestMachineThatNeverBootsIsReplaced(t *testing.T) {
 	cluster, leader := bootingFleet(t, 10, 30*time.Second)
 	leader.markUp(1, 9)
@@ -68,8 +66,8 @@
 	}
 }
 
-// When all come late, neither a second fleet is rented on top nor all are
-// returned and rented anew; when new ones come in time again, the rest goes.
+// When all machines boot late, neither is a second fleet rented nor are all returned and rented
+// again. When new machines boot in time, the late ones are returned.
 func TestSlowBootsRentNoSecondFleet(t *testing.T) {
 	cluster, leader := bootingFleet(t, 20, 60*time.Second)
 	if out, up := overdueCounts(leader); out == 0 || out > 6 || up != 0 {
@@ -89,12 +87,10 @@
 	}
 }
 
-// A machine may report before the rental is answered and before any list shows
-// it: it counts once, and nothing is rented in its stead.
+// A machine may report before the rental has a response and before a list shows it: it counts once,
+// and no other is rented in its place.
 func TestHeartbeatBeforeRentalResponseCountsOnce(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) {
 		spec.Cores, spec.Preemptible, spec.Kind, spec.Priority = 6, false, wire.KindService, "critical"
 	}))
@@ -122,8 +118,8 @@
 	}
 }
 
-// A leader that hears no worker any more is cut off itself: it rents no second
-// fleet before it gives the lead up.
+// A leader that receives no heartbeats is isolated itself: it rents no second fleet before it
+// resigns.
 func TestIsolatedLeaderRentsNothing(t *testing.T) {
 	for _, machines := range []int{3, 14} {
 		cluster, node, leader, workers := clusterWithWorkers(t, machines)
@@ -133,7 +129,7 @@
 		cluster.resync(leader)
 		cluster.runSeconds(leader, workers, 20)
 		for range 4 {
-			leader.autoscale(t.Context()) // what is short is rented while they are heard
+			leader.autoscale(t.Context()) // rents what is missing while workers report
 		}
 		before := len(cluster.cloud.RentalRequests())
 		for range 8 {
@@ -142,16 +138,14 @@
 			leader.autoscale(t.Context())
 		}
 		if more := cluster.cloud.RentalRequests()[before:]; len(more) != 0 {
-			t.Errorf("%d machines silent at once: rented %+v", machines, more)
+			t.Errorf("%d machines unresponsive at once: rented %+v", machines, more)
 		}
 	}
 }
 
-// A rental whose answer was lost is repeated under its own name and rents nothing more.
+// A rental whose response is lost is retried with the same request ID and rents nothing more.
 func TestLostRentalResponseIsRetriedIdempotently(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.cloud.LoseNextResponse = true
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Preemptible = false }))
 	cluster.resync(leader)
@@ -173,18 +167,16 @@
 	}
 }
 
-// With no work at all, the machines that were held for more are given back.
+// Without work, the machines that were held for more work are returned.
 func TestScaleInWhenIdle(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	leader.mu.Lock()
 	leader.autoscaler.Demand(leader.scalingView(leader.clock.Now()))
 	leader.mu.Unlock()
 	worker.EndTask("j-1/0", wire.CauseDone)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	cluster.advance(20 * time.Second)
 	leader.mu.Lock()
 	held := leader.autoscaler.Demand(leader.scalingView(leader.clock.Now())).Preemptible.Cores
@@ -204,9 +196,7 @@
 // Machines that have not had the time to find the new leader are neither replaced nor returned.
 func TestUnreconciledMachinesAreNotReplaced(t *testing.T) {
 	const replicas = 12
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, stop := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) {
 		spec.Tasks, spec.Cores, spec.Kind, spec.Priority, spec.ExpectedS, spec.Preemptible = replicas, 8, wire.KindService, "critical", 0, false
 	}))
--- a/cancellation_outage_test.go
+++ b/cancellation_outage_test.go
@@ -14,13 +14,13 @@
 	"cedardoor/wire"
 )
 
-// dropCancelHints lets no hint of a node's cancels reach the leader: they are hints.
-func dropCancelHints(node *Service) { node.users.OnCancelled = nil }
+// dropCancelHints makes a node send no hints of cancellations to the leader.
+func dropCancelHints(node *Service) { node.users.Cancelled = nil }
 
-// The cancellation gap: the state service refuses the leader alone, another
-// controller confirms a cancel, then it is down for all. The leader goes on
-// answering heartbeats on the others' word, which must carry the cancel: the task is
-// stopped by the answer to a heartbeat, without any hold, and no other is.
+// The state service refuses the leader alone, another controller confirms a cancellation, and then
+// the service is down for all. The leader goes on responding to heartbeats with the attestations of
+// the others, which must carry the cancellation: the response to a heartbeat stops the task,
+// without the leader's lease, and no other.
 func TestAttestationCarriesCancellations(t *testing.T) {
 	cluster, nodes, leader, worker := connectedCluster(t)
 	dropCancelHints(nodes[1])
@@ -41,25 +41,24 @@
 	if got := worker.LiveTasks(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Fatalf("running %v after the attested leader answered, want j-2/0 alone", got)
 	}
-	// What the leader was told is a hint: after the outage the store is the truth.
+	// Attested cancellations are hints: after the outage the store decides.
 	cluster.state.Refuse(nodes[0].cfg.Node, false)
 	cluster.state.Refuse("", false)
 	cluster.advance(2 * time.Second)
 	cluster.resync(leader)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	if got := worker.StartedAttempts(); len(got) != 2 {
 		t.Errorf("starts %v, want each job's once", got)
 	}
 	cluster.checkStatus(nodes[0], "j-1", wire.JobCancelled)
 }
 
-// A controller that can't name every cancel since the leader last knew does not
-// attest: it began since, it has forgotten some, or they fit no message. Then
-// heartbeats go unanswered when the lease ends, and the leases do the rest.
+// A controller that can't name every cancellation since the revision that the leader has synced
+// does not attest: it has started since, it has forgotten some, or they do not fit a message.
+// Heartbeats are not answered then once the lease has ended.
 func TestNoAttestationWithoutCompleteCancellations(t *testing.T) {
-	tests := map[string]func(cluster *testCluster, node *Service) *Service{
-		"began since": func(cluster *testCluster, node *Service) *Service {
+	tests := map[string]func(cluster *testCluster, leading, node *Service) *Service{
+		"began since": func(cluster *testCluster, _, node *Service) *Service {
 			cluster.submit(node, jobSpec("j-7", nil))
 			cluster.nodeCount -= 2 // the same node again
 			again := cluster.node(nil)
@@ -67,22 +66,22 @@
 			cluster.checkStatus(again, "j-7", wire.JobQueued)
 			return again
 		},
-		"never had an answer": func(cluster *testCluster, _ *Service) *Service { return cluster.node(nil) },
-		"has forgotten": func(cluster *testCluster, node *Service) *Service {
+		"never had a response": func(cluster *testCluster, _, _ *Service) *Service { return cluster.node(nil) },
+		"has forgotten": func(cluster *testCluster, _, node *Service) *Service {
 			cluster.cancelJob(node, "j-1")
 			for i := range 9000 {
 				node.users.Cancellations.Record(fmt.Sprintf("j-%d", 100+i), 1)
 			}
 			return node
 		},
-		"too many for a message": func(_ *testCluster, node *Service) *Service {
+		"too many for a message": func(_ *testCluster, _, node *Service) *Service {
 			for i := range 2000 {
 				node.users.Cancellations.Expect(fmt.Sprintf("j-%d", 100+i))
 			}
 			return node
 		},
-		"knows a later leader": func(cluster *testCluster, node *Service) *Service {
-			cluster.disconnect(cluster.firstLeader)
+		"knows a later leader": func(cluster *testCluster, leading, node *Service) *Service {
+			cluster.disconnect(leading)
 			cluster.clock.Advance(6 * time.Second)
 			cluster.elect(node)
 			return node
@@ -91,38 +90,37 @@
 	for name, mod := range tests {
 		t.Run(name, func(t *testing.T) {
 			cluster, nodes, leader, _ := connectedCluster(t)
-			cluster.firstLeader = nodes[0]
-			o := peer.AttestationRequest{Requested: true, LeaderRevision: leader.term.Revision, KnownRevision: leader.syncedRevision()}
+			outage := peer.Outage{Asked: true, Lead: leader.term.Revision, Epoch: leader.syncedRevision()}
 			cluster.state.Refuse("", true)
-			if r := nodes[1].answerPeer(t.Context(), peer.Request{Attestation: o}); !r.Attestation.Attested {
-				t.Fatal("does not attest though it can vouch")
+			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: outage}); !r.Word.Attests {
+				t.Fatal("does not attest though it knows every cancellation")
 			}
 			cluster.state.Refuse("", false)
-			if r := nodes[1].answerPeer(t.Context(), peer.Request{Attestation: o}); r.Attestation.Attested {
+			if r := nodes[1].answerPeer(t.Context(), peer.Ask{Outage: outage}); r.Word.Attests {
 				t.Fatal("attests though the state service serves it")
 			}
-			node := mod(cluster, nodes[1])
+			node := mod(cluster, nodes[0], nodes[1])
 			cluster.state.Refuse("", true)
-			if r := node.answerPeer(t.Context(), peer.Request{Attestation: o}); r.Attestation.Attested {
-				t.Errorf("attests, with cancels %v", r.Attestation.Cancelled)
+			if r := node.answerPeer(t.Context(), peer.Ask{Outage: outage}); r.Word.Attests {
+				t.Errorf("attests, with cancels %v", r.Word.Cancelled)
 			}
-			// An old form of the question, or none, is no question at all.
-			if r := nodes[2].answerPeer(t.Context(), peer.Request{}); r.Attestation.Attested {
+			// A request without the question, or in an old form, is not answered.
+			if r := nodes[2].answerPeer(t.Context(), peer.Ask{}); r.Word.Attests {
 				t.Error("attests unasked")
 			}
 		})
 	}
 }
 
-// A cancel counts as told whether this node made it, passed it on, read it, or
-// does not know yet what became of it.
+// A controller remembers a cancellation whether it made it, relayed it, read it, or does not know
+// the outcome yet.
 func TestConfirmedCancellationsAreRemembered(t *testing.T) {
 	cluster, nodes, leader, _ := connectedCluster(t)
 	since := leader.syncedRevision()
 	named := func(node *Service) []string {
 		uids, whole := node.users.Cancellations.Since(since, node.store.FirstRevision())
 		if !whole {
-			t.Fatalf("%s can't vouch", node.cfg.Node)
+			t.Fatalf("%s does not know every cancellation", node.cfg.Node)
 		}
 		return uids
 	}
@@ -149,14 +147,23 @@
 		nodes[0].store.Refused(t.Context(), 1_000_000)
 	}
 	cluster.cancelJob(nodes[0], "j-3") // passed on
-	if got := named(nodes[0]); len(got) != 1 || got[0] != "j-3" || nodes[0].users.Cancellations.Revision("j-3") == 0 {
-		t.Errorf("passed on: %v, of epoch %d", got, nodes[0].users.Cancellations.Revision("j-3"))
+	if got := named(nodes[0]); len(got) != 1 || got[0] != "j-3" || nodes[0].users.Cancels.Epoch("j-3") == 0 {
+		t.Errorf("passed on: %v, of epoch %d", got, nodes[0].users.Cancels.Epoch("j-3"))
+	}
+	// The response to the change is lost, and it may be executed at any time.
+	cluster.state.DelayNextTransaction()
+	if code, _, _ := cluster.ask(nodes[1], http.MethodPost, cancelPath("j-2"), nil); code != http.StatusServiceUnavailable {
+		t.Fatalf("a cancellation of unknown outcome: %d", code)
+	}
+	// j-3 may be listed, too: it was relayed to both other nodes, and one of them executed it.
+	if got := named(nodes[1]); !slices.Contains(got, "j-2") {
+		t.Errorf("of unknown outcome: %v", got)
 	}
 }
 
-// A cancel made elsewhere is told to the leader at once, over the link between
-// controllers: its task is stopped directly before any change could be read.
-// Lost, repeated or untrue, the hint harms nothing.
+// A cancellation made elsewhere is sent to the leader at once, over the link between controllers:
+// the task is stopped by a direct command before any change could be read. Lost, repeated or wrong
+// hints do no harm.
 func TestCancellationHintStopsTask(t *testing.T) {
 	cluster, nodes, leader, worker := connectedCluster(t)
 	nodes[1].elector = nodes[0].elector // knows who leads
@@ -176,14 +183,12 @@
 		runtime.Gosched()
 	}
 	cluster.advance(time.Second)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	if got := worker.StartedAttempts(); len(got) != 2 {
 		t.Fatalf("started %v before the state service was asked", got)
 	}
 	cluster.resync(leader)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	heartbeat(t, leader, worker)
 	if got := worker.LiveTasks(); len(got) != 1 || got[0] != "j-2/0" {
 		t.Errorf("running %v, want the job that was not cancelled", got)
@@ -191,10 +196,10 @@
 	cluster.checkStatus(nodes[2], "j-2", wire.JobQueued)
 }
 
-// After a spell in which changes may have been missed, no run goes out before
-// they have been read, not even one that was recorded before the spell.
+// After an interruption in which changes may have been missed, no run command is sent before they
+// have been read, not even for an attempt that was recorded before the interruption.
 func TestNoRunCommandsOnStaleState(t *testing.T) {
-	spells := map[string]func(cluster *testCluster, node *Service, leader *leader){
+	interruptions := map[string]func(cluster *testCluster, node *Service, leader *leader){
 		"refused alone": func(cluster *testCluster, node *Service, _ *leader) {
 			cluster.state.Refuse(node.cfg.Node, true)
 			cluster.advance(3 * time.Second)
@@ -205,7 +210,7 @@
 			leader.checkPause()
 		},
 	}
-	for name, spell := range spells {
+	for name, interrupt := range interruptions {
 		t.Run(name, func(t *testing.T) {
 			cluster := newTestCluster(t)
 			node, other := cluster.node(nil), cluster.node(nil)
@@ -223,10 +228,10 @@
 				t.Fatal("not recorded")
 			}
 			cluster.cancelJob(other, "j-1")
-			spell(cluster, node, leader)
+			interrupt(cluster, node, leader)
 			cluster.advance(2 * time.Second)
 			if _, may := node.elector.HoldsLease(); !may {
-				t.Fatal("the lead was lost")
+				t.Fatal("the leader has lost its lease")
 			}
 			leader.mu.Lock()
 			scope := leader.commandScope()
@@ -250,8 +255,7 @@
 			}
 			cancel()
 			<-done
-			heartbeat(t, leader, worker)
-			cluster.settle(leader)
+			cluster.reportAndSettle(leader, worker)
 			if got := worker.StartedAttempts(); len(got) != 0 {
 				t.Errorf("started %v, which was cancelled", got)
 			}
@@ -259,14 +263,13 @@
 	}
 }
 
-// A cancel that the leader knows, of a task whose machine could not be told, stops
-// it also when the machine reports only in an outage that all attest.
+// A cancellation that the leader knows, of a task whose machine could not be reached, stops the
+// task also when the machine reports only in an outage that all attest.
 func TestKnownCancellationStopsTaskInOutage(t *testing.T) {
 	cluster, nodes, leader, worker := connectedCluster(t)
 	worker.SetUnreachable(true)
 	cluster.cancelJob(nodes[1], "j-1")
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	cluster.state.Refuse("", true)
 	cluster.advance(8 * time.Second)
 	if _, may := nodes[0].elector.HoldsLease(); may {
--- a/cancellation_test.go
+++ b/cancellation_test.go
@@ -16,39 +16,32 @@
 	"cedardoor/wire"
 )
 
-// A cancel accepted elsewhere, unseen by the leader, still keeps it from placing.
+// A cancellation accepted elsewhere, which the leader has not seen, still prevents the placement.
 func TestCancellationPrecedesPlacement(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	leader, _ := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, leader, worker)
 	cluster.submit(nodeB, jobSpec("j-1", nil))
 	cluster.resync(leader)
-	if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || status.Status != wire.JobCancelled {
-		t.Fatalf("abort: %d %+v", code, status)
-	}
-	cluster.settle(leader)
-	heartbeat(t, leader, worker)
+	cluster.cancelJob(nodeB, "j-1")
 	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	if got := worker.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("started after the cancel: %v", got)
 	}
-	if _, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobCancelled {
+	if _, status, _ := cluster.ask(nodeA, http.MethodGet, jobPath("j-1"), nil); status.Status != wire.JobCancelled {
 		t.Fatalf("state %+v", status)
 	}
 }
 
+// A cancellation stops the tasks that run, and removes their records.
 func TestCancellationStopsRunningTasks(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
-	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
-		t.Fatalf("abort: %d", code)
-	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
+	cluster.cancelJob(node, "j-1")
+	cluster.syncAndSettle(leader)
 	if got := worker.LiveTasks(); len(got) != 0 {
 		t.Fatalf("still on the machine: %v", got)
 	}
@@ -57,9 +50,9 @@
 	}
 }
 
-// Several users' requests meet while the state service is slow: one submits, others
-// repeat it at other nodes and cancel at once. Whoever is told that the job is
-// cancelled is told nothing else from then on, and it never runs.
+// Several users' requests are in flight while the state service is slow: one submits, others repeat
+// the submission at other nodes and cancel at once. Whoever is told that the job is cancelled is
+// told nothing else from then on, and it never runs.
 func TestImmediateCancellationWithSlowState(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodes := []*Service{cluster.node(nil), cluster.node(nil), cluster.node(nil)}
@@ -73,11 +66,11 @@
 		for _, node := range nodes {
 			wg.Go(func() { cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec(uid, nil)) })
 			wg.Go(func() {
-				code, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
+				code, status, _ := cluster.ask(node, http.MethodPost, cancelPath(uid), nil)
 				if code == http.StatusOK && status.Status == wire.JobCancelled {
 					cluster.checkAnswers("told to be cancelled", cluster.askEverywhere(nodes, uid, true), wire.JobCancelled, "503")
 				} else if code != http.StatusNotFound {
-					t.Errorf("abort: %d %+v", code, status)
+					t.Errorf("cancellation: %d %+v", code, status)
 				}
 			})
 		}
@@ -86,38 +79,34 @@
 		}
 		release()
 		wg.Wait()
-		if _, status, _ := cluster.ask(nodes[k%3], http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
-			t.Fatalf("abort: %+v", status)
+		if _, status, _ := cluster.ask(nodes[k%3], http.MethodPost, cancelPath(uid), nil); status.Status != wire.JobCancelled {
+			t.Fatalf("cancellation: %+v", status)
 		}
 		cluster.checkAnswers("cancelled", cluster.askEverywhere(nodes, uid, true), wire.JobCancelled)
 	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if got := worker.StartedAttempts(); len(got) != 0 {
 		t.Errorf("started %v", got)
 	}
 }
 
-// A cancel meets the end of a job's last task: whichever is recorded first is what
-// every node says from then on, and the other comes to nothing.
+// A cancellation races with the completion of a job's last task: whichever is recorded first is
+// what every node reports from then on, and the other has no effect.
 func TestCancellationRacesCompletion(t *testing.T) {
-	for _, pieces := range []int{1, 2} {
+	for _, tasks := range []int{1, 2} {
 		for _, first := range []string{"cancel", "end", "end between the cancel's reading and writing"} {
 			cluster := newTestCluster(t)
 			nodes := []*Service{cluster.node(nil), cluster.node(nil)}
 			leader, _ := cluster.elect(nodes[0])
 			worker := cluster.worker("n-1", "x", true)
 			heartbeat(t, leader, worker)
-			cluster.submit(nodes[1], jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = pieces }))
-			cluster.resync(leader)
-			cluster.settle(leader)
-			for _, p := range worker.LiveTasks() {
-				worker.EndTask(p, wire.CauseDone)
+			cluster.submit(nodes[1], jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tasks }))
+			cluster.syncAndSettle(leader)
+			for _, task := range worker.LiveTasks() {
+				worker.EndTask(task, wire.CauseDone)
 			}
 			heartbeat(t, leader, worker)
-			leader.mu.Lock()
-			transaction := leader.buildTransaction() // about to be recorded
-			leader.mu.Unlock()
+			transaction := nextTransaction(leader) // about to be recorded
 			if transaction == nil || len(transaction.Finished()) != 1 {
 				t.Fatal("the end is not to be recorded")
 			}
@@ -138,15 +127,14 @@
 					}
 				})
 			}
-			if _, status, _ := cluster.ask(nodes[1], http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); status.Status != want {
+			if _, status, _ := cluster.ask(nodes[1], http.MethodPost, cancelPath("j-1"), nil); status.Status != want {
 				t.Errorf("%s first: the cancel is answered %q", first, status.Status)
 			}
 			if first == "cancel" {
 				leader.commit(t.Context(), transaction)
 			}
 			cluster.checkAnswers(first+" first", cluster.askEverywhere(nodes, "j-1", true), want)
-			cluster.resync(leader)
-			cluster.settle(leader)
+			cluster.syncAndSettle(leader)
 			cluster.checkAnswers(first+" first, not "+other, cluster.askEverywhere(append(nodes, cluster.node(nil)), "j-1", true), want)
 			if left := append(cluster.state.Keys(store.PrefixAttempts), cluster.state.Keys(store.PrefixJob)...); len(left) != 0 {
 				t.Errorf("%s first: left %v", first, left)
@@ -155,30 +143,28 @@
 	}
 }
 
-// A job is cancelled in the seconds in which one controller's work changes hands:
-// before the successor reads the records, after any of its reads, or between those
-// and its first watch. Its task is stopped in each case, its room is free after that
-// and not before, and what else the successor found goes on.
+// A job is cancelled during a failover: before the successor reads the records, after any of its
+// reads, or between those and its first watch. In each case its task is stopped, its resources are
+// free after that and not before, and the successor's other tasks go on.
 func TestCancellationDuringFailover(t *testing.T) {
-	for _, pieces := range []int{1, 2} {
+	for _, tasks := range []int{1, 2} {
 		for _, moment := range []string{"before", "starts=j", "starts=p", "starts=s", "catalog", "demand", "watch"} {
-			t.Run(fmt.Sprintf("%d tasks, %s", pieces, moment), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d tasks, %s", tasks, moment), func(t *testing.T) {
 				cluster := newTestCluster(t)
 				nodeA, nodeB, nodeC := cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(8))
 				leader, stop := cluster.elect(nodeA)
 				worker := cluster.worker("n-1", "x", true)
 				heartbeat(t, leader, worker)
 				for _, uid := range []string{"j-1", "j-2"} {
-					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 4/float64(pieces) }))
+					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 4/float64(tasks) }))
 				}
 				cluster.submit(nodeA, jobSpec("j-3", func(spec *wire.Spec) { spec.Cores = 4 }))
-				cluster.resync(leader)
-				cluster.settle(leader)
+				cluster.syncAndSettle(leader)
 				stop()
 				cancelled := false
 				cancel := func() {
-					if code, status, _ := cluster.ask(nodeC, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
-						t.Errorf("abort: %d %+v", code, status)
+					if code, status, _ := cluster.ask(nodeC, http.MethodPost, cancelPath("j-2"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+						t.Errorf("cancellation: %d %+v", code, status)
 					}
 					cancelled = true
 				}
@@ -186,7 +172,7 @@
 					cancel()
 				} else {
 					cluster.state.BeforeRequest(func(path string) {
-						// Just before this read of the load is carried out.
+						// Right before this read is executed.
 						if !cancelled && strings.Contains(path, moment) {
 							cancel()
 						}
@@ -210,7 +196,7 @@
 				}
 				heartbeat(t, leader, worker)
 				leader.mu.Lock()
-				if used := leader.fleet.Machine("n-1").UsedCores; used != 8 && len(worker.LiveTasks()) == 2*pieces {
+				if used := leader.fleet.Machine("n-1").UsedCores; used != 8 && len(worker.LiveTasks()) == 2*tasks {
 					t.Errorf("%v cores in use while %v are there", used, worker.LiveTasks())
 				}
 				leader.mu.Unlock()
@@ -228,13 +214,13 @@
 					cluster.settle(leader)
 					heartbeat(t, leader, worker)
 				}
-				for _, p := range worker.LiveTasks() {
-					if strings.HasPrefix(p, "j-2/") {
-						t.Errorf("%s goes on", p)
+				for _, task := range worker.LiveTasks() {
+					if strings.HasPrefix(task, "j-2/") {
+						t.Errorf("%s goes on", task)
 					}
 				}
 				workers := []*standin.Worker{worker}
-				if startCount(workers, "j-1") != pieces || startCount(workers, "j-2") != pieces || startCount(workers, "j-3") != 1 {
+				if startCount(workers, "j-1") != tasks || startCount(workers, "j-2") != tasks || startCount(workers, "j-3") != 1 {
 					t.Errorf("starts %v", worker.StartedAttempts())
 				}
 				if left := cluster.state.Keys(store.PrefixAttempts + "j-2"); len(left) != 0 {
@@ -245,14 +231,13 @@
 	}
 }
 
-// A leader is cut from the state service and from the other controllers, while its
-// workers and users reach it. Another takes over and cancels a job. The old one tells
-// users nothing and answers no worker once another can act, a command of it that was
-// under way is void, and the task is stopped by the new leader.
+// A leader is cut from the state service and the other controllers, while its workers and users
+// reach it. Another takes over and cancels a job. The old one reports nothing to users and responds
+// to no worker once another may lead, a command of it that is in flight is fenced off, and the new
+// leader stops the task.
 func TestCancellationThroughNewLeaderWhileOldIsPartitioned(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
-	nodeA.peers.Add("node-2", "127.0.0.1:1")
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
+	nodeA.attestationLinks["node-2"], nodeA.relayLinks["node-2"] = peer.NewLink("127.0.0.1:1"), peer.NewLink("127.0.0.1:1")
 	nodeA.users.Relay = nodeA.relay
 	oldLeader, _ := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
@@ -274,22 +259,18 @@
 		}
 	}
 	newLeader, _ := cluster.elect(nodeB)
-	if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
-		t.Fatalf("abort: %d %+v", code, status)
-	}
+	cluster.cancelJob(nodeB, "j-1")
 	cluster.resync(newLeader)
 	cluster.checkAnswers("asked at the cut node", cluster.askEverywhere([]*Service{nodeA}, "j-1", true), "503")
 	cluster.settle(oldLeader)
-	if report := worker.Report(); func() bool { _, ok := oldLeader.Heartbeat(&report); return ok }() {
+	if answersHeartbeat(oldLeader, worker) {
 		t.Error("the cut leader still answers heartbeats")
 	}
 	for range 3 {
-		heartbeat(t, newLeader, worker)
-		cluster.settle(newLeader)
+		cluster.reportAndSettle(newLeader, worker)
 	}
 	worker.DeliverHeldCommands()
-	heartbeat(t, newLeader, worker)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, worker)
 	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-2/0"}) {
 		t.Errorf("on the machine %v, want the job that was not cancelled", got)
 	}
@@ -298,26 +279,22 @@
 	}
 }
 
-// A cancelled job's attempt stays on record until nothing of it can be anywhere,
-// whichever jobs share the record, and under the next leader too.
+// The attempt of a cancelled job stays on record until it is proved gone, whichever jobs share the
+// record, and under the next leader, too.
 func TestCancellationInSharedRecord(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	leader, stop := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, leader, worker)
 	for _, uid := range []string{"j-1", "j-2", "j-3"} {
 		cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Cores = 2 }))
 	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if got := worker.LiveTasks(); len(got) != 3 {
 		t.Fatalf("on the machine: %v", got)
 	}
 	worker.SetUnreachable(true)
-	if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK {
-		t.Fatalf("abort: %d", code)
-	}
+	cluster.cancelJob(nodeB, "j-2")
 	stop()
 	leader, _ = cluster.elect(nodeB)
 	leader.mu.Lock()
@@ -327,8 +304,7 @@
 	leader.mu.Unlock()
 	worker.SetUnreachable(false)
 	for range 3 {
-		heartbeat(t, leader, worker)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, worker)
 	}
 	if got := worker.LiveTasks(); len(got) != 2 {
 		t.Errorf("on the machine: %v, want the two that were not cancelled", got)
--- a/commands_test.go
+++ b/commands_test.go
@@ -1,7 +1,6 @@
 package cedardoor
 
 import (
-	"net/http"
 	"slices"
 	"testing"
 	"time"
@@ -9,15 +8,14 @@
 	"cedardoor/wire"
 )
 
-// A run sent directly may arrive minutes after it was given up. The task must
-// not be started elsewhere, nor its room given away, before that is ruled out.
+// A direct run command may arrive minutes after it was given up. The task must not be started
+// elsewhere, nor its allocation freed, before that is ruled out.
 func TestDelayedRunCommandKeepsTaskReserved(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	other := cluster.worker("n-2", "y", true)
 	worker.HoldNextCommand()
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader) // the run is kept back; the token is raised against it
+	cluster.syncAndSettle(leader) // the run is kept back; the token is raised against it
 	heartbeat(t, leader, other)
 	leader.mu.Lock()
 	allocation := leader.jobs.Get("j-1").Tasks[0].Allocation
@@ -42,9 +40,7 @@
 	cluster.advance(5 * time.Second)
 	cluster.settle(leader)
 	heartbeat(t, leader, worker)
-	heartbeat(t, leader, worker)
-	heartbeat(t, leader, other)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker, other)
 	worker.DeliverHeldCommands()
 	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != 1 {
 		t.Fatalf("%d starts (%v, %v), want 1", got, worker.StartedAttempts(), other.StartedAttempts())
@@ -54,13 +50,13 @@
 	}
 }
 
-// A forget must not go out while a copy of the run may: the worker would start it again.
+// A forget command must not be sent while a copy of the run command is in flight: the worker would
+// start the task again.
 func TestNoForgetWhileRunCommandIsInFlight(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	worker.HoldNextCommand()
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	report := worker.Report()
 	response, _ := leader.Heartbeat(&report) // carries the run again
 	low := response
@@ -80,8 +76,7 @@
 		t.Fatalf("started %v", got)
 	}
 	heartbeat(t, leader, worker)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	heartbeat(t, leader, worker)
 	worker.DeliverHeldCommands()
 	if got := worker.StartedAttempts(); len(got) != 1 {
@@ -92,34 +87,28 @@
 	}
 }
 
-// A worker can't open connections to any controller, while direct commands reach it.
-// They do not renew its lease: it gets nothing new beyond that, what it holds is
-// started elsewhere only then, and a cancel still stops a task there at once.
+// A worker can't reach any controller, while direct commands reach it. They do not renew its lease:
+// it gets no new tasks beyond that, its tasks are started elsewhere only then, and a cancellation
+// still stops a task there at once.
 func TestDirectCommandsDoNotRenewLease(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	other := cluster.worker("n-2", "y", true)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Cores = 4 }))
 	cluster.submit(node, jobSpec("j-2", func(spec *wire.Spec) { spec.Cores = 4 }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	heartbeat(t, leader, other)
 	for range 2 {
 		cluster.advance(3 * time.Second)
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, other)
 	}
-	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != http.StatusOK {
-		t.Fatalf("abort: %d", code)
-	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.cancelJob(node, "j-2")
+	cluster.syncAndSettle(leader)
 	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0"}) {
-		t.Errorf("on the mute machine %v after the cancel", got)
+		t.Errorf("on the machine that can't report: %v after the cancellation", got)
 	}
 	for range 4 {
 		cluster.advance(3 * time.Second)
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, other)
 		if got := other.StartedAttempts(); len(got) != 0 {
 			t.Fatalf("started elsewhere within the lease: %v", got)
 		}
@@ -130,10 +119,9 @@
 	cluster.submit(node, jobSpec("j-3", nil))
 	cluster.resync(leader)
 	for range 2 {
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, other)
 	}
 	if got := other.LiveTasks(); !slices.Equal(got, []string{"j-1/0", "j-3/0"}) || len(worker.StartedAttempts()) != before {
-		t.Errorf("after the lease: %v on the other machine, %v started on the mute one", got, worker.StartedAttempts()[before:])
+		t.Errorf("after the lease: %v on the other machine, %v started on the one that can't report", got, worker.StartedAttempts()[before:])
 	}
 }
--- a/damaged_records_test.go
+++ b/damaged_records_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"runtime"
 	"slices"
 	"testing"
 	"time"
@@ -13,16 +12,14 @@
 	"cedardoor/wire"
 )
 
-// A job whose record can't be decoded stays known and its tasks run on; the others are served.
+// A job whose record can't be decoded stays known and its tasks run on; other jobs are served.
 func TestDamagedJobRecord(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	cluster.writeRecord(nodeA, store.JobKey("j-1"), damagedRecord)
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
@@ -42,7 +39,7 @@
 		t.Errorf("on the other machine: %v, want the other job's", got)
 	}
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
-		path := wire.PathJobs + "/j-1"
+		path := jobPath("j-1")
 		if method == http.MethodPost {
 			path += "/" + wire.SuffixCancel
 		}
@@ -59,8 +56,8 @@
 	}
 }
 
-// A record that is restored, or a job that is submitted again, comes to a leader that has passed over
-// its attempts: the next one reads them, and nothing starts a second time.
+// A record that is restored, or a job that is submitted again, reaches a leader that has passed
+// over its attempts: the next leader reads them, and no task is started a second time.
 func TestRestoredRecordIsReadWithAttempts(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -75,8 +72,7 @@
 			heartbeat(t, oldLeader, worker)
 			cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tt.tasks }))
 			cluster.submit(nodeA, jobSpec("j-2", nil)) // shares the record, where there is one
-			cluster.resync(oldLeader)
-			cluster.settle(oldLeader)
+			cluster.syncAndSettle(oldLeader)
 			var whole store.JobRecord
 			cluster.state.Value(store.JobKey("j-1"), &whole)
 			if tt.missing {
@@ -96,9 +92,7 @@
 			}
 			cluster.writeRecord(nodeB, store.JobKey("j-1"), whole)
 			cluster.resync(newLeader)
-			for cluster.state.Value(store.KeyLeader, nil) { // it gives the lead up
-				runtime.Gosched()
-			}
+			cluster.awaitResignation()
 			cluster.disconnect(nodeB)
 			thirdLeader, _ := cluster.elect(nodeC)
 			for range 8 {
@@ -117,8 +111,8 @@
 	}
 }
 
-// Where the record of attempts can't be decoded, what runs goes on under its own attempt and the
-// rest starts only once every machine is accounted for, under numbers that were never used.
+// When a record of attempts can't be decoded, the tasks that run go on as the same attempts. The
+// others start only once every machine is reconciled, with attempt numbers that were never used.
 func TestDamagedAttemptRecord(t *testing.T) {
 	for _, shared := range []bool{false, true} {
 		cluster := newTestCluster(t)
@@ -135,8 +129,7 @@
 			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = len(tasks) / len(jobs) }))
 		}
 		cluster.submit(nodeA, jobSpec("j-7", func(spec *wire.Spec) { spec.Kind, spec.Tasks = wire.KindService, 1 }))
-		cluster.resync(oldLeader)
-		cluster.settle(oldLeader)
+		cluster.syncAndSettle(oldLeader)
 		key := store.ChunkKey("j-1", 0)
 		if shared {
 			key = cluster.state.Keys(store.PrefixShared)[0]
@@ -200,17 +193,15 @@
 	}
 }
 
-// A machine that has not shown the new leader's token may yet get an old command: nothing of an
-// unreadable record starts while its lease may last, though it answers questions.
+// A machine that has not reported the new leader's token may yet receive an old command: no task of
+// an unreadable record starts while the machine's lease may last, although it answers probes.
 func TestUnreconciledMachineDelaysUnreadableTasks(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 3 }))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	cluster.writeRecord(nodeA, store.ChunkKey("j-1", 0), damagedRecord)
 	worker.EndTask("j-1/2", "lost")
 	forgetEnded(worker, oldLeader.term.Token)
@@ -219,11 +210,9 @@
 	for i := range 10 {
 		cluster.advance(3 * time.Second)
 		if i == 0 || i == 4 {
-			report := worker.Report()
-			newLeader.Heartbeat(&report) // the answer is lost, so the token is never shown
+			reportWithoutResponse(newLeader, worker) // so that the token is never reported
 		}
-		heartbeat(t, newLeader, other)
-		cluster.settle(newLeader)
+		cluster.reportAndSettle(newLeader, other)
 	}
 	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != 3 {
 		t.Fatalf("%d starts, want only those of the first leader", got)
@@ -233,17 +222,15 @@
 	}
 	for range 8 {
 		cluster.advance(3 * time.Second)
-		heartbeat(t, newLeader, worker)
-		heartbeat(t, newLeader, other)
-		cluster.settle(newLeader)
+		cluster.reportAndSettle(newLeader, worker, other)
 	}
 	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != 4 {
 		t.Errorf("%d starts, want the lost task's, too", got)
 	}
 }
 
-// The record that can't be decoded is not written over before all of its tasks are known: a
-// leader that ends in between leaves its successor what it found.
+// A record that can't be decoded is not overwritten before all of its tasks are known: a leader
+// that crashes before leaves it to its successor as it was.
 func TestFailoverBeforeDamagedRecordIsRepaired(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB, nodeC := cluster.node(nil), cluster.node(nil), cluster.node(nil)
@@ -252,8 +239,7 @@
 	heartbeat(t, oldLeader, first)
 	heartbeat(t, oldLeader, second)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 8 }))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	cluster.writeRecord(nodeA, store.ChunkKey("j-1", 0), damagedRecord)
 	stop()
 	newLeader, stop := cluster.elect(nodeB)
@@ -261,8 +247,7 @@
 	first.EndTask(first.LiveTasks()[0], wire.CauseDone)
 	heartbeat(t, newLeader, first)
 	cluster.advance(5 * time.Second)
-	heartbeat(t, newLeader, first)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, first)
 	stop()
 	thirdLeader, _ := cluster.elect(nodeC)
 	heartbeat(t, thirdLeader, free) // finds the new leader first, and has room
@@ -272,10 +257,7 @@
 	}
 	for range 12 {
 		cluster.advance(3 * time.Second)
-		heartbeat(t, thirdLeader, first)
-		heartbeat(t, thirdLeader, second)
-		heartbeat(t, thirdLeader, free)
-		cluster.settle(thirdLeader)
+		cluster.reportAndSettle(thirdLeader, first, second, free)
 	}
 	if got := second.LiveTasks(); len(got) != 1 {
 		t.Errorf("on its machine: %v, want what ran all along", got)
@@ -285,10 +267,9 @@
 	}
 }
 
-// Nothing of what can be made anew keeps a leader from leading.
+// Damaged records that can be written anew do not prevent a leader from leading.
 func TestDamagedCatalog(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	_, stop := cluster.elect(nodeA)
 	cluster.writeRecord(nodeA, store.KeyCatalog, damagedRecord)
 	cluster.writeRecord(nodeA, store.KeyDemand, damagedRecord)
--- a/failover_test.go
+++ b/failover_test.go
@@ -16,38 +16,33 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A new leader takes placements over and starts nothing twice, even for a
-// worker that it can't reach until the lease has run out.
+// A new leader adopts placements and starts no task twice, even if it can't reach a worker until
+// the lease has expired.
 func TestFailoverKeepsPlacements(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", nil))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
 	if newLeader.term.Token <= oldLeader.term.Token {
 		t.Fatalf("token %d after %d", newLeader.term.Token, oldLeader.term.Token)
 	}
 	// The old leader's pass writes nothing any more.
-	if report := worker.Report(); func() bool { _, ok := oldLeader.Heartbeat(&report); return ok }() {
+	if answersHeartbeat(oldLeader, worker) {
 		t.Error("the old leader still answers heartbeats")
 	}
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	cluster.advance(17 * time.Second)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if len(other.StartedAttempts()) != 0 {
 		t.Fatal("moved before the predecessor's lease ran out")
 	}
 	worker.ExpireLease()
 	cluster.advance(6 * time.Second)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if got := other.StartedAttempts(); len(got) != 1 {
 		t.Fatalf("starts after the lease: %v", got)
 	}
@@ -57,10 +52,9 @@
 	}
 }
 
-// Two leaders and a worker behind a cut: a late transaction of the old one fails.
+// A delayed transaction of a deposed leader fails.
 func TestDeposedLeadersDelayedTransactionFails(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, oldLeader, worker)
@@ -78,19 +72,16 @@
 	if _, err := nodeA.store.Commit(t.Context(), store.Urgent, transaction.Txn); err == nil {
 		t.Fatal("a deposed leader's transaction was applied")
 	}
-	heartbeat(t, newLeader, worker)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, worker)
 	if got := worker.StartedAttempts(); len(got) != 1 {
 		t.Fatalf("starts: %v", got)
 	}
 }
 
-// A controller back within a moment does not wait for its own earlier lease to
-// lapse, and nothing that its predecessor left under way counts for it.
+// A controller that restarts at once does not wait for its own earlier lease to expire, and
+// transactions that the earlier process left in flight fail.
 func TestControllerRestartWithinLease(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, leader, worker)
 	before := leader.term
@@ -116,25 +107,21 @@
 	if got := cluster.state.Keys(store.PrefixAttempts); len(got) != 0 {
 		t.Errorf("the earlier process's late record was written: %v", got)
 	}
-	heartbeat(t, oldLeader, worker)
-	cluster.settle(oldLeader)
+	cluster.reportAndSettle(oldLeader, worker)
 	if got := worker.StartedAttempts(); len(got) != 1 {
 		t.Errorf("starts %v, want one", got)
 	}
 }
 
-// Runs or stays known: after refusals, an outage and a change of leaders have
-// ended, each accepted job is answered for by every node, and runs.
+// After refusals, an outage and a failover, each accepted job is known to every node, and runs.
 func TestAcceptedJobsSurviveOutageAndFailover(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, oldLeader, worker)
 	uids := []string{"j-1", "j-2", "j-3"}
 	cluster.submit(nodeA, jobSpec("j-1", nil))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	cluster.submit(nodeB, jobSpec("j-2", nil))
 	cluster.state.Refuse("", true)
 	for _, node := range []*Service{nodeA, nodeB} {
@@ -149,15 +136,14 @@
 	cluster.submit(nodeB, jobSpec("j-3", nil))
 	newLeader, _ := cluster.elect(nodeB)
 	heartbeat(t, newLeader, worker)
-	cluster.resync(newLeader)
-	cluster.settle(newLeader)
+	cluster.syncAndSettle(newLeader)
 	for _, node := range []*Service{nodeA, nodeB} {
 		for _, uid := range uids {
-			if code, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); code != http.StatusOK || status.UID != uid {
+			if code, status, _ := cluster.ask(node, http.MethodGet, jobPath(uid), nil); code != http.StatusOK || status.UID != uid {
 				t.Errorf("%s after all troubles: %d %+v", uid, code, status)
 			}
 		}
-		if code, _, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-9", nil); code != http.StatusNotFound {
+		if code, _, _ := cluster.ask(node, http.MethodGet, jobPath("j-9"), nil); code != http.StatusNotFound {
 			t.Errorf("a job that nobody submitted: %d", code)
 		}
 	}
@@ -166,21 +152,20 @@
 	}
 }
 
-// The transaction that takes the lead is carried out and not answered, or late, and
-// so is one that raises the token, while another controller reads. Nobody answers a
-// worker under a lead that it does not know to have; the token under which one does
-// is the one on record and above all that were there before, also the next leader's.
+// The transaction of an election, or one that raises the fencing token, is executed without a
+// response, or delayed, while another controller reads. No controller responds to workers in a term
+// that it does not know to have begun. The token of a leader is the one on record and above all
+// earlier ones, also the next leader's.
 func TestElectionWithLostTransactionResponse(t *testing.T) {
-	for _, tr := range transactionFaults[1:] {
-		t.Run(tr.name, func(t *testing.T) {
-			cluster := newTestCluster(t)
-			nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	for _, fault := range transactionFaults[1:] {
+		t.Run(fault.name, func(t *testing.T) {
+			cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 			token := func() uint64 {
 				var on store.TokenRecord
 				cluster.state.Value(store.KeyToken, &on)
 				return on.Token
 			}
-			tr.set(cluster.state)
+			fault.inject(cluster.state)
 			ctx, cancel := context.WithCancel(t.Context())
 			ready, done := make(chan lead.Term, 1), make(chan struct{})
 			go func() {
@@ -191,10 +176,10 @@
 				runtime.Gosched()
 			}
 			before := token()
-			if code, _, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusNotFound {
+			if code, _, _ := cluster.ask(nodeB, http.MethodGet, jobPath("j-1"), nil); code != http.StatusNotFound {
 				t.Errorf("another node answers %d", code)
 			}
-			// The candidate waits before it tries again.
+			// The candidate waits before its next attempt.
 			if err := cluster.clock.BlockUntilContext(t.Context(), 1); err != nil {
 				t.Fatal(err)
 			}
@@ -208,8 +193,8 @@
 			if !cluster.state.Value(store.KeyLeader, &key) || key.Node != nodeA.cfg.Node || term.Token <= before || term.Token != token() {
 				t.Fatalf("leads under %d, on record are %d, %d before, and %q", term.Token, token(), before, key.Node)
 			}
-			tr.set(cluster.state)
-			if _, err := nodeA.elector.RaiseToken(t.Context()); (err == nil) != (tr.name == "answer lost") {
+			fault.inject(cluster.state)
+			if _, err := nodeA.elector.RaiseToken(t.Context()); (err == nil) != (fault.name == "response lost") {
 				t.Errorf("raise: %v", err)
 			}
 			if now, ok := nodeA.elector.MayAnswerHeartbeats(); !ok || now != token() {
@@ -227,9 +212,9 @@
 	}
 }
 
-// A raise of the token gets no answer and is carried out late. Later raises must
-// go through all the same: without them no run in doubt is ever ruled out, so that
-// what a cancelled task takes counts for ever while its machine reports.
+// A raise of the fencing token gets no response and is executed later. Later raises must succeed
+// all the same: without them no run in doubt is ever ruled out, and a cancelled task would count
+// for ever while its machine reports.
 func TestFencingTokenRaisedAfterDelayedRaise(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	worker.HoldNextCommand()
@@ -239,9 +224,7 @@
 	leader.dispatcher.TokenRaised(leader.clock.Now()) // no raise yet
 	leader.mu.Unlock()
 	cluster.settle(leader) // the run is held back and in doubt
-	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
-		t.Fatalf("abort: %d", code)
-	}
+	cluster.cancelJob(node, "j-1")
 	cluster.resync(leader)
 	before, _ := node.elector.HoldsLease()
 	cluster.state.DelayNextTransaction()
@@ -251,8 +234,7 @@
 	cluster.state.DeliverDelayed()
 	for range 12 {
 		cluster.advance(time.Second)
-		heartbeat(t, leader, worker)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, worker)
 	}
 	if now, _ := node.elector.HoldsLease(); now <= before {
 		t.Errorf("the token is still %d", now)
@@ -272,19 +254,17 @@
 	}
 }
 
-// A machine is up within a second: it reports before its rental is answered or any
-// list shows it, and gets work at once. The record of that gets no answer (it is
-// carried out late, or at once) and the leader ends. Its successor starts the task
-// once, on the machine that it was recorded for or on one that it trusts, and keeps
-// the machine though no list shows it.
+// A machine boots within a second: it reports before its rental has a response or a list shows it,
+// and gets work at once. The record of that gets no response (it is delayed, or executed at once)
+// and the leader crashes. Its successor starts the task once, on the recorded machine or on one
+// that it trusts, and keeps the machine though no list shows it.
 func TestFailoverDuringPlacementOnNewMachine(t *testing.T) {
 	for _, late := range []bool{true, false} {
-		for _, pieces := range []int{1, 2} {
-			t.Run(fmt.Sprintf("late %t, %d tasks", late, pieces), func(t *testing.T) {
-				cluster := newTestCluster(t)
-				nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+		for _, tasks := range []int{1, 2} {
+			t.Run(fmt.Sprintf("late %t, %d tasks", late, tasks), func(t *testing.T) {
+				cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 				leader, stop := cluster.elect(nodeA)
-				cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = pieces }))
+				cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tasks }))
 				cluster.resync(leader)
 				worker, other := cluster.worker("n-000200", "x", true), cluster.worker("n-000201", "y", true)
 				heartbeat(t, leader, worker)
@@ -317,25 +297,22 @@
 						t.Errorf("the earlier leader's late transaction was applied: %v, then %v", before, after)
 					}
 				}
-				if pieces == 2 {
+				if tasks == 2 {
 					deliver()
 				}
 				// The machine that holds nothing comes first: it may get the task only if
 				// the record of the first did not come about.
-				heartbeat(t, leader, other)
-				cluster.settle(leader)
+				cluster.reportAndSettle(leader, other)
 				deliver()
 				if !late && len(other.StartedAttempts()) != 0 {
 					t.Errorf("started on another machine than on record: %v", other.StartedAttempts())
 				}
 				for range 3 {
-					heartbeat(t, leader, worker)
-					heartbeat(t, leader, other)
-					cluster.settle(leader)
+					cluster.reportAndSettle(leader, worker, other)
 				}
 				leader.autoscale(t.Context())
-				if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != pieces || len(worker.LiveTasks())+len(other.LiveTasks()) != pieces {
-					t.Errorf("starts %v and %v, want %d", worker.StartedAttempts(), other.StartedAttempts(), pieces)
+				if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != tasks || len(worker.LiveTasks())+len(other.LiveTasks()) != tasks {
+					t.Errorf("starts %v and %v, want %d", worker.StartedAttempts(), other.StartedAttempts(), tasks)
 				}
 				for range 10 { // longer than three times the list's lag
 					cluster.advance(3 * time.Second)
@@ -353,28 +330,24 @@
 	}
 }
 
-// Machines with long tasks report to a new leader and do not hear its answers. Each
-// answer may have been heard, so the tasks are started nowhere else for as long as
-// the sessions may go on, and as soon as the worker's new session proves the end.
+// A machine with long tasks reports to a new leader and does not receive the responses. Each may
+// have been received, so the tasks are started nowhere else while the incarnation may go on, and as
+// soon as the worker's next incarnation proves that it has ended.
 func TestMachineThatDoesNotReceiveNewLeadersResponses(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	leader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, leader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	stop()
 	leader, _ = cluster.elect(nodeB)
 	leader.operator.Fleet.Enabled = false // nothing is returned: only the worker itself proves
 	worker.SetUnreachable(true)
 	for range 10 {
 		cluster.advance(3 * time.Second)
-		report := worker.Report()
-		leader.Heartbeat(&report) // the answer is lost
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		reportWithoutResponse(leader, worker)
+		cluster.reportAndSettle(leader, other)
 		if got := other.StartedAttempts(); len(got) != 0 {
 			t.Fatalf("started elsewhere while it may run: %v", got)
 		}
@@ -382,16 +355,15 @@
 	worker.ExpireLease()
 	report := worker.Report()
 	leader.Heartbeat(&report)
-	heartbeat(t, leader, other)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, other)
 	if got := other.StartedAttempts(); len(got) != 1 || len(worker.LiveTasks()) != 0 {
 		t.Errorf("after its session ended: %v started", got)
 	}
 }
 
-// Leaders change ten times in two minutes, also inside an outage of the state
-// service, and controllers are back within a moment. Jobs of two and three tasks end
-// far apart meanwhile, each task once, and are done when all of them are.
+// The leader changes ten times in two minutes, also during an outage of the state service, and
+// controllers restart at once. Jobs of two and three tasks complete at different times meanwhile,
+// each task once, and are done when all of their tasks are.
 func TestTenFailoversWhileTasksComplete(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodes := []*Service{cluster.node(nil), cluster.node(nil)}
@@ -400,19 +372,17 @@
 	heartbeat(t, leader, worker)
 	cluster.submit(nodes[0], jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
 	cluster.submit(nodes[0], jobSpec("j-2", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 3, 1 }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	ends := map[int]string{1: "j-1/0", 3: "j-2/0", 5: "j-2/1", 7: "j-1/1", 9: "j-2/2"}
 	last := leader.term.Token
 	for k := 1; k <= 10; k++ {
-		if p := ends[k]; p != "" {
-			worker.EndTask(p, wire.CauseDone)
+		if task := ends[k]; task != "" {
+			worker.EndTask(task, wire.CauseDone)
 			heartbeat(t, leader, worker)
 			if k != 5 { // this result is not recorded when the leader ends
 				cluster.settle(leader)
 				cluster.advance(3 * time.Second)
-				heartbeat(t, leader, worker)
-				cluster.settle(leader)
+				cluster.reportAndSettle(leader, worker)
 			}
 		}
 		if k%4 == 0 {
@@ -430,8 +400,7 @@
 			t.Fatalf("token %d after %d", leader.term.Token, last)
 		}
 		last = leader.term.Token
-		heartbeat(t, leader, worker)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, worker)
 		want := map[string]string{"j-1": wire.JobQueued, "j-2": wire.JobQueued}
 		if k >= 7 {
 			want["j-1"] = wire.JobDone
@@ -441,7 +410,7 @@
 		}
 		for uid, state := range want {
 			for _, node := range nodes {
-				if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); (status.Status == wire.JobDone) != (state == wire.JobDone) || status.Status == "" {
+				if _, status, _ := cluster.ask(node, http.MethodGet, jobPath(uid), nil); (status.Status == wire.JobDone) != (state == wire.JobDone) || status.Status == "" {
 					t.Errorf("leader %d: %s is %q, want %q", k, uid, status.Status, state)
 				}
 			}
@@ -452,9 +421,8 @@
 	}
 }
 
-// All controllers are away for longer than the leases. The one that is back starts
-// nothing on the word of records, until the machines report or cannot have gone on,
-// and then everything once.
+// All controllers are down for longer than the leases. The one that returns starts nothing from the
+// records alone until the machines report or their leases have expired, and then everything once.
 func TestAllControllersDownBeyondLease(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
@@ -462,21 +430,17 @@
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, leader, worker)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	stop()
 	cluster.clock.Advance(40 * time.Second)
 	cluster.nodeCount--
 	leader, _ = cluster.elect(cluster.node(nil))
-	heartbeat(t, leader, other)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, other)
 	if got := other.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("started before the machine on record reported: %v", got)
 	}
 	worker.ExpireLease()
-	heartbeat(t, leader, worker)
-	heartbeat(t, leader, other)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker, other)
 	if got := len(worker.LiveTasks()) + len(other.LiveTasks()); got != 2 || len(worker.StartedAttempts())+len(other.StartedAttempts()) != 4 {
 		t.Errorf("%d tasks run, starts %v and %v", got, worker.StartedAttempts(), other.StartedAttempts())
 	}
--- a/heartbeat_test.go
+++ b/heartbeat_test.go
@@ -8,9 +8,9 @@
 	"cedardoor/wire"
 )
 
-// A report that changes nothing costs the same few allocations however many
-// machines there are and however many tasks it lists: its task list is compared
-// where it lies in the body, not copied and not decoded.
+// A heartbeat that changes nothing costs the same few allocations however many machines there are
+// and however many tasks it lists: its task list is compared in its encoded form, not copied and
+// not decoded.
 func TestUnchangedHeartbeatAllocatesLittle(t *testing.T) {
 	allocs := func(machines, tasks int) float64 {
 		_, leader := trustedFleet(t, machines, tasks)
@@ -26,7 +26,7 @@
 			response, ok := leader.Heartbeat(&report)
 			// The first list that comes as bytes is new.
 			if !ok || len(response.Commands) != 0 || report.Tasks != nil && sequence > 101 {
-				t.Fatalf("answered %t with %d orders, %d tasks decoded", ok, len(response.Commands), len(report.Tasks))
+				t.Fatalf("answered %t with %d commands, %d tasks decoded", ok, len(response.Commands), len(report.Tasks))
 			}
 		}
 		heartbeat()
@@ -39,18 +39,16 @@
 	}
 }
 
-// A copy of an old report that reaches a new leader first proves nothing, does
-// not make the machine trusted, and moves nothing.
+// A copy of an old heartbeat that reaches a new leader first proves nothing, does not make the
+// machine trusted, and starts nothing elsewhere.
 func TestStaleHeartbeatReachesNewLeaderFirst(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
 	old := worker.Report() // shows nothing yet
 	cluster.submit(nodeA, jobSpec("j-1", nil))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
 	deliverReport(t, newLeader, old)
@@ -58,13 +56,11 @@
 	if cluster.machineUsable(newLeader, "n-1") {
 		t.Fatal("trusted on a copy from before the term")
 	}
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if len(other.StartedAttempts()) != 0 {
 		t.Fatalf("started elsewhere on the word of a late copy: %v", other.StartedAttempts())
 	}
-	heartbeat(t, newLeader, worker)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, worker)
 	deliverReport(t, newLeader, old)
 	cluster.settle(newLeader)
 	if len(worker.StartedAttempts())+len(other.StartedAttempts()) != 1 {
@@ -72,53 +68,48 @@
 	}
 }
 
-// A result in a late copy that the record does not know is nobody's: only the
-// attempt on record can end the task.
+// A result in an old copy, of an attempt that is not on record, has no effect: only the attempt on
+// record can end the task.
 func TestStaleHeartbeatBringsNoResult(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	copied := worker.Report()
 	copied.Tasks = []wire.TaskReport{{Task: "j-1/0", Attempt: 7, Status: wire.TaskEnded, Cause: wire.CauseDone}}
 	deliverReport(t, leader, copied)
 	cluster.settle(leader)
-	if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
+	if _, status, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); status.Status == wire.JobDone {
 		t.Error("done by an attempt that was never made")
 	}
 }
 
-// Copies of old reports, from an earlier session and of an earlier attempt, reach
-// every controller just as a new leader begins, and again when it has acted: nobody
-// but the leader answers them, and they start, end and prove nothing.
+// Copies of old heartbeats, of an earlier incarnation and of an earlier attempt, reach every
+// controller just as a new leader begins, and again when it has acted: only the leader responds to
+// them, and they start, end and prove nothing.
 func TestStaleHeartbeatsReachEveryController(t *testing.T) {
-	t.Run("running", func(t *testing.T) { checkOldReports(t, false) })
-	t.Run("cancelled", func(t *testing.T) { checkOldReports(t, true) })
+	t.Run("running", func(t *testing.T) { checkStaleHeartbeats(t, false) })
+	t.Run("cancelled", func(t *testing.T) { checkStaleHeartbeats(t, true) })
 }
 
-func checkOldReports(t *testing.T, cancel bool) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(withTeamLimit(2)), cluster.node(withTeamLimit(2))
+func checkStaleHeartbeats(t *testing.T, cancel bool) {
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(2))
 	leader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, leader, worker)
 	copies := []wire.Heartbeat{worker.Report()} // nothing there yet
 	cluster.submit(nodeA, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
-	copies = append(copies, worker.Report()) // the first attempt, in the first session
+	cluster.syncAndSettle(leader)
+	copies = append(copies, worker.Report()) // the first attempt, in the first incarnation
 	worker.ExpireLease()
 	heartbeat(t, leader, worker)
-	copies = append(copies, worker.Report()) // nothing there, in the second session
+	copies = append(copies, worker.Report()) // nothing there, in the second incarnation
 	cluster.settle(leader)
 	if got := worker.StartedAttempts(); len(got) != 2 {
 		t.Fatalf("starts %v", got)
 	}
 	stop()
 	if cancel {
-		if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/"+wire.SuffixCancel, nil); code != http.StatusOK {
-			t.Fatalf("abort: %d", code)
-		}
+		cluster.cancelJob(nodeB, "j-1")
 	}
 	cluster.submit(nodeB, jobSpec("j-2", nil)) // the team's limit keeps it waiting
 	leader, _ = cluster.elect(nodeB)
@@ -137,8 +128,7 @@
 				}
 			}
 		}
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, other)
 		if got := append(worker.StartedAttempts(), other.StartedAttempts()...); len(got) != 2 {
 			t.Fatalf("started on the word of old reports: %v", got)
 		}
@@ -150,8 +140,7 @@
 	all()
 	if cancel {
 		for range 3 {
-			heartbeat(t, leader, worker)
-			cluster.settle(leader)
+			cluster.reportAndSettle(leader, worker)
 			heartbeat(t, leader, other)
 		}
 		if got := append(worker.LiveTasks(), other.LiveTasks()...); !slices.Equal(got, []string{"j-2/0"}) {
@@ -159,26 +148,25 @@
 		}
 		return
 	}
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	slices.Reverse(copies) // the oldest comes last
 	all()
 	leader.mu.Lock()
 	if machine := leader.fleet.Machine("n-1"); machine.Incarnation != 2 || !machine.Reported || machine.LiveCount() != 1 {
-		t.Errorf("after copies came behind newer reports: session %d, trusted %t, %d tasks", machine.Incarnation, machine.Reported, machine.LiveCount())
+		t.Errorf("after copies came behind newer reports: incarnation %d, trusted %t, %d tasks", machine.Incarnation, machine.Reported, machine.LiveCount())
 	}
 	leader.mu.Unlock()
 	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0"}) {
 		t.Errorf("on the machine %v", got)
 	}
-	if _, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
+	if _, status, _ := cluster.ask(nodeB, http.MethodGet, jobPath("j-1"), nil); status.Status == wire.JobDone {
 		t.Error("done on the word of a copy")
 	}
 }
 
-// All workers come to a new leader within a second or two. What each heartbeat costs
-// does not grow with the fleet, nothing is moved or started meanwhile, and each
-// machine is trusted by its second heartbeat.
+// All workers report to a new leader within a second or two. The cost of a heartbeat does not grow
+// with the fleet, no task is moved or started meanwhile, and each machine is trusted by its second
+// heartbeat.
 func TestHeartbeatSurgeAfterTotalLoss(t *testing.T) {
 	const tasks = 4
 	visits := func(machines int) float64 {
--- a/job_lifecycle_test.go
+++ b/job_lifecycle_test.go
@@ -12,28 +12,27 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// A job runs until all of its tasks are done, and is reported as done once that is recorded.
 func TestJobRunsToCompletion(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if got := worker.LiveTasks(); !cmp.Equal(got, []string{"j-1/0", "j-1/1"}) {
 		t.Fatalf("on the machine: %v", got)
 	}
 	worker.EndTask("j-1/0", wire.CauseDone)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
-	if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
+	cluster.reportAndSettle(leader, worker)
+	if _, status, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); status.Status == wire.JobDone {
 		t.Fatal("done before all its tasks are")
 	}
 	worker.EndTask("j-1/1", wire.CauseDone)
 	heartbeat(t, leader, worker)
 	// Done is told only when it is durable: until the pass records it, it is not.
-	if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status == wire.JobDone {
+	if _, status, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); status.Status == wire.JobDone {
 		t.Fatal("done before it was recorded")
 	}
 	cluster.settle(leader)
-	if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobDone || status.Done != 2 {
+	if _, status, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); status.Status != wire.JobDone || status.Done != 2 {
 		t.Fatalf("state %+v, want done", status)
 	}
 	// The run may come again until the worker has shown a higher token.
@@ -60,11 +59,11 @@
 	}
 }
 
+// A worker is not told to forget a result before it is recorded.
 func TestResultIsDurableBeforeForget(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	worker.EndTask("j-1/0", wire.CauseDone)
 	heartbeat(t, leader, worker)
 	heartbeat(t, leader, worker)
@@ -73,9 +72,8 @@
 	}
 }
 
-// A task that comes to wait again before its job's waiting tasks were looked
-// through stands among them once: placed twice by one plan, it would leave a
-// booking that nothing ever frees.
+// A task that is queued again before its job's waiting tasks were processed is queued once: placed
+// twice by one plan, it would leave an allocation that nothing frees.
 func TestTaskIsQueuedOnce(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -88,7 +86,7 @@
 	leader.jobs.SetChanged(true)
 	leader.runPlan(now)
 	if got := leader.fleet.Machine("n-1").AllocationCount(); got != 1 {
-		t.Errorf("%d bookings of one task", got)
+		t.Errorf("%d allocations of one task", got)
 	}
 	leader.mu.Unlock()
 	cluster.settle(leader)
@@ -97,17 +95,15 @@
 	}
 }
 
-// The start of an adopted task was not seen, so its run must not be compared:
-// it once made sound machines look slow.
+// The start of an adopted attempt was not observed, so its run time must not be compared with
+// others.
 func TestAdoptedAttemptsAreNotMeasured(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 3 }))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	worker.EndTask("j-1/0", wire.CauseDone)
 	heartbeat(t, oldLeader, worker)
 	if n := oldLeader.jobs.Get("j-1").RunTimes.Count; n != 1 {
@@ -124,8 +120,8 @@
 	}
 }
 
-// A listing that was read before a job ended may be taken in after it. The job's
-// record then says that it is over, and nothing of it is started again.
+// A listing that was read before a job ended may be processed after it. The job's record then says
+// that it is over, and no task of it is started again.
 func TestStaleJobListingStartsNothing(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -133,9 +129,7 @@
 	spec := jobSpec("j-1", nil)
 	over := store.NewFinalRecord(&spec, wire.JobDone, "earlier")
 	record := store.JobRecord{Spec: wire.Spec{UID: "j-1"}, Final: &over}
-	if _, err := node.store.Commit(t.Context(), store.Urgent, wire.Txn{Operations: []wire.Operation{{Set: store.JobKey("j-1"), Value: record}}}); err != nil {
-		t.Fatal(err)
-	}
+	cluster.writeRecord(node, store.JobKey("j-1"), record)
 	for range 3 {
 		cluster.settle(leader)
 		heartbeat(t, leader, worker)
@@ -144,15 +138,14 @@
 		t.Errorf("started %v of a job that is done", got)
 	}
 	if leader.jobs.Get("j-1") != nil {
-		t.Error("the job stays on the leader's books")
+		t.Error("the leader keeps the job")
 	}
 	cluster.checkStatus(node, "j-1", wire.JobDone)
 }
 
+// A watch from a revision whose history has been compacted reads all jobs again.
 func TestCompactedWatchReadsAgain(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.state.Compact()
 	if _, err := node.store.Watch(t.Context(), store.PrefixJob, 1, 0); err != store.ErrCompacted {
--- a/job_load_test.go
+++ b/job_load_test.go
@@ -13,13 +13,12 @@
 	"cedardoor/wire"
 )
 
-// A huge batch of short tasks: what a task costs in changes, direct commands and
-// machines looked at does not grow with the batch, urgent work begins in its
-// midst, and a change of leaders neither loses a task nor runs one twice.
+// The changes, direct commands and examined machines that a task of a large batch costs do not grow
+// with the batch. Urgent work starts in its midst, and a failover neither loses a task nor runs one
+// twice.
 func TestLargeBatchCostPerTask(t *testing.T) {
 	run := func(tasks int) (changes, visits float64) {
-		cluster := newTestCluster(t)
-		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 		leader, stop := cluster.elect(nodeA)
 		var workers []*standin.Worker
 		for i := range 16 {
@@ -45,12 +44,12 @@
 			}
 			leader.pass(t.Context())
 			for _, worker := range workers {
-				heartbeat(t, leader, worker) // takes its orders
+				heartbeat(t, leader, worker) // receives its commands
 			}
 			for _, worker := range workers {
-				for _, p := range worker.LiveTasks() {
-					if strings.HasPrefix(p, "j-1/") {
-						worker.EndTask(p, wire.CauseDone)
+				for _, task := range worker.LiveTasks() {
+					if strings.HasPrefix(task, "j-1/") {
+						worker.EndTask(task, wire.CauseDone)
 					}
 				}
 				heartbeat(t, leader, worker)
@@ -80,7 +79,7 @@
 		if len(starts) < tasks || len(starts) > tasks+600 {
 			t.Errorf("%d attempts of %d tasks", len(starts), tasks)
 		}
-		if _, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobDone || status.Done != tasks {
+		if _, status, _ := cluster.ask(nodeA, http.MethodGet, jobPath("j-1"), nil); status.Status != wire.JobDone || status.Done != tasks {
 			t.Errorf("%+v, want done", status)
 		}
 		return float64(cluster.state.ChangeCount()-before) / float64(tasks), float64(looked) / float64(tasks)
@@ -96,8 +95,8 @@
 func (s *testCluster) retainedCounts(leader *leader) map[string]int {
 	leader.mu.Lock()
 	defer leader.mu.Unlock()
-	bookings := 0
-	leader.fleet.EachMachine(func(machine *fleet.Machine) { bookings += machine.AllocationCount() })
+	allocations := 0
+	leader.fleet.EachMachine(func(machine *fleet.Machine) { allocations += machine.AllocationCount() })
 	rows := 0
 	for _, k := range s.state.Keys(store.PrefixShared) {
 		var record store.SharedRecord
@@ -106,13 +105,13 @@
 	}
 	left := leader.writer.Backlog()
 	return map[string]int{"jobs": leader.jobs.Len(), "dirty": left.Dirty, "pending results": left.PendingResults, "queue": leader.jobs.WaitingLen(), "stale shared records": left.StaleShared, "final moves": left.FinalMoves,
-		"bookings": bookings, "unfinished jobs": len(s.state.Keys(store.PrefixJob)), "shared records": len(s.state.Keys(store.PrefixShared)),
+		"allocations": allocations, "unfinished jobs": len(s.state.Keys(store.PrefixJob)), "shared records": len(s.state.Keys(store.PrefixShared)),
 		"rows": rows, "records": len(s.state.Keys(store.PrefixAttempts))}
 }
 
-// Jobs of one task come four a second for minutes, a quarter of them cancelled at
-// some point of their life, with polls and a change of leaders. What is kept follows
-// the jobs that are there, and nothing is left of those that are over.
+// Jobs of one task arrive four a second for minutes, a quarter of them are cancelled at some point
+// of their life, with polls and a failover. What is stored follows the unfinished jobs, and nothing
+// remains of those that are over.
 func TestManySmallJobsWithCancellationsLeaveNothing(t *testing.T) {
 	const perSecond, lasts = 4, 150
 	cluster := newTestCluster(t)
@@ -134,23 +133,22 @@
 				cluster.submit(nodes[k%2], jobSpec(uid(k), func(spec *wire.Spec) { spec.Cores, spec.RAM = 0.5, 0.5 }))
 			}
 		}
-		// One of each four is cancelled: at once, or up to three seconds later, some after their end.
+		// Every fourth job is cancelled: at once, or up to three seconds later, some after their end.
 		if k := (at-at%4)*perSecond + at%4; submit {
-			if _, status, _ := cluster.ask(nodes[at%2], http.MethodPost, wire.PathJobs+"/"+uid(k)+"/"+wire.SuffixCancel, nil); status.Status == wire.JobCancelled {
+			if _, status, _ := cluster.ask(nodes[at%2], http.MethodPost, cancelPath(uid(k)), nil); status.Status == wire.JobCancelled {
 				cancelled[uid(k)] = true
 			}
 		}
-		cluster.resync(leader)
-		cluster.settle(leader)
+		cluster.syncAndSettle(leader)
 		for i, worker := range workers {
-			for n, p := range worker.LiveTasks() {
+			for n, task := range worker.LiveTasks() {
 				if (n+i+at)%3 == 0 {
-					worker.EndTask(p, wire.CauseDone)
+					worker.EndTask(task, wire.CauseDone)
 				}
 			}
 			heartbeat(t, leader, worker)
 		}
-		cluster.ask(nodes[at%2], http.MethodGet, wire.PathJobs+"/"+uid(max(0, 4*at-8)), nil)
+		cluster.ask(nodes[at%2], http.MethodGet, jobPath(uid(max(0, 4*at-8))), nil)
 		cluster.settle(leader)
 		cluster.advance(time.Second)
 	}
@@ -175,15 +173,14 @@
 	for at := range 90 {
 		second(lasts+at, false)
 	}
-	// The last of all are cancelled as they run: no other job's end takes their rows along.
+	// The last jobs are cancelled as they run: no other job's end removes their rows.
 	for k := perSecond * lasts; k < perSecond*lasts+3; k++ {
 		cluster.submit(nodes[0], jobSpec(uid(k), nil))
 	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	for k := perSecond * lasts; k < perSecond*lasts+3; k++ {
-		if _, status, _ := cluster.ask(nodes[0], http.MethodPost, wire.PathJobs+"/"+uid(k)+"/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
-			t.Errorf("abort: %+v", status)
+		if _, status, _ := cluster.ask(nodes[0], http.MethodPost, cancelPath(uid(k)), nil); status.Status != wire.JobCancelled {
+			t.Errorf("cancellation: %+v", status)
 		}
 	}
 	for at := range 90 {
@@ -202,7 +199,7 @@
 		if cancelled[uid(k)] {
 			want = wire.JobCancelled
 		}
-		if _, status, _ := cluster.ask(nodes[k%2], http.MethodGet, wire.PathJobs+"/"+uid(k), nil); status.Status != want {
+		if _, status, _ := cluster.ask(nodes[k%2], http.MethodGet, jobPath(uid(k)), nil); status.Status != want {
 			t.Fatalf("%s: %+v, want %s", uid(k), status, want)
 		}
 	}
--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -14,7 +14,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A transaction whose answer was lost is settled by its nonce, not done twice.
+// A transaction whose response was lost is settled by its nonce, not executed twice.
 func TestLostCommitResponse(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -38,12 +38,11 @@
 	}
 }
 
-// The leader's transactions are carried out and only the answer is lost, while
-// other nodes read what they wrote: what they have told stays true, and nothing is
-// started, recorded or moved twice when the leader finds out.
+// The leader's transactions are executed and only the response is lost, while other nodes read what
+// they wrote: what they have reported stays true, and nothing is started, recorded or moved twice
+// when the leader finds out.
 func TestLostCommitResponsesWhileOthersRead(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	leader, _ := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, leader, worker)
@@ -54,7 +53,7 @@
 	is := func(uid string, allowed ...string) {
 		t.Helper()
 		for _, node := range []*Service{nodeA, nodeB} {
-			_, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil)
+			_, status, _ := cluster.ask(node, http.MethodGet, jobPath(uid), nil)
 			cluster.checkAnswers(uid, []string{status.Status}, allowed...)
 		}
 	}
@@ -63,12 +62,11 @@
 		if len(worker.StartedAttempts()) != 0 {
 			t.Errorf("started before the leader knows that it is recorded: %v", worker.StartedAttempts())
 		}
-		if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
-			t.Errorf("abort: %d %+v", code, status)
+		if code, status, _ := cluster.ask(nodeB, http.MethodPost, cancelPath("j-3"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+			t.Errorf("cancellation: %d %+v", code, status)
 		}
 	})
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	is("j-3", wire.JobCancelled)
 	if got := worker.LiveTasks(); !slices.Equal(got, []string{"j-1/0", "j-2/0", "j-2/1"}) {
 		t.Errorf("on the machine %v", got)
@@ -81,15 +79,15 @@
 	cluster.loseAnswerDuring(func() { leader.pass(t.Context()) }, func() {
 		for _, uid := range []string{"j-1", "j-2"} {
 			is(uid, wire.JobDone)
-			_, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil)
-			cluster.checkAnswers("abort after the end", []string{status.Status}, wire.JobDone)
+			_, status, _ := cluster.ask(nodeB, http.MethodPost, cancelPath(uid), nil)
+			cluster.checkAnswers("cancellation after the end", []string{status.Status}, wire.JobDone)
 		}
 	})
 	nodeC := cluster.node(nil) // remembers nothing
 	cluster.settle(leader)
 	for _, node := range []*Service{nodeA, nodeB, nodeC} {
 		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-2": wire.JobDone, "j-3": wire.JobCancelled} {
-			if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != want {
+			if _, status, _ := cluster.ask(node, http.MethodGet, jobPath(uid), nil); status.Status != want {
 				t.Errorf("%s: %+v, want %s", uid, status, want)
 			}
 		}
@@ -102,29 +100,26 @@
 	}
 }
 
-// Each of the leader's transactions in the life of jobs (their attempts, ends and
-// moves to the final place) is carried out and not answered. While the leader does
-// not know, every node reads what was written, also one that remembers nothing; the
-// leader then finds out, and nothing is recorded again, moved again or kept.
+// The response to each of the leader's transactions in the life of jobs (attempts, ends and moves
+// to the final records) is lost. While the leader does not know the outcome, every node reads what
+// was written, also one that has just started; the leader then finds out, and nothing is recorded
+// again, moved again or left behind.
 func TestEveryLostCommitResponse(t *testing.T) {
-	life := func(pieces int, lossy bool) (puts int) {
-		cluster := newTestCluster(t)
-		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	life := func(tasks int, lossy bool) (puts int) {
+		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 		leader, _ := cluster.elect(nodeA)
 		worker := cluster.worker("n-1", "x", true)
 		heartbeat(t, leader, worker)
 		uids := []string{"j-1", "j-2"}
 		for _, uid := range uids {
-			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 1 }))
+			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 1 }))
 		}
 		cluster.resync(leader)
 		before := cluster.state.ChangeCount()
 		now := wire.JobQueued
 		drain := func() {
 			for range 9 {
-				leader.mu.Lock()
-				transaction := leader.buildTransaction()
-				leader.mu.Unlock()
+				transaction := nextTransaction(leader)
 				if transaction == nil {
 					return
 				}
@@ -143,7 +138,7 @@
 				cluster.loseAnswerDuring(record, func() {
 					for _, node := range []*Service{nodeB, cluster.node(nil)} {
 						for _, uid := range uids {
-							if _, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != now {
+							if _, status, _ := cluster.ask(node, http.MethodGet, jobPath(uid), nil); status.Status != now {
 								t.Errorf("%s: %+v, want %s", uid, status, now)
 							}
 						}
@@ -151,16 +146,14 @@
 				})
 			}
 		}
-		leader.mu.Lock()
-		leader.runPlan(leader.clock.Now())
-		leader.mu.Unlock()
+		planNow(leader)
 		drain()
 		cluster.settle(leader)
-		if got := len(worker.LiveTasks()); got != 2*pieces {
+		if got := len(worker.LiveTasks()); got != 2*tasks {
 			t.Fatalf("%d tasks run", got)
 		}
-		for _, p := range worker.LiveTasks() {
-			worker.EndTask(p, wire.CauseDone)
+		for _, task := range worker.LiveTasks() {
+			worker.EndTask(task, wire.CauseDone)
 		}
 		heartbeat(t, leader, worker)
 		drain()
@@ -172,34 +165,33 @@
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
 		if left := leader.writer.Backlog(); left.FinalMoves+leader.jobs.Len()+left.Dirty+left.StaleShared != 0 {
-			t.Errorf("%d tasks a job: %+v and %d jobs are left", pieces, left, leader.jobs.Len())
+			t.Errorf("%d tasks a job: %+v and %d jobs are left", tasks, left, leader.jobs.Len())
 		}
 		if left := cluster.state.Keys(store.PrefixJob); len(left) != 0 {
 			t.Errorf("jobs that have not moved: %v", left)
 		}
-		if got := len(worker.StartedAttempts()); got != 2*pieces {
-			t.Errorf("%d starts of %d tasks", got, 2*pieces)
+		if got := len(worker.StartedAttempts()); got != 2*tasks {
+			t.Errorf("%d starts of %d tasks", got, 2*tasks)
 		}
 		return cluster.state.ChangeCount() - before
 	}
-	for _, pieces := range []int{1, 2} {
-		// Deletions of what a finished job leaves carry no stamp of their own: the repeat deletes nothing.
-		again := 2 * (pieces - 1)
-		if plain, lost := life(pieces, false), life(pieces, true); lost != plain+again {
-			t.Errorf("%d tasks a job: %d changes where every answer is lost, %d where none is", pieces, lost, plain)
+	for _, tasks := range []int{1, 2} {
+		// Deletions of what a finished job leaves have no condition: the retry deletes nothing.
+		again := 2 * (tasks - 1)
+		if plain, lost := life(tasks, false), life(tasks, true); lost != plain+again {
+			t.Errorf("%d tasks a job: %d changes where every response is lost, %d where none is", tasks, lost, plain)
 		}
 	}
 }
 
-// Every one of the leader's transactions gets no answer and is carried out late,
-// after newer ones of the same leader: each is carried out once, and nothing that was
-// told or written since changes by the late one.
+// Every transaction of the leader is executed without a response, and again after newer ones of the
+// same leader: each takes effect once, and the late execution changes nothing.
 func TestDelayedTransactionsOfTheLeader(t *testing.T) {
-	for _, pieces := range []int{1, 2} {
+	for _, tasks := range []int{1, 2} {
 		cluster, node, leader, worker := clusterWithWorker(t)
 		uids := []string{"j-1", "j-2", "j-3"}
 		for _, uid := range uids {
-			cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 1 }))
+			cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 1 }))
 		}
 		cluster.resync(leader)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -211,9 +203,7 @@
 		late := 0
 		drain := func() {
 			for range 12 {
-				leader.mu.Lock()
-				transaction := leader.buildTransaction()
-				leader.mu.Unlock()
+				transaction := nextTransaction(leader)
 				if transaction == nil {
 					return
 				}
@@ -223,26 +213,22 @@
 				}
 			}
 		}
-		leader.mu.Lock()
-		leader.runPlan(leader.clock.Now())
-		leader.mu.Unlock()
+		planNow(leader)
 		drain()
 		cluster.settle(leader)
 		worker.EndTask("j-1/0", wire.CauseDone)
 		worker.EndTask("j-1/1", wire.CauseDone)
 		worker.EndTask("j-2/0", wire.CauseError)
-		if _, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-3/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
-			t.Fatalf("abort: %+v", status)
+		if _, status, _ := cluster.ask(node, http.MethodPost, cancelPath("j-3"), nil); status.Status != wire.JobCancelled {
+			t.Fatalf("cancellation: %+v", status)
 		}
 		heartbeat(t, leader, worker)
 		cluster.resync(leader)
 		drain()
-		// One that is recorded twice alone: its first record must not come back over the second.
+		// A job that is recorded twice by itself: its first record must not overwrite the second.
 		cluster.submit(node, jobSpec("j-4", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 0.5 }))
 		cluster.resync(leader)
-		leader.mu.Lock()
-		leader.runPlan(leader.clock.Now())
-		leader.mu.Unlock()
+		planNow(leader)
 		drain()
 		cluster.settle(leader)
 		worker.EndTask("j-4/0", wire.CauseDone)
@@ -259,34 +245,30 @@
 		}
 		cluster.state.DeliverDelayed()
 		if after := cluster.state.Keys(""); !slices.Equal(keys, after) {
-			t.Errorf("%d tasks a job: late transactions turn %v into %v", pieces, keys, after)
+			t.Errorf("%d tasks a job: late transactions turn %v into %v", tasks, keys, after)
 		}
 		if got := cluster.state.ChangeCount() - puts; got != 0 {
-			t.Errorf("%d tasks a job: %d changes were made late", pieces, got)
+			t.Errorf("%d tasks a job: %d changes were made late", tasks, got)
 		}
 		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-3": wire.JobCancelled} {
-			if _, status, _ := cluster.ask(cluster.node(nil), http.MethodGet, wire.PathJobs+"/"+uid, nil); status.Status != want {
+			if _, status, _ := cluster.ask(cluster.node(nil), http.MethodGet, jobPath(uid), nil); status.Status != want {
 				t.Errorf("%s: %+v, want %s", uid, status, want)
 			}
 		}
 	}
 }
 
-// Every transaction may be applied by the store, answered, and arrive again:
-// nothing that users were told, and nobody's lead, changes by it.
+// Every transaction may be applied, answered, and arrive again: nothing that users were told
+// changes by it, nor does the leader.
 func TestRepeatedTransactionsChangeNothing(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.submit(node, jobSpec("j-2", nil))
 	cluster.submit(node, jobSpec("j-3", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	worker.EndTask("j-1/0", wire.CauseDone)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
-	if code, _, _ := cluster.ask(node, "POST", wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); code != 200 {
-		t.Fatalf("abort: %d", code)
-	}
+	cluster.reportAndSettle(leader, worker)
+	cluster.cancelJob(node, "j-2")
 	if _, err := node.elector.RaiseToken(t.Context()); err != nil {
 		t.Fatal(err)
 	}
@@ -298,7 +280,7 @@
 	look := func() (is told) {
 		is.keys = cluster.state.Keys("")
 		for _, uid := range []string{"j-1", "j-2", "j-3"} {
-			_, status, _ := cluster.ask(node, "GET", wire.PathJobs+"/"+uid, nil)
+			_, status, _ := cluster.ask(node, "GET", jobPath(uid), nil)
 			is.status = append(is.status, status.Status)
 		}
 		var record store.TokenRecord
@@ -312,9 +294,9 @@
 		t.Error(diff)
 	}
 	if code, status, _ := cluster.ask(node, "POST", wire.PathJobs, jobSpec("j-2", nil)); code != 200 || status.Status != wire.JobCancelled {
-		t.Errorf("a submission that comes again after the abort: %d %+v", code, status)
+		t.Errorf("a submission that comes again after the cancellation: %d %+v", code, status)
 	}
 	if _, ok := node.elector.MayAnswerHeartbeats(); !ok {
-		t.Error("the lead was lost")
+		t.Error("the leader has lost its lease")
 	}
 }
--- a/placement_test.go
+++ b/placement_test.go
@@ -14,32 +14,30 @@
 	"cedardoor/wire"
 )
 
-// The zone cap counts tasks whose machine has not been heard of.
+// The limit of replicas in a zone counts tasks on a machine that has not reported to the new
+// leader.
 func TestZoneSpreadCountsUnreportedMachine(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", false)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) {
 		spec.Kind, spec.Priority, spec.Preemptible, spec.Spread, spec.Tasks = wire.KindService, "critical", false, true, 2
 	}))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	if got := worker.LiveTasks(); len(got) != 1 {
 		t.Fatalf("at most one of two in a zone: %v", got)
 	}
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
 	other := cluster.worker("n-2", "x", false)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if got := other.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("second replica in the zone: %v", got)
 	}
 }
 
-// A long job whose own deadline is far must not wait for longer than its class may.
+// The slack of a job follows its deadline and the objectives of its class.
 func TestSlackFollowsObjectives(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) {
@@ -71,13 +69,11 @@
 	}
 }
 
-// Jobs bound to one zone lose machines there: an array that must stay together, and a
-// job with a zone of its own. Nothing of the array starts in another zone while some
-// of it may go on in its own, and all of it once nothing can; the bound job never does.
+// Jobs bound to one zone lose machines there: a same-zone job, and a job with a zone of its own. No
+// task of the same-zone job starts in another zone while some may go on in its own, and all of them
+// start there once none can; the job with a zone of its own never does.
 func TestZonalJobsLoseMachines(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	here := []*standin.Worker{cluster.worker("n-1", "x", true), cluster.worker("n-2", "x", true), cluster.worker("n-3", "x", true)}
 	there := []*standin.Worker{cluster.worker("n-4", "y", true), cluster.worker("n-5", "y", true)}
 	for _, worker := range here {
@@ -85,12 +81,11 @@
 	}
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.Zone = 2, 4, "x" }))
 	cluster.submit(node, jobSpec("j-2", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.SameZone = 4, 4, true }))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if startCount(here, "j-1") != 2 || startCount(here, "j-2") != 4 {
 		t.Fatalf("started %v, %v and %v", here[0].StartedAttempts(), here[1].StartedAttempts(), here[2].StartedAttempts())
 	}
-	// One with some of the array is gone, and the zone has no room for that.
+	// A machine with some of its tasks is gone, and the zone has no capacity for them.
 	lost := slices.IndexFunc(here, func(worker *standin.Worker) bool { return startCount([]*standin.Worker{worker}, "j-2") > 0 })
 	leader.returnMachines(t.Context(), []string{here[lost].Identity.Machine})
 	for _, worker := range here {
@@ -121,8 +116,8 @@
 	}
 }
 
-// A job that waits long begins although work of higher priority keeps coming: its
-// first task goes first, and room is kept for it.
+// A job that waits long starts although work of higher priority keeps arriving: its first task goes
+// first, and capacity is reserved for it.
 func TestLargeJobStartsUnderOverload(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t) // 8 cores
 	uid := 100
@@ -136,8 +131,7 @@
 	for range 6 {
 		small()
 	}
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = 3, 8, 20 }))
 	cluster.resync(leader)
 	began := 0
@@ -153,18 +147,16 @@
 			small()
 		}
 		heartbeat(t, leader, worker)
-		cluster.resync(leader)
-		cluster.settle(leader)
-		heartbeat(t, leader, worker)
-		cluster.settle(leader)
+		cluster.syncAndSettle(leader)
+		cluster.reportAndSettle(leader, worker)
 	}
 	if began == 0 {
 		t.Error("the large job did not begin within four minutes")
 	}
 }
 
-// The lowest priority's starts follow the controller's share of a processor, however
-// much room there is; work of higher priority does not wait for them.
+// The starts of best-effort tasks follow the controller's share of a processor, however much
+// capacity there is; work of higher priority does not wait for them.
 func TestBestEffortStartsAreRateLimited(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) { facts.Limits.CoreShare = 0.1 })
--- a/process_pause_test.go
+++ b/process_pause_test.go
@@ -10,9 +10,8 @@
 	"cedardoor/wire"
 )
 
-// A process may stand still, longer than its lease, at any point. Whatever it had
-// computed before and is about to send is checked against the lease at the last
-// step, so that nothing of it goes out after.
+// A process may be paused at any point for longer than its lease. Whatever it was about to send is
+// checked against the lease at the last step, so that nothing of it is sent after the pause.
 func TestNothingIsSentAfterProcessPause(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
@@ -51,7 +50,7 @@
 		t.Error("a heartbeat was answered")
 	}
 	if leader.fleet.Machine("n-1").NotAcknowledging() {
-		t.Error("a command that was not sent counts as a sign of deafness")
+		t.Error("a command that was not sent counts as not acknowledged")
 	}
 	// The successor counts the recorded attempt as possible, though it was never sent.
 	nodeB := cluster.node(nil)
@@ -63,13 +62,11 @@
 	}
 }
 
-// A leader that keeps its lease while it stands still (the state service was out
-// for all) has heard nobody meanwhile. That is its own silence, not the machines':
-// nothing is given up, and the lead is kept.
+// A leader that keeps its lease through a pause (the state service was down for all) has received
+// no heartbeats meanwhile. That is no failure of the machines: none is given up, and the leader
+// does not resign.
 func TestProcessPauseIsNotMachineFailure(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	hosts := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 	var first *standin.Worker
 	for i, h := range hosts {
@@ -90,7 +87,7 @@
 	leader.autoscale(t.Context())
 	leader.pass(t.Context())
 	if got := cluster.cloud.Returns(); len(got) != 0 {
-		t.Errorf("returned on waking: %v", got)
+		t.Errorf("returned after the pause: %v", got)
 	}
 	for _, h := range hosts {
 		if leader.fleet.Machine(h).Returning {
@@ -98,9 +95,9 @@
 		}
 	}
 	if _, ok := node.elector.MayAnswerHeartbeats(); !ok {
-		t.Error("gave the lead up on waking")
+		t.Error("resigned after the pause")
 	}
-	// From then on silence counts as ever, while one is heard.
+	// From then on missing heartbeats count as ever, while one worker reports.
 	for range 50 {
 		cluster.advance(time.Second)
 		cluster.resync(leader) // no watch runs here, and a leader that reads nothing gives up
@@ -109,6 +106,6 @@
 	}
 	leader.autoscale(t.Context())
 	if len(cluster.cloud.Returns()) == 0 {
-		t.Error("silence after waking is not counted")
+		t.Error("missing heartbeats after the pause are not counted")
 	}
 }
--- a/quota_failover_test.go
+++ b/quota_failover_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
 	"strings"
 	"testing"
 	"time"
@@ -12,94 +11,80 @@
 	"cedardoor/wire"
 )
 
-// The team's limit counts what a predecessor started and may still exist.
+// A team's limit counts tasks that a predecessor started and that may still run.
 func TestTeamLimitAcrossLeaders(t *testing.T) {
 	limit := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 4 }
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(limit), cluster.node(limit)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, limit)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 4 }))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	if got := worker.LiveTasks(); len(got) != 2 {
 		t.Fatalf("limit of 4 CPUs, tasks of 2: %v", got)
 	}
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if got := other.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("beyond the limit after a change of leaders: %v", got)
 	}
 }
 
-// A new leader counts what a cancelled job's tasks take while they may still exist.
+// A new leader counts the tasks of a cancelled job while they may still run.
 func TestCancelledTasksCountTowardsLimit(t *testing.T) {
 	limit := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 4 }
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(limit), cluster.node(limit)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, limit)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	stop()
-	if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
-		t.Fatalf("abort: %d", code)
-	}
+	cluster.cancelJob(nodeB, "j-1")
 	cluster.submit(nodeB, jobSpec("j-2", nil))
 	newLeader, _ := cluster.elect(nodeB)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if got := other.StartedAttempts(); len(got) != 0 {
 		t.Fatalf("beyond the limit: %v while %v are on another machine", got, worker.LiveTasks())
 	}
 	heartbeat(t, newLeader, worker)
-	heartbeat(t, newLeader, worker)
-	cluster.settle(newLeader)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, worker)
+	cluster.reportAndSettle(newLeader, other)
 	if got := len(other.StartedAttempts()) + len(worker.LiveTasks()); got != 1 {
 		t.Fatalf("%d tasks after the cancelled ones were gone", got)
 	}
 }
 
-// A team is at its limit when its jobs are cancelled, whose machine is cut off or
-// hangs, and the leader changes twice. What may still be there counts under each
-// successor, for jobs with records of their own and in shared ones, until it is
-// proved gone: then the room is used at once, and not before.
+// A team is at its limit when its jobs are cancelled, whose machine is unreachable or hangs, and
+// the leader changes twice. Tasks that may still run count under each successor, for jobs with
+// records of their own and in shared ones, until they are proved gone: then the quota is used at
+// once, and not before.
 func TestCancelledTasksCountUntilProvedGone(t *testing.T) {
-	for _, pieces := range []int{1, 2} {
+	for _, tasks := range []int{1, 2} {
 		for _, proof := range []string{"lease end", "return", "newer session", "halted"} {
-			t.Run(fmt.Sprintf("%d tasks, %s", pieces, proof), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d tasks, %s", tasks, proof), func(t *testing.T) {
 				cluster := newTestCluster(t)
 				nodeA, nodeB, nodeC := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
 				l, stop := cluster.elect(nodeA)
 				hung, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 				heartbeat(t, l, hung)
-				uids := []string{"j-1", "j-2"}[:3-pieces]
+				uids := []string{"j-1", "j-2"}[:3-tasks]
 				for _, uid := range uids {
-					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = pieces }))
+					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = tasks }))
 				}
-				cluster.resync(l)
-				cluster.settle(l)
+				cluster.syncAndSettle(l)
 				if got := hung.LiveTasks(); len(got) != 2 {
 					t.Fatalf("on the machine: %v", got)
 				}
 				hung.SetUnreachable(true)
 				for _, uid := range uids {
-					if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs+"/"+uid+"/"+wire.SuffixCancel, nil); code != http.StatusOK {
-						t.Fatalf("abort: %d", code)
-					}
+					cluster.cancelJob(nodeB, uid)
 				}
 				cluster.submit(nodeB, jobSpec("j-3", func(spec *wire.Spec) { spec.Tasks = 2 }))
 				nothing := func(when string, leader *leader) {
 					t.Helper()
-					heartbeat(t, leader, other)
-					cluster.settle(leader)
+					cluster.reportAndSettle(leader, other)
 					heartbeat(t, leader, other)
 					if got := other.StartedAttempts(); len(got) != 0 {
 						t.Fatalf("%s: %v started beyond the limit", when, got)
@@ -133,12 +118,10 @@
 				case "halted":
 					hung.SetUnreachable(false)
 					for range 2 {
-						heartbeat(t, l, hung)
-						cluster.settle(l)
+						cluster.reportAndSettle(l, hung)
 					}
 				}
-				heartbeat(t, l, other)
-				cluster.settle(l)
+				cluster.reportAndSettle(l, other)
 				heartbeat(t, l, other)
 				if got := len(other.LiveTasks()) + len(hung.LiveTasks()); proof == "return" && len(other.LiveTasks()) != 2 || proof != "return" && got != 2 {
 					t.Errorf("%d tasks run after the proof, want 2: the room is not used", got)
@@ -153,47 +136,41 @@
 	}
 }
 
-// A job is recorded as done and its leader ends before it could delete what else is
-// recorded of it. The result proves that its tasks have ended, so the successor does
-// not count them for the team's limit while their machine can't be asked.
+// A job is recorded as done and its leader crashes before it could delete its other records. The
+// result proves that its tasks have ended, so the successor does not count them for the team's
+// limit while their machine is unreachable.
 func TestCompletedTasksDoNotCountAfterFailover(t *testing.T) {
-	for _, pieces := range []int{1, 2} {
-		cluster := newTestCluster(t)
-		nodeA, nodeB := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
+	for _, tasks := range []int{1, 2} {
+		cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(4))
 		leader, stop := cluster.elect(nodeA)
 		worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 		heartbeat(t, leader, worker)
-		cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = pieces, 4/float64(pieces) }))
-		cluster.resync(leader)
-		cluster.settle(leader)
-		for _, p := range worker.LiveTasks() {
-			worker.EndTask(p, wire.CauseDone)
+		cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 4/float64(tasks) }))
+		cluster.syncAndSettle(leader)
+		for _, task := range worker.LiveTasks() {
+			worker.EndTask(task, wire.CauseDone)
 		}
 		heartbeat(t, leader, worker)
-		leader.mu.Lock()
-		transaction := leader.buildTransaction()
-		leader.mu.Unlock()
+		transaction := nextTransaction(leader)
 		if transaction == nil || len(transaction.Finished()) != 1 || !leader.commit(t.Context(), transaction) {
 			t.Fatal("the end was not recorded")
 		}
 		stop()
 		cluster.submit(nodeB, jobSpec("j-2", nil))
 		leader, _ = cluster.elect(nodeB)
-		heartbeat(t, leader, other)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, other)
 		heartbeat(t, leader, other)
 		if got := other.StartedAttempts(); len(got) != 1 {
-			t.Errorf("%d tasks a job: %v started beside tasks that have ended, want the job that waits", pieces, got)
+			t.Errorf("%d tasks a job: %v started beside tasks that have ended, want the job that waits", tasks, got)
 		}
 	}
 }
 
-// A leader is paused right after it has reserved a team's last room and before that is
-// durable. Its successor uses the room. When the first wakes, its record fails and
-// nothing of what it reserved is ever started.
+// A leader is paused right after it has reserved the rest of a team's quota and before that is
+// durable. Its successor uses the quota. When the first goes on, its transaction fails and no task
+// that it reserved quota for is ever started.
 func TestPausedLeaderCannotUseReservedQuota(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(4))
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
@@ -209,8 +186,7 @@
 	}
 	stop() // it sleeps from here
 	newLeader, _ := cluster.elect(nodeB)
-	heartbeat(t, newLeader, other)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, other)
 	if got := other.LiveTasks(); len(got) != 2 {
 		t.Fatalf("the successor's tasks: %v", got)
 	}
@@ -227,8 +203,8 @@
 	}
 }
 
-// Under lower limits after a restart, what runs goes on and counts; nothing starts until
-// enough of it is proved gone.
+// Under a lower limit after a restart, running tasks go on and count; nothing starts until enough
+// of them are proved gone.
 func TestLowerLimitAfterFailover(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(4))
@@ -241,8 +217,7 @@
 	newLeader, _ := cluster.elect(nodeB)
 	started := len(worker.StartedAttempts())
 	for _, task := range first {
-		heartbeat(t, newLeader, worker)
-		cluster.settle(newLeader)
+		cluster.reportAndSettle(newLeader, worker)
 		if got := len(worker.LiveTasks()); got > 4 {
 			t.Fatalf("%d tasks run", got)
 		}
@@ -254,8 +229,7 @@
 		}
 		worker.EndTask(task, wire.CauseDone)
 	}
-	heartbeat(t, newLeader, worker)
-	cluster.settle(newLeader)
+	cluster.reportAndSettle(newLeader, worker)
 	if got := worker.LiveTasks(); len(got) != 2 {
 		t.Errorf("the last two tasks: %v", got)
 	}
--- a/quota_test.go
+++ b/quota_test.go
@@ -13,8 +13,8 @@
 	"cedardoor/wire"
 )
 
-// A limit that is smaller than one task: its submission is refused for good; a job that
-// was accepted under a higher limit waits and stays known, and no machine is rented for it.
+// A submission of tasks above the team's limit is refused for good; a job that was accepted under a
+// higher limit waits and stays known, and no machine is rented for it.
 func TestLimitSmallerThanOneTask(t *testing.T) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(1))
@@ -26,7 +26,7 @@
 	if code, _, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs, jobSpec("j-2", nil)); code != http.StatusUnprocessableEntity {
 		t.Errorf("a task of 2 cores under a limit of 1: status %d, want 422", code)
 	}
-	if code, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK || status.Status != wire.JobQueued {
+	if code, status, _ := cluster.ask(nodeB, http.MethodGet, jobPath("j-1"), nil); code != http.StatusOK || status.Status != wire.JobQueued {
 		t.Errorf("the accepted job: %d %+v", code, status)
 	}
 	newLeader.mu.Lock()
@@ -42,8 +42,8 @@
 	}
 }
 
-// Ends of attempts that are reported late, twice, or of an earlier attempt free nothing
-// of the present one's room.
+// Reports of completed attempts that arrive late, twice, or of an earlier attempt free none of the
+// present attempt's quota.
 func TestStaleCompletionsFreeNothing(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(withTeamLimit(2))
@@ -55,8 +55,7 @@
 	worker.EndTask(running[0], wire.CauseDone)
 	late := worker.Report() // of the first task's end
 	for range 3 {
-		heartbeat(t, leader, worker)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, worker)
 	}
 	if got := worker.LiveTasks(); len(got) != 1 || got[0] == running[0] {
 		t.Fatalf("after the first task's end: %v", got)
@@ -80,7 +79,7 @@
 	}
 }
 
-// Bad input gets what the protocol says and leaves the ledger alone.
+// Invalid submissions get the status of the protocol and do not change the ledger.
 func TestInvalidSubmissionsDoNotChangeLedger(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(withTeamLimit(4))
@@ -118,8 +117,8 @@
 	}
 }
 
-// Work within a team's guarantee takes the place of what another team runs beyond its
-// own, whatever the priorities, and what it took the place of does not take it back.
+// Work within a team's guarantee preempts what another team runs beyond its own, whatever the
+// priorities, and is not preempted by that in turn.
 func TestGuaranteedCapacityIsReclaimed(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) {
--- a/random_schedules_test.go
+++ b/random_schedules_test.go
@@ -12,20 +12,20 @@
 	"cedardoor/wire"
 )
 
-// How many random schedules are played, and the seed of the first.
+// The numbers of random schedules to play, and the seed of the first.
 var (
 	scheduleCount = flag.Uint64("meetings", 200, "how many random schedules are played")
-	furtherCount  = flag.Uint64("further", 100, "how many random schedules with further troubles are played")
+	furtherCount  = flag.Uint64("further", 100, "how many random schedules with further faults are played")
 	heldCount     = flag.Uint64("held", 40, "how many random schedules are played whose messages are held, too")
 	oneWayCount   = flag.Uint64("oneway", 30, "how many random schedules are played whose messages are held in one direction only")
 	firstSeed     = flag.Uint64("meeting", 0, "the seed of the first random schedule")
 )
 
-// Whole services play random schedules of troubles against stand-ins on virtual
-// time, and the rules of the protocol are held against what is seen from outside.
+// Whole services run random schedules of faults against stand-ins on virtual time, and the rules of
+// the protocol are checked against what is observed from outside.
 func TestRandomSchedules(t *testing.T) { playRandomSchedules(t, *scheduleCount, randomSchedule) }
 
-// The same with the further troubles.
+// The same with further kinds of faults.
 func TestRandomSchedulesWithFurtherFaults(t *testing.T) {
 	playRandomSchedules(t, *furtherCount, randomFurtherSchedule)
 }
@@ -49,7 +49,7 @@
 	}
 }
 
-// Without troubles every array is done and every replica runs.
+// Without faults every batch job is done and every replica runs.
 func TestScheduleWithoutFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -66,8 +66,8 @@
 			}
 		}
 		sim.shutDown(cancel)
-		for _, b := range sim.violations {
-			t.Error(b)
+		for _, violation := range sim.violations {
+			t.Error(violation)
 		}
 		if t.Failed() {
 			t.Log(strings.Join(sim.history, "\n"))
@@ -75,7 +75,7 @@
 	})
 }
 
-// A job that comes while nothing is rented gets a machine where it may run.
+// A job that arrives while nothing is rented gets a machine on which it may run.
 func TestJobGetsEligibleMachine(t *testing.T) {
 	bound := map[string]func(spec *wire.Spec){
 		"anywhere": func(*wire.Spec) {},
@@ -99,8 +99,8 @@
 					t.Errorf("after %v: %v", schedule.duration+faultFreeTail, left)
 				}
 				sim.shutDown(cancel)
-				for _, b := range sim.violations {
-					t.Error(b)
+				for _, violation := range sim.violations {
+					t.Error(violation)
 				}
 				if t.Failed() {
 					t.Log(strings.Join(sim.history, "\n"))
--- a/recording_test.go
+++ b/recording_test.go
@@ -12,8 +12,8 @@
 	"cedardoor/wire"
 )
 
-// What is written follows the records touched, not the tasks: results wait for
-// each other, and placements of a job go in one change.
+// The number of changes follows the records written, not the tasks: results are recorded together,
+// and the placements of a job in one change.
 func TestChangesFollowRecordsNotTasks(t *testing.T) {
 	puts := func(tasks int) (placed, ended int) {
 		cluster, node, leader, worker := clusterWithWorker(t)
@@ -28,12 +28,10 @@
 		before = cluster.state.ChangeCount()
 		for i := range tasks - 1 {
 			worker.EndTask(fmt.Sprintf("j-1/%d", i), wire.CauseDone)
-			heartbeat(t, leader, worker)
-			cluster.settle(leader)
+			cluster.reportAndSettle(leader, worker)
 		}
 		cluster.advance(3 * time.Second)
-		heartbeat(t, leader, worker)
-		cluster.settle(leader)
+		cluster.reportAndSettle(leader, worker)
 		return placed, cluster.state.ChangeCount() - before
 	}
 	fewPlaced, fewEnded := puts(6)
@@ -43,13 +41,12 @@
 	}
 }
 
-// Jobs of one task each share the records of their attempts, and each is called
-// done by one change. What a swarm costs a job may not grow with it, and a change
-// of leaders in the middle neither loses one nor runs one twice.
+// Jobs of one task each share the records of their attempts, and each is recorded as done by one
+// change. The changes of a job do not grow with their number, and a failover neither loses a job
+// nor runs one twice.
 func TestSingleTaskJobsShareRecords(t *testing.T) {
 	puts := func(jobs int) float64 {
-		cluster := newTestCluster(t)
-		nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 		l, stop := cluster.elect(nodeA)
 		var workers []*standin.Worker
 		for i := range 4 {
@@ -68,9 +65,9 @@
 			for range rounds {
 				cluster.settle(leader)
 				for _, worker := range workers {
-					for _, p := range worker.LiveTasks() {
-						worker.EndTask(p, wire.CauseDone)
-						ended[p] = true
+					for _, task := range worker.LiveTasks() {
+						worker.EndTask(task, wire.CauseDone)
+						ended[task] = true
 					}
 					heartbeat(t, leader, worker)
 				}
@@ -84,7 +81,7 @@
 		work(l, 12)
 		cluster.settle(l)
 		for k := range jobs {
-			if _, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/"+uid(k), nil); status.Status != wire.JobDone {
+			if _, status, _ := cluster.ask(nodeB, http.MethodGet, jobPath(uid(k)), nil); status.Status != wire.JobDone {
 				t.Fatalf("%s of %d: %+v, want done", uid(k), jobs, status)
 			}
 			if code, status, _ := cluster.ask(nodeA, http.MethodPost, wire.PathJobs, jobSpec(uid(k), nil)); code != http.StatusOK || status.Status != wire.JobDone {
@@ -120,9 +117,9 @@
 	}
 }
 
-// Whatever is due at a time, a transaction keeps to the changes and conditions
-// that the state service takes: one that does not is refused for ever, and
-// everything behind it waits. If one is refused all the same, the rest goes on.
+// Whatever is to be recorded at a time, a transaction keeps to the changes and conditions that the
+// state service accepts: one that does not is refused for ever, and everything behind it waits. If
+// one is refused all the same, the others are recorded.
 func TestTransactionsKeepTheLimits(t *testing.T) {
 	cluster, node, leader, workers := clusterWithWorkers(t, 16)
 	uids := []string{}
@@ -144,8 +141,8 @@
 	leader.mu.Unlock()
 	cluster.runSeconds(leader, workers, 3)
 	for _, worker := range workers {
-		for _, p := range worker.LiveTasks() {
-			worker.EndTask(p, wire.CauseDone)
+		for _, task := range worker.LiveTasks() {
+			worker.EndTask(task, wire.CauseDone)
 		}
 	}
 	for k := range 30 {
--- a/resignation_test.go
+++ b/resignation_test.go
@@ -14,12 +14,12 @@
 	"cedardoor/config"
 	"cedardoor/detector"
 	"cedardoor/internal/standin"
-	"cedardoor/store"
+	"cedardoor/peer"
 	"cedardoor/wire"
 )
 
-// A leader that renews its lease but can't read the changes of jobs gives the
-// lead up while its successor can still stop in time what was cancelled.
+// A leader that renews its lease but can't read the changes of jobs resigns while its successor can
+// still stop cancelled tasks in time.
 func TestLeaderWithStaleStateResigns(t *testing.T) {
 	cluster, node, leader, _ := clusterWithWorker(t)
 	limit := leader.maxUnsynced().Duration()
@@ -34,16 +34,15 @@
 		t.Fatal("gave up too early")
 	}
 	live(2 * time.Second)
-	for cluster.state.Value(store.KeyLeader, nil) {
-		runtime.Gosched()
-	}
+	cluster.awaitResignation()
 	w := leader.cfg.Facts.Workers
 	if at := limit.Seconds() + w.LeaseS + leader.operator.Lead.TTLs; at >= w.CancelS {
 		t.Errorf("gives up %v s after it last knew, too late for a lease before %v s", limit, w.CancelS)
 	}
 }
 
-// Settings under which a cut leader's tasks outlast cancel_s are refused.
+// Settings under which the tasks of a partitioned leader outlast the cancellation limit are
+// refused.
 func TestSettingsKeepCancellationsInTime(t *testing.T) {
 	operator, err := config.LoadOperator("")
 	if err != nil {
@@ -66,11 +65,9 @@
 	}
 }
 
-// A leader cut off from every worker makes room for one that may hear them.
+// A leader that receives heartbeats from no worker resigns, so that another may lead.
 func TestIsolatedLeaderResigns(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	heartbeat(t, leader, cluster.worker("n-1", "x", true))
 	heartbeat(t, leader, cluster.worker("n-2", "y", true))
 	cluster.advance(9 * time.Second)
@@ -81,17 +78,13 @@
 	cluster.advance(2 * time.Second)
 	leader.resignIfIsolated(t.Context())
 	// The lease is dropped: the key goes.
-	for cluster.state.Value(store.KeyLeader, nil) {
-		runtime.Gosched()
-	}
+	cluster.awaitResignation()
 }
 
-// With many machines, one interval without any heartbeat is proof enough: the sooner
-// another leads, the fewer leases run out.
+// With many machines, one interval without any heartbeat is proof enough: the sooner another leads,
+// the fewer leases expire.
 func TestIsolatedLeaderOfManyMachinesResignsSooner(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.advance(time.Second)
 	for i := range detector.ReliableReporters {
 		heartbeat(t, leader, cluster.worker(fmt.Sprintf("n-%d", i), "x", true))
@@ -103,11 +96,10 @@
 	}
 	cluster.advance(time.Second)
 	leader.resignIfIsolated(t.Context())
-	for cluster.state.Value(store.KeyLeader, nil) {
-		runtime.Gosched()
-	}
+	cluster.awaitResignation()
 }
 
+// A leader whose lease may have expired does not respond to heartbeats.
 func TestNoHeartbeatResponseWithoutLease(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	node.peers.Add("other", "127.0.0.1:1") // nobody attests
@@ -119,11 +111,10 @@
 	}
 }
 
-// When none hears, the fault is this leader's: another may be heard.
+// When no worker acknowledges commands, the fault is the leader's: it resigns, and another may
+// reach them.
 func TestUnacknowledgedLeaderResigns(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	var all []*standin.Worker
 	for i := range 4 {
 		worker := cluster.worker("n-"+string(rune('1'+i)), "x", true)
@@ -137,22 +128,18 @@
 		cluster.settle(leader)
 		cluster.advance(2 * time.Second)
 		for _, worker := range all {
-			report := worker.Report()
-			leader.Heartbeat(&report) // the answer is lost
+			reportWithoutResponse(leader, worker)
 		}
 	}
 	leader.pass(t.Context())
-	for cluster.state.Value(store.KeyLeader, nil) {
-		runtime.Gosched()
-	}
+	cluster.awaitResignation()
 	if len(cluster.cloud.RentalRequests()) != 0 && len(cluster.cloud.Machines()) == 0 {
 		t.Error("machines were returned for the leader's own fault")
 	}
 }
 
-// Without the state service and the other controllers, a leader stops answering
-// heartbeats before anybody else can act, sends no steward, tells users nothing and
-// is not healthy.
+// Without the state service and the other controllers, a leader stops responding to heartbeats
+// before another may lead, names no leader, tells users nothing and is not healthy.
 func TestPartitionedLeaderAnswersNothing(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
@@ -173,7 +160,7 @@
 	}
 	agent.ServeHeartbeat(node, func() bool { return false })(recorder, httptest.NewRequest(http.MethodPost, wire.PathHeartbeat, bytes.NewReader(encoded)))
 	if recorder.Code != http.StatusServiceUnavailable {
-		t.Errorf("beat: %d %s", recorder.Code, recorder.Body)
+		t.Errorf("heartbeat: %d %s", recorder.Code, recorder.Body)
 	}
 	cluster.settle(leader)
 	if len(worker.StartedAttempts()) != 0 {
@@ -190,10 +177,9 @@
 	}
 }
 
-// A node that was not told for a while who leads sends workers nowhere.
+// A controller that was not told for a while who leads redirects workers nowhere.
 func TestLeaderHintExpires(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	cluster.elect(nodeA)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/unresponsive_machines_test.go
+++ b/unresponsive_machines_test.go
@@ -14,26 +14,24 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A machine that hung before the leaders changed is returned by the new one,
-// so that its replica does not wait out a lease with every leader.
+// A machine that hung before the failover is returned by the new leader, so that its replica does
+// not wait for a lease to expire with every leader.
 func TestHungMachineIsReturnedByNextLeader(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	oldLeader, stop := cluster.elect(nodeA)
 	worker := cluster.worker("n-1", "x", false)
 	heartbeat(t, oldLeader, worker)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) {
 		spec.Kind, spec.Priority, spec.Preemptible = wire.KindService, "critical", false
 	}))
-	cluster.resync(oldLeader)
-	cluster.settle(oldLeader)
+	cluster.syncAndSettle(oldLeader)
 	stop()
 	newLeader, _ := cluster.elect(nodeB)
 	other := cluster.worker("n-2", "y", false)
 	leader := newLeader
 	leader.mu.Lock()
 	leader.fleet.Machine("n-1").Endpoint = "127.0.0.1:1" // nobody answers there
-	for i := range 5 {                                   // booting machines are not silent ones
+	for i := range 5 {                                   // booting machines are not unresponsive
 		machine := leader.fleet.Ensure(fmt.Sprintf("n-9%d", i), leader.clock.Now()+8*clock.Second)
 		machine.Endpoint, machine.Type, machine.Zone, machine.CloudStatus = "127.0.0.1:1", "b", "x", wire.MachineBooting
 	}
@@ -65,36 +63,36 @@
 	}
 }
 
-// makeUnresponsive lets machines with a replica each fall silent while others report,
-// and asks them until they count as mute.
+// makeUnresponsive lets machines with a replica each become unresponsive while others report,
+// and probes them until they count as unreachable.
 func (s *testCluster) makeUnresponsive(leader *leader, node *Service, zones []string, others int) {
 	s.tb.Helper()
-	var hung []*standin.Worker
+	var unresponsive []*standin.Worker
 	for i, z := range zones {
 		worker := s.worker(fmt.Sprintf("n-1%d", i), z, false)
 		heartbeat(s.tb, leader, worker)
-		hung = append(hung, worker)
+		unresponsive = append(unresponsive, worker)
 	}
 	s.submit(node, jobSpec("j-1", func(spec *wire.Spec) {
 		spec.Kind, spec.Priority, spec.Preemptible, spec.Tasks = wire.KindService, "critical", false, len(zones)
 	}))
 	s.resync(leader)
 	s.settle(leader)
-	for _, worker := range hung {
+	for _, worker := range unresponsive {
 		heartbeat(s.tb, leader, worker)
 		worker.SetUnreachable(true)
 	}
-	var rest []*standin.Worker
+	var reporting []*standin.Worker
 	for i := range others {
-		rest = append(rest, s.worker(fmt.Sprintf("n-2%02d", i), "y", true))
+		reporting = append(reporting, s.worker(fmt.Sprintf("n-2%02d", i), "y", true))
 	}
 	for range 2 {
-		for _, worker := range rest {
+		for _, worker := range reporting {
 			heartbeat(s.tb, leader, worker)
 		}
 		s.advance(3 * time.Second)
 	}
-	for _, worker := range rest {
+	for _, worker := range reporting {
 		heartbeat(s.tb, leader, worker)
 	}
 	for range detector.UnreachableAfterProbes {
@@ -106,11 +104,9 @@
 	leader.probeSilentMachines(s.tb.Context())
 }
 
-// Silent machines with replicas are returned together, in one request.
+// Unresponsive machines with replicas are returned in one request.
 func TestUnresponsiveMachinesAreReturnedTogether(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.makeUnresponsive(leader, node, []string{"y", "y"}, 12)
 	for len(cluster.cloud.Returns()) == 0 {
 		runtime.Gosched()
@@ -120,36 +116,33 @@
 	}
 }
 
-// A zone that falls silent as a whole is cut off: its replicas run on until
-// their leases end, so it is replaced, but not returned.
+// A zone in which all machines are unresponsive is partitioned: its replicas run on until their
+// leases expire, so its machines are replaced, but not returned.
 func TestPartitionedZoneIsNotReturned(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	cluster.makeUnresponsive(leader, node, []string{"x", "x", "x"}, 18)
 	if got := cluster.cloud.Returns(); len(got) != 0 {
 		t.Errorf("returned %v", got)
 	}
 	leader.mu.Lock()
-	muted := leader.detector.UnreachableCount()
+	unreachable := leader.detector.UnreachableCount()
 	leader.mu.Unlock()
-	if muted != 3 {
-		t.Errorf("%d machines unreachable, want 3", muted)
+	if unreachable != 3 {
+		t.Errorf("%d machines unreachable, want 3", unreachable)
 	}
 }
 
-// A deaf machine reports on while nothing told to it takes effect. It gets no
-// more work, its task is settled by the cloud's word, and it is gone.
+// A machine that receives nothing goes on reporting while commands to it have no effect. It gets no
+// more work, the cloud confirms that its task is gone, and it is returned.
 func TestUnacknowledgingMachineIsReturned(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
-	for i := range 4 { // others that hear, so that the fault is not the leader's
+	for i := range 4 { // others that acknowledge, so that the fault is not the leader's
 		heartbeat(t, leader, cluster.worker(fmt.Sprintf("n-9%d", i), "z", false))
 	}
 	other := cluster.worker("n-2", "y", true)
 	worker.SetUnreachable(true)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	for range 4 {
 		cluster.advance(3 * time.Second)
 		deliverReport(t, leader, worker.Report()) // its answer is lost
@@ -183,33 +176,31 @@
 	}
 }
 
-// A machine that hears again is trusted again.
+// A machine that acknowledges commands again is trusted again.
 func TestUnacknowledgingMachineRecovers(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	leader.operator.Fleet.Enabled = false // nothing is returned
 	worker.SetUnreachable(true)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	for range 4 {
 		cluster.advance(3 * time.Second)
 		deliverReport(t, leader, worker.Report())
 		cluster.settle(leader)
 	}
 	if cluster.machineUsable(leader, "n-1") && leader.fleet.Machine("n-1").QuarantineReason == "" {
-		t.Fatal("not banned")
+		t.Fatal("not quarantined")
 	}
 	worker.SetUnreachable(false)
 	heartbeat(t, leader, worker)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
 	if !cluster.machineUsable(leader, "n-1") || leader.fleet.Machine("n-1").QuarantineReason != "" || len(worker.StartedAttempts()) != 1 {
-		t.Errorf("banned %q after it heard again, starts %v", leader.fleet.Machine("n-1").QuarantineReason, worker.StartedAttempts())
+		t.Errorf("quarantined %q after it acknowledged again, starts %v", leader.fleet.Machine("n-1").QuarantineReason, worker.StartedAttempts())
 	}
 }
 
-// A machine that was silent is not given work on the word of one report, which
-// may have been held back all the while; its answer to a question is of now.
+// A machine that was unresponsive gets no work after one report, which may have been delayed all
+// the while; its response to a probe is recent.
 func TestUnresponsiveMachineMustAnswerProbe(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	held := worker.Report()
@@ -217,28 +208,24 @@
 	worker.SetUnreachable(true)
 	deliverReport(t, leader, held)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if cluster.machineUsable(leader, "n-1") || len(worker.StartedAttempts()) != 0 {
 		t.Fatal("revived by a late copy")
 	}
 	worker.SetUnreachable(false)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
-	heartbeat(t, leader, worker)
-	cluster.settle(leader)
+	cluster.reportAndSettle(leader, worker)
+	cluster.reportAndSettle(leader, worker)
 	if !cluster.machineUsable(leader, "n-1") || len(worker.StartedAttempts()) != 1 {
 		t.Errorf("not trusted after it answered; starts %v", worker.StartedAttempts())
 	}
 }
 
-// A worker that is back within a moment as a new process counts from the start
-// again. It is not ignored, and its predecessor's task starts once more, once.
+// A worker that returns at once as a new process counts its sequence from the start. It is not
+// ignored, and its predecessor's task starts once more, once.
 func TestWorkerProcessRestart(t *testing.T) {
 	cluster, node, leader, worker := clusterWithWorker(t)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	for range 5 {
 		heartbeat(t, leader, worker)
 	}
@@ -257,8 +244,8 @@
 	}
 }
 
-// A new leader that asks for such proof may be too busy to hear the answers:
-// workers that report are not mute for that, and are not returned.
+// A new leader that probes workers may be too busy to receive the responses: workers that report
+// are not unreachable for that, and are not returned.
 func TestProbesLostInSurgeReturnNothing(t *testing.T) {
 	const machines = 12
 	cluster, leader := adoptedFleet(t, machines, 2)
@@ -283,20 +270,16 @@
 	}
 }
 
-// A worker tells of a new token at once, but not twice within half a lease.
-// Where leaders change faster, it is asked, so that it need not stand idle until
-// its next regular report.
+// A worker reports a new token at once, but not twice within half a lease. Where leaders change
+// faster, it is probed, so that it need not be idle until its next regular report.
 func TestWorkerIsProbedForToken(t *testing.T) {
-	cluster := newTestCluster(t)
-	node := cluster.node(nil)
-	leader, _ := cluster.elect(node)
+	cluster, node, leader := clusterWithLeader(t)
 	worker := cluster.worker("n-1", "x", true)
 	report := worker.Report()
 	response, _ := leader.Heartbeat(&report)
 	worker.HandleResponse(response)
 	cluster.submit(node, jobSpec("j-1", nil))
-	cluster.resync(leader)
-	cluster.settle(leader)
+	cluster.syncAndSettle(leader)
 	if cluster.machineUsable(leader, "n-1") || len(worker.StartedAttempts()) != 0 {
 		t.Fatal("trusted on a report that may be a copy")
 	}
--- a/user_requests_test.go
+++ b/user_requests_test.go
@@ -13,6 +13,7 @@
 	"cedardoor/wire"
 )
 
+// Requests get the status of the protocol, also in an outage.
 func TestResponsesToUsers(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) { facts.Teams = append(facts.Teams, config.Team{Name: "small", CPUsMax: 3}) })
@@ -58,7 +59,7 @@
 			t.Errorf("GET %s: status %d, want %d", path, got, want)
 		}
 	}
-	if got, _, _ := cluster.ask(node, http.MethodDelete, wire.PathJobs+"/j-1", nil); got != 405 {
+	if got, _, _ := cluster.ask(node, http.MethodDelete, jobPath("j-1"), nil); got != 405 {
 		t.Errorf("wrong method: status %d", got)
 	}
 	// A store that can't be read is 503 with a time to come back, never 404.
@@ -74,38 +75,37 @@
 	}
 }
 
-// A node that the state service refuses alone serves users through another.
+// A controller that the state service refuses alone serves users through another.
 func TestRefusedControllerRelays(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	cluster.connect(nodeA, nodeB)
 	cluster.elect(nodeB)
 	cluster.submit(nodeA, jobSpec("j-1", nil))
 	cluster.state.Refuse(nodeA.cfg.Node, true)
 	for range 2 { // the first refusals show that it is not a single one
-		cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil)
+		cluster.ask(nodeA, http.MethodGet, jobPath("j-1"), nil)
 	}
-	if code, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || status.UID != "j-1" {
+	if code, status, _ := cluster.ask(nodeA, http.MethodGet, jobPath("j-1"), nil); code != 200 || status.UID != "j-1" {
 		t.Errorf("query: %d %+v", code, status)
 	}
 	if code, _, _ := cluster.ask(nodeA, http.MethodPost, wire.PathJobs, jobSpec("j-2", nil)); code != 201 {
 		t.Errorf("submit: %d", code)
 	}
-	if code, _, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-3", nil); code != 404 {
+	if code, _, _ := cluster.ask(nodeA, http.MethodGet, jobPath("j-3"), nil); code != 404 {
 		t.Errorf("unknown job: %d", code)
 	}
-	if code, status, _ := cluster.ask(nodeA, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 || status.Status != wire.JobCancelled {
-		t.Errorf("abort: %d %+v", code, status)
+	if code, status, _ := cluster.ask(nodeA, http.MethodPost, cancelPath("j-1"), nil); code != 200 || status.Status != wire.JobCancelled {
+		t.Errorf("cancellation: %d %+v", code, status)
 	}
 	// In an outage nobody can serve: the answer is 503, at once.
 	cluster.state.Refuse("", true)
-	if code, _, h := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 503 || h.Get("Retry-After") == "" {
+	if code, _, h := cluster.ask(nodeA, http.MethodGet, jobPath("j-2"), nil); code != 503 || h.Get("Retry-After") == "" {
 		t.Errorf("in an outage: %d %v", code, h)
 	}
 }
 
-// A node judges jobs by the machine types of now: an old catalogue will do for a
-// moment in which nobody tells it the new one, and no longer.
+// A controller validates jobs against the current machine types: it uses an old catalog for a short
+// time while the cloud does not respond, and no longer.
 func TestStaleCatalogAcceptsNothing(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
@@ -133,37 +133,34 @@
 	}
 }
 
-// A node answers no poll from what it knew before the poll came: what another
-// node has told since must not be taken back.
+// A controller answers no poll from what it knew before the poll arrived: what another has reported
+// since must not be taken back.
 func TestPollsNeverGoBack(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodeA, nodeB := cluster.node(nil), cluster.node(nil)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 	cluster.submit(nodeA, jobSpec("j-1", nil))
 	for _, node := range []*Service{nodeA, nodeB} {
-		if code, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); code != 200 || status.Status != wire.JobQueued {
+		if code, status, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); code != 200 || status.Status != wire.JobQueued {
 			t.Fatalf("%d %+v", code, status)
 		}
 	}
-	if code, _, _ := cluster.ask(nodeA, http.MethodPost, wire.PathJobs+"/j-1/abort", nil); code != 200 {
-		t.Fatalf("abort: %d", code)
-	}
-	if _, status, _ := cluster.ask(nodeB, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobCancelled {
+	cluster.cancelJob(nodeA, "j-1")
+	if _, status, _ := cluster.ask(nodeB, http.MethodGet, jobPath("j-1"), nil); status.Status != wire.JobCancelled {
 		t.Errorf("the other node still says %q", status.Status)
 	}
 	cluster.submit(nodeB, jobSpec("j-2", nil))
 	cluster.state.Compact() // the history of changes is gone: all is read again
-	if code, status, _ := cluster.ask(nodeA, http.MethodGet, wire.PathJobs+"/j-2", nil); code != 200 || status.Status != wire.JobQueued {
+	if code, status, _ := cluster.ask(nodeA, http.MethodGet, jobPath("j-2"), nil); code != 200 || status.Status != wire.JobQueued {
 		t.Errorf("after the history was gone: %d %+v", code, status)
 	}
 }
 
-// Users ask at all nodes at the same moment, right after one of them has said that
-// a job is accepted, done or cancelled, whatever befell the transaction that made
-// it so: no node may answer something older, nor anything else than the state to a
-// repeat, even a malformed one, and a transaction carried out late changes nothing.
+// Users ask at all controllers at the same moment, right after one of them has reported that a job
+// is accepted, done or cancelled, whatever happened to the transaction: no controller may report
+// anything older, nor anything else than the status to a repeated submission, even a malformed one,
+// and a delayed transaction changes nothing.
 func TestAllControllersAgreeAfterResponse(t *testing.T) {
-	for _, tr := range transactionFaults {
-		t.Run(tr.name, func(t *testing.T) {
+	for _, fault := range transactionFaults {
+		t.Run(fault.name, func(t *testing.T) {
 			cluster := newTestCluster(t)
 			nodes := []*Service{cluster.node(nil), cluster.node(nil), cluster.node(nil)}
 			leader, _ := cluster.elect(nodes[0])
@@ -171,29 +168,27 @@
 			heartbeat(t, leader, worker)
 			// Every node knows the time before, so that it could answer from it.
 			for _, node := range nodes {
-				if code, _, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusNotFound {
+				if code, _, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); code != http.StatusNotFound {
 					t.Fatalf("not submitted yet: %d", code)
 				}
 			}
 			for _, uid := range []string{"j-1", "j-2"} {
-				tr.set(cluster.state)
+				fault.inject(cluster.state)
 				if code, _ := cluster.askUntilAnswered(nodes[1:], http.MethodPost, wire.PathJobs, jobSpec(uid, nil)); code != http.StatusCreated && code != http.StatusOK {
 					t.Fatalf("submit: %d", code)
 				}
 				cluster.checkAnswers("accepted", cluster.askEverywhere(nodes, uid, false), wire.JobQueued, wire.JobRunning, "503")
 			}
-			cluster.resync(leader)
-			cluster.settle(leader)
-			tr.set(cluster.state)
-			if _, status := cluster.askUntilAnswered(nodes[1:], http.MethodPost, wire.PathJobs+"/j-2/"+wire.SuffixCancel, nil); status.Status != wire.JobCancelled {
-				t.Fatalf("abort: %+v", status)
+			cluster.syncAndSettle(leader)
+			fault.inject(cluster.state)
+			if _, status := cluster.askUntilAnswered(nodes[1:], http.MethodPost, cancelPath("j-2"), nil); status.Status != wire.JobCancelled {
+				t.Fatalf("cancellation: %+v", status)
 			}
 			cluster.checkAnswers("cancelled", cluster.askEverywhere(nodes, "j-2", true), wire.JobCancelled, "503")
 			cluster.resync(leader)
 			worker.EndTask("j-1/0", wire.CauseDone)
-			heartbeat(t, leader, worker)
-			cluster.settle(leader)
-			if _, status := cluster.askUntilAnswered(nodes, http.MethodGet, wire.PathJobs+"/j-1", nil); status.Status != wire.JobDone {
+			cluster.reportAndSettle(leader, worker)
+			if _, status := cluster.askUntilAnswered(nodes, http.MethodGet, jobPath("j-1"), nil); status.Status != wire.JobDone {
 				t.Fatalf("ended: %+v", status)
 			}
 			cluster.checkAnswers("done", cluster.askEverywhere(nodes, "j-1", true), wire.JobDone, "503")
@@ -210,9 +205,8 @@
 	}
 }
 
-// More submissions than the state service takes: what can't be taken is refused
-// at once and told when to come back, the lowest priority first; what is known
-// already stays known, and cancels go through.
+// Submissions beyond the rate of the state service are refused at once with a time to retry after,
+// the lowest priority first. Known jobs stay known, and cancellations are accepted.
 func TestExcessSubmissionsAreRefusedAtOnce(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
@@ -241,19 +235,19 @@
 	if code, _, _ := cluster.ask(node, http.MethodPost, wire.PathJobs, jobSpec("j-100", func(spec *wire.Spec) { spec.Priority = "critical" })); code != http.StatusCreated {
 		t.Errorf("a critical job: %d, want 201", code)
 	}
-	if code, status, _ := cluster.ask(node, http.MethodPost, wire.PathJobs+"/j-0/"+wire.SuffixCancel, nil); code != http.StatusOK || status.Status != wire.JobCancelled {
-		t.Errorf("abort: %d %+v", code, status)
+	if code, status, _ := cluster.ask(node, http.MethodPost, cancelPath("j-0"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+		t.Errorf("cancellation: %d %+v", code, status)
 	}
 }
 
-// A storm of questions about jobs that nobody submitted: what can't be looked up
-// is refused at once, and jobs that run are answered for as ever.
+// Polls of unknown jobs beyond the rate of the state service are refused at once, and polls of jobs
+// that run are answered as ever.
 func TestFloodOfUnknownJobs(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
 	_, _ = cluster.elect(node)
 	cluster.submit(node, jobSpec("j-1", nil))
-	if code, _, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK {
+	if code, _, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); code != http.StatusOK {
 		t.Fatalf("poll: %d", code)
 	}
 	small := node.cfg.Facts.State
@@ -273,13 +267,13 @@
 	if got[http.StatusNotFound] == 0 || got[http.StatusServiceUnavailable] < 60 || len(got) != 2 {
 		t.Errorf("answers by status: %v", got)
 	}
-	if code, status, _ := cluster.ask(node, http.MethodGet, wire.PathJobs+"/j-1", nil); code != http.StatusOK || status.Status != wire.JobQueued {
+	if code, status, _ := cluster.ask(node, http.MethodGet, jobPath("j-1"), nil); code != http.StatusOK || status.Status != wire.JobQueued {
 		t.Errorf("a job that runs, in the storm: %d %+v", code, status)
 	}
 }
 
-// Submissions that share a transaction share neither a refusal nor a conflict:
-// what is known hears so, what the store does not take fails alone.
+// Submissions that share a transaction share neither a refusal nor a conflict: a known job is
+// reported as known, and one that the store refuses fails alone.
 func TestBatchedSubmissionsAreJudgedSeparately(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
@@ -304,8 +298,8 @@
 	}
 }
 
-// How often polls make a node read is bounded by its share of a processor, however
-// many come, and an answer never waits long for its read.
+// The rate at which polls make a controller read is bounded by its share of a processor, however
+// many arrive, and a response never waits long for its read.
 func TestPollRateFollowsCPUShare(t *testing.T) {
 	for _, tt := range []struct {
 		share float64
