--- a/bench_serving_test.go
+++ b/bench_serving_test.go
@@ -25,7 +25,7 @@
 	limited := connlimit.New(ln, 1000, connlimit.WorkerConnections{Client: leader.workers}, leader.clock, leader.log)
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 20 * time.Second, WriteTimeout: 20 * time.Second,
 		IdleTimeout: 90 * time.Second, MaxHeaderBytes: 16 << 10, ConnState: limited.ConnState}
-	go srv.Serve(limited)
+	go func() { _ = srv.Serve(limited) }()
 	tb.Cleanup(func() { srv.Close() })
 	return ln.Addr().String()
 }
@@ -63,7 +63,9 @@
 			break
 		}
 		if v, found := bytes.CutPrefix(line, []byte("Content-Length: ")); found {
-			fmt.Sscan(string(v), &length)
+			if _, err := fmt.Sscan(string(v), &length); err != nil {
+				tb.Fatal(err)
+			}
 		}
 	}
 	if _, err := x.r.Discard(length); err != nil {
@@ -262,7 +264,9 @@
 							if err != nil {
 								return
 							}
-							io.Copy(io.Discard, req.Body)
+							if _, err := io.Copy(io.Discard, req.Body); err != nil {
+								return
+							}
 							if _, err := conn.Write(answer); err != nil || c.header != "" {
 								return
 							}
--- a/bench_test.go
+++ b/bench_test.go
@@ -139,7 +139,9 @@
 			on := map[int][]wire.TaskReport{}
 			leader.fleet.EachMachine(func(machine *fleet.Machine) {
 				var at int
-				fmt.Sscanf(machine.Name, "n-%d", &at)
+				if _, err := fmt.Sscanf(machine.Name, "n-%d", &at); err != nil {
+					b.Fatal(err)
+				}
 				machine.EachAllocation(func(allocation *fleet.Allocation) {
 					task := wire.TaskReport{Task: allocation.Task.String(), Attempt: allocation.Attempt, Status: wire.TaskRunning}
 					if round == 2 {
--- a/connlimit/listener_test.go
+++ b/connlimit/listener_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -69,7 +70,7 @@
 func isClosed(conn net.Conn) bool {
 	_ = conn.SetReadDeadline(time.Unix(1, 0)) // no waiting: the end comes before the deadline
 	_, err := conn.Read(make([]byte, 1))
-	return err == io.EOF
+	return errors.Is(err, io.EOF)
 }
 
 // asksForClose tells whether the response to a heartbeat asks for the connection to be closed.
--- a/job_lifecycle_test.go
+++ b/job_lifecycle_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net/http"
 	"testing"
 	"time"
@@ -148,7 +149,7 @@
 	cluster, node, leader := clusterWithLeader(t)
 	cluster.submit(node, jobSpec("j-1", nil))
 	cluster.state.Compact()
-	if _, err := node.store.Watch(t.Context(), store.PrefixJob, 1, 0); err != store.ErrCompacted {
+	if _, err := node.store.Watch(t.Context(), store.PrefixJob, 1, 0); !errors.Is(err, store.ErrCompacted) {
 		t.Fatalf("error %v, want %v", err, store.ErrCompacted)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
