--- a/leaderview/report.go
+++ b/leaderview/report.go
@@ -35,17 +35,17 @@
 // it last.
 func (r *report[T]) get(ctx context.Context, v *Viewer) (current T, err error) {
 	if current, err = r.refresh(ctx, v); err == nil {
-		r.annotate(&current, v.node, true, 0)
+		r.annotate(&current, v.Node, true, 0)
 		return current, nil
 	}
-	v.log.Debug("the leader's report can't be read", "error", err)
+	v.Log.Debug("the leader's report can't be read", "error", err)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.seen {
 		return current, ErrNoReport
 	}
 	last := r.last
-	r.annotate(&last, v.node, false, (v.clock.Now() - r.readAt).Seconds())
+	r.annotate(&last, v.Node, false, (v.Clock.Now() - r.readAt).Seconds())
 	return last, nil
 }
 
@@ -57,7 +57,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.last, r.readAt, r.seen = current, v.clock.Now(), true
+	r.last, r.readAt, r.seen = current, v.Clock.Now(), true
 	return current, nil
 }
 
--- a/leaderview/viewer.go
+++ b/leaderview/viewer.go
@@ -37,18 +37,6 @@
 	RecoveryReport() (report recovery.Report, known bool)
 }
 
-// Viewer reads the leader's reports, here or at the controller that leads.
-type Viewer struct {
-	node       string
-	clock      *clock.Clock
-	log        *slog.Logger
-	here       func() (Leader, bool)        // the leader, if this controller leads
-	leaderName func() string                // names the controller that leads
-	link       func(node string) *peer.Link // to another controller; nil when there is none
-	teams      report[quota.Report]
-	recovery   report[recovery.Report]
-}
-
 // Settings are what a Viewer is made with.
 type Settings struct {
 	Node       string
@@ -59,10 +47,17 @@
 	Link       func(node string) *peer.Link // to another controller; nil when there is none
 }
 
+// Viewer reads the leader's reports, here or at the controller that leads.
+type Viewer struct {
+	Settings
+
+	teams    report[quota.Report]
+	recovery report[recovery.Report]
+}
+
 // New makes a Viewer.
 func New(settings Settings) *Viewer {
-	v := &Viewer{node: settings.Node, clock: settings.Clock, log: settings.Log, here: settings.Here,
-		leaderName: settings.LeaderName, link: settings.Link}
+	v := &Viewer{Settings: settings}
 	v.teams.read = v.readTeams
 	v.teams.annotate = func(r *quota.Report, node string, fresh bool, ageS float64) {
 		r.Node, r.Fresh, r.AgeS = node, fresh, ageS
@@ -96,29 +91,29 @@
 		_, teamsErr := v.teams.refresh(ctx, v)
 		_, recoveryErr := v.recovery.refresh(ctx, v)
 		if err := errors.Join(teamsErr, recoveryErr); err != nil && ctx.Err() == nil {
-			v.log.Debug("the leader's reports can't be read", "error", err)
+			v.Log.Debug("the leader's reports can't be read", "error", err)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-v.clock.After(refreshInterval.Duration()):
+		case <-v.Clock.After(refreshInterval.Duration()):
 		}
 	}
 }
 
 // readTeams reads the leader's ledger.
 func (v *Viewer) readTeams(ctx context.Context) (r quota.Report, err error) {
-	name := v.leaderName()
+	name := v.LeaderName()
 	r = quota.Report{Leader: name, Fresh: true}
-	if leader, leads := v.here(); leads {
+	if leader, leads := v.Here(); leads {
 		teams, known := leader.TeamReports()
 		if !known {
 			return r, ErrNoLeader
 		}
-		r.Leader, r.Teams = v.node, teams
+		r.Leader, r.Teams = v.Node, teams
 		return r, nil
 	}
-	link := v.link(name)
+	link := v.Link(name)
 	if link == nil {
 		return r, ErrNoLeader
 	}
@@ -152,16 +147,16 @@
 
 // readRecovery reads how far the leader has taken over.
 func (v *Viewer) readRecovery(ctx context.Context) (r recovery.Report, err error) {
-	name := v.leaderName()
-	if leader, leads := v.here(); leads {
+	name := v.LeaderName()
+	if leader, leads := v.Here(); leads {
 		r, known := leader.RecoveryReport()
 		if !known {
 			return r, ErrNoLeader
 		}
-		r.Leader = v.node
+		r.Leader = v.Node
 		return r, nil
 	}
-	link := v.link(name)
+	link := v.Link(name)
 	if link == nil {
 		return r, ErrNoLeader
 	}
@@ -184,7 +179,7 @@
 // TeamsPage answers another controller that serves operators with the teams after a name; with
 // nothing, unless this one leads.
 func (v *Viewer) TeamsPage(after string) []byte {
-	leader, leads := v.here()
+	leader, leads := v.Here()
 	if !leads {
 		return nil
 	}
@@ -205,7 +200,7 @@
 	}
 	raw, err := page.Encode()
 	if err != nil {
-		v.log.Error("teams for another controller", "error", err)
+		v.Log.Error("teams for another controller", "error", err)
 		return nil
 	}
 	return raw
@@ -214,7 +209,7 @@
 // EncodedReport answers another controller that serves operators with a report; with nothing, unless
 // this one leads.
 func (v *Viewer) EncodedReport(kind peer.ReportKind) []byte {
-	leader, leads := v.here()
+	leader, leads := v.Here()
 	if !leads || kind != peer.ReportRecovery {
 		return nil
 	}
@@ -224,7 +219,7 @@
 	}
 	raw, err := json.Marshal(report)
 	if err != nil {
-		v.log.Error("report for another controller", "error", err)
+		v.Log.Error("report for another controller", "error", err)
 		return nil
 	}
 	return raw
