--- a/fleet_of_four_thousand_test.go
+++ b/fleet_of_four_thousand_test.go
@@ -40,16 +40,17 @@
 	t.Parallel()
 	events := &eventLog{}
 	loss := totalLoss{lossAtS: 40, outageS: 6, returning: 3}
-	schedule := faultSchedule{seed: 1, duration: seconds(80), firstLeader: 1, maxMachines: maxSimulatedFleet, submissions: largeFleetSubmissions(), onEvent: events.record,
-		timing: workerTiming{report: 6 * time.Second, lease: 30 * time.Second, cancel: 60 * time.Second}}
-	for node := range 3 {
-		schedule.faults = append(schedule.faults, scheduledFault{kind: controllerKilled, at: seconds(loss.lossAtS), duration: seconds(loss.outageS + 0.2*float64(node)), controller: node})
+	schedule := faultSchedule{seed: 1, duration: seconds(80), firstLeader: 1, maxMachines: maxSimulatedFleet, submissions: largeFleetSubmissions(),
+		onEvent: events.record, timing: workerTiming{report: 6 * time.Second, lease: 30 * time.Second, cancel: 60 * time.Second}}
+	for controller := range controllerCount {
+		schedule.faults = append(schedule.faults, scheduledFault{kind: controllerKilled, at: seconds(loss.lossAtS), duration: seconds(loss.outageS + 0.2*float64(controller)),
+			controller: controller})
 	}
 	measured := lossMeasurements{Scene: "four thousand machines, 3 back after 6.0 s"}
 	schedule.setup = func(sim *simulation) {
 		sim.rentSmallMachinesOnly()
-		told := sim.cloud.OnChange
-		sim.cloud.OnChange = func(what string) { told(what); events.recordCloud(what) }
+		onChange := sim.cloud.OnChange
+		sim.cloud.OnChange = func(what string) { onChange(what); events.recordCloud(what) }
 		sim.runAt(loss.lossAtS, func() {
 			if n := sim.bootedMachines(); n < simulatedFleet {
 				t.Errorf("%d machines are up before the loss, want %d", n, simulatedFleet)
@@ -63,11 +64,10 @@
 		sim.checkLargeServices("at the end")
 		sim.checkAllServed()
 	})
-	lost := loss.lostAt(sim)
-	back := lost.Add(seconds(loss.outageS))
+	back := loss.backAt(sim)
 	measured.Commands = events.count(back, back.Add(recoveryCheckTime))
-	for _, fault := range events.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return sim.observed.views[uid].cancelRequested }) {
-		t.Error(fault)
+	for _, violation := range sim.recoveryViolations(loss, events) {
+		t.Error(violation)
 	}
 	if measured.Commands.Rentals > 0 || measured.Commands.Halts > 0 {
 		t.Errorf("%+v, want no rentals and no stops", measured.Commands)
--- a/harness_guarantees_test.go
+++ b/harness_guarantees_test.go
@@ -12,31 +12,32 @@
 	"cedardoor/wire"
 )
 
-// maxUnserved is how long a team may be under its guarantee, have work that fits and
-// see none of it begin: a leader's lease, an election, the workers' leases until what its
-// predecessor may have started is proved gone, and two reports for a stop and a start.
+// maxUnserved is how long a team may be under its guarantee and have work that fits while none
+// of it starts: a leader's lease, an election, the workers' leases until the tasks of its
+// predecessor are proved gone, and two reports for a stop and a start.
 const maxUnserved = 5*time.Second + 3*time.Second + simulatedLease + 2*simulatedReportInterval
 
-// minServedShare is the part of its guarantee that a team must have on average while it
-// has work that waits: each of its tasks takes some seconds, and a second or two to
-// follow another, and for a third of the time nobody leads.
+// minServedShare is the share of its guarantee that a team must have on average while its work
+// waits: its tasks run for seconds, start a second or two after one another, and nobody leads for
+// a third of the time.
 const minServedShare = 0.35
 
-// guaranteeMonitor looks, from the machines and from what users were told alone, at how
-// teams with work that waits are served.
+// guaranteeMonitor observes how teams with waiting work are served, from the machines and from
+// what users were told.
 type guaranteeMonitor struct {
 	simulation      *simulation
 	unservedSince   map[string]time.Time
-	longestUnserved map[string]time.Duration // under the guarantee without a start
-	usedCores       map[string]float64       // of the guarantee, summed over the looks
-	owedCores       map[string]float64       // the guarantee, summed alike
+	longestUnserved map[string]time.Duration // under the guarantee, without a start
+	usedCores       map[string]float64       // of the guarantee, summed over the samples
+	owedCores       map[string]float64       // the guarantee, summed over the samples
 }
 
+// newGuaranteeMonitor returns a monitor without samples.
 func newGuaranteeMonitor(sim *simulation) *guaranteeMonitor {
 	return &guaranteeMonitor{simulation: sim, unservedSince: map[string]time.Time{}, longestUnserved: map[string]time.Duration{}, usedCores: map[string]float64{}, owedCores: map[string]float64{}}
 }
 
-// sample notes what teams with a guarantee have now.
+// sample adds what teams with a guarantee have now.
 func (g *guaranteeMonitor) sample() {
 	for team, guarantee := range g.simulation.schedule.guarantees {
 		used := g.simulation.teamCores(team)
@@ -61,7 +62,7 @@
 	}
 }
 
-// servedShare is the part of its guarantee that a team had while its work waited.
+// servedShare returns the share of its guarantee that a team had while its work waited.
 func (g *guaranteeMonitor) servedShare(team string) float64 {
 	if g.owedCores[team] == 0 {
 		return 1
@@ -69,47 +70,47 @@
 	return g.usedCores[team] / g.owedCores[team]
 }
 
-// unservedTeams lists the teams that saw no start for too long while they were under their guarantee.
-func (g *guaranteeMonitor) unservedTeams() (faults []string) {
+// unservedTeams lists the violations of teams none of whose tasks started for maxUnserved while they
+// were under their guarantee.
+func (g *guaranteeMonitor) unservedTeams() (violations []string) {
 	for team := range g.simulation.schedule.guarantees {
-		if spell := g.longestUnserved[team]; spell > maxUnserved {
-			faults = append(faults, fmt.Sprintf("%s was under its guarantee without a start for %v, more than %v", team, spell, maxUnserved))
+		if unserved := g.longestUnserved[team]; unserved > maxUnserved {
+			violations = append(violations, fmt.Sprintf("%s was under its guarantee without a start for %v, more than %v", team, unserved, maxUnserved))
 		}
 	}
-	return faults
+	return violations
 }
 
-// underservedTeams lists the teams that had too little of their guarantees on average; it
-// tells something where more work waits all the time than a guarantee has room for.
-func (g *guaranteeMonitor) underservedTeams() (faults []string) {
+// underservedTeams lists the violations of teams that had less than minServedShare of their
+// guarantee on average. That is significant where more work waits than the guarantee covers.
+func (g *guaranteeMonitor) underservedTeams() (violations []string) {
 	for team := range g.simulation.schedule.guarantees {
-		if part := g.servedShare(team); part < minServedShare {
-			faults = append(faults, fmt.Sprintf("%s had %.2f of its guarantee on average, less than %v", team, part, minServedShare))
+		if share := g.servedShare(team); share < minServedShare {
+			violations = append(violations, fmt.Sprintf("%s had %.2f of its guarantee on average, less than %v", team, share, minServedShare))
 		}
 	}
-	return faults
+	return violations
 }
 
-// hasUnplacedJob tells whether a team has a job with tasks that wait, of the given kind.
-func (g *guaranteeMonitor) hasUnplacedJob(team string, kind func(spec *wire.Spec) bool) bool {
+// hasUnplacedJob reports whether a team has a matching job with tasks that wait.
+func (g *guaranteeMonitor) hasUnplacedJob(team string, matches func(spec *wire.Spec) bool) bool {
 	return slices.ContainsFunc(g.simulation.schedule.submissions, func(submission scheduledSubmission) bool {
-		return submission.spec.Team == team && kind(&submission.spec) && g.simulation.hasUnplacedTasks(submission.spec.UID)
+		return submission.spec.Team == team && matches(&submission.spec) && g.simulation.hasUnplacedTasks(submission.spec.UID)
 	})
 }
 
-// playTeamSchedule plays a schedule of several teams, and gives the rules that were broken and
-// how the guarantees were kept.
-func playTeamSchedule(t *testing.T, schedule faultSchedule) (broken []string, watch *guaranteeMonitor) {
+// playTeamSchedule plays a schedule of several teams. It returns the violations, and the monitor
+// of the guarantees.
+func playTeamSchedule(t *testing.T, schedule faultSchedule) (violations []string, monitor *guaranteeMonitor) {
 	schedule.setup = func(sim *simulation) {
-		for i := range controllerCount {
-			name := controllerName(i)
+		for _, name := range controllerNames() {
 			sim.network.Place(name, name)
 		}
-		watch = newGuaranteeMonitor(sim)
+		monitor = newGuaranteeMonitor(sim)
 		sim.wg.Go(func() {
 			for sim.ctx.Err() == nil && time.Since(sim.startedAt) < schedule.duration+faultFreeTail/2 {
 				time.Sleep(250 * time.Millisecond)
-				watch.sample()
+				monitor.sample()
 			}
 		})
 	}
@@ -121,10 +122,10 @@
 			sim.checkAllServed()
 		}
 		sim.shutDown(cancel)
-		broken = sim.violations
-		if t.Failed() || len(broken) > 0 && schedule.newLedger == nil {
+		violations = sim.violations
+		if t.Failed() || len(violations) > 0 && schedule.newLedger == nil {
 			t.Logf("history of seed %d:\n%s", schedule.seed, strings.Join(sim.history, "\n"))
 		}
 	})
-	return broken, watch
+	return violations, monitor
 }
--- a/harness_large_test.go
+++ b/harness_large_test.go
@@ -4,39 +4,37 @@
 	"cedardoor/wire"
 )
 
-// The work of the large scene. The cloud has enough to move half of it to other zones.
+// The work of large simulations.
 const (
+	// maxSimulatedFleet is enough to move half of the work to other zones.
 	maxSimulatedFleet    = simulatedFleet * 13 / 8
 	largeServiceReplicas = 160 // replicas of each service, one to a machine
 	largeArrayTasks      = 100 // tasks of each array, likewise
 )
 
-// minFleetLimit is how many machines there may be, at the least.
+// minFleetLimit is how many machines a cluster can have at the least.
 const minFleetLimit = 4000
 
-// largeFleetSubmissions is services and arrays that fill the large fleet, one task to a machine,
-// and a team at its limit.
-func largeFleetSubmissions() (users []scheduledSubmission) {
-	wholeMachine := func(mod func(spec *wire.Spec)) func(spec *wire.Spec) {
-		return func(spec *wire.Spec) { mod(spec); spec.Cores, spec.RAM = 4, 8 }
-	}
+// largeFleetSubmissions returns services and batch jobs that fill the large fleet, one task to a
+// machine, and a team at its limit.
+func largeFleetSubmissions() (submissions []scheduledSubmission) {
 	n := 0
 	for range simulatedFleet * 4 / 5 / largeServiceReplicas {
 		n++
-		users = append(users, newSubmission(n, 2, 0, wholeMachine(asService(largeServiceReplicas))))
+		submissions = append(submissions, newSubmission(n, 2, 0, oneTaskPerMachine(asService(largeServiceReplicas))))
 	}
 	for range simulatedFleet / 5 / largeArrayTasks {
 		n++
-		users = append(users, newSubmission(n, 3, 60, wholeMachine(func(spec *wire.Spec) { spec.Tasks, spec.Preemptible = largeArrayTasks, true })))
+		submissions = append(submissions, newSubmission(n, 3, 60, oneTaskPerMachine(func(spec *wire.Spec) { spec.Tasks, spec.Preemptible = largeArrayTasks, true })))
 	}
 	for range 4 {
 		n++
-		users = append(users, newSubmission(n, 5, 8, func(spec *wire.Spec) { spec.Team, spec.Tasks = "tight", 12 }))
+		submissions = append(submissions, newSubmission(n, 5, 8, func(spec *wire.Spec) { spec.Team, spec.Tasks = "tight", 12 }))
 	}
-	return users
+	return submissions
 }
 
-// rentSmallMachinesOnly lets the cloud have machines for one large task each only.
+// rentSmallMachinesOnly leaves the cloud with the machine type that has room for one large task.
 func (s *simulation) rentSmallMachinesOnly() {
 	s.cloud.MachineTypes = []wire.MachineType{smallMachineType()}
 }
@@ -46,9 +44,9 @@
 func (s *simulation) checkLargeServices(when string) {
 	for _, submission := range s.schedule.submissions {
 		s.mu.Lock()
-		asked := s.observed.views[submission.spec.UID].cancelRequested
+		cancelRequested := s.observed.views[submission.spec.UID].cancelRequested
 		s.mu.Unlock()
-		if submission.spec.Kind != wire.KindService || asked {
+		if submission.spec.Kind != wire.KindService || cancelRequested {
 			continue
 		}
 		running := 0
--- a/harness_loopback_test.go
+++ b/harness_loopback_test.go
@@ -28,34 +28,34 @@
 	"golang.org/x/time/rate"
 )
 
-// The state service's changes a second in the measurement, and the most jobs of a team.
+// The size of the measurement.
 const (
-	loopbackWrites = 100
-	loopbackJobs   = 30_000
+	loopbackWrites = 100    // changes a second that the state service accepts
+	loopbackJobs   = 30_000 // of the team that submits most
 )
 
-// loopback is a platform of real controllers on loopback sockets, with stand-ins around them.
+// loopback is a platform of real controllers on loopback sockets, and of stand-ins.
 type loopback struct {
 	*simulation
 	names             []string
-	clientAddresses   map[string]string // addresses for users and workers, by controller
-	operatorAddresses map[string]string // addresses for operators
+	clientAddresses   map[string]string // of controllers, for users and workers
+	operatorAddresses map[string]string // of controllers, for operators
 	platformFiles     map[string]string
-	settingsFiles     map[string]string // operators' settings
+	settingsFiles     map[string]string
 	http              *http.Client
 
-	processMutex sync.Mutex // guards procs
+	processMutex sync.Mutex // guards commands
 	commands     map[string]*exec.Cmd
 }
 
 // serveLoopback serves a handler on a free port.
-func serveLoopback(t *testing.T, h http.Handler) string {
-	server := httptest.NewServer(h)
+func serveLoopback(t *testing.T, handler http.Handler) string {
+	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// freeAddress is a loopback address that nobody listens at.
+// freeAddress returns a loopback address that is not in use.
 func freeAddress(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,28 +65,28 @@
 	return ln.Addr().String()
 }
 
-// rateLimitedState refuses transactions beyond the state service's changes a second.
-func rateLimitedState(h http.Handler, writes *rate.Limiter) http.Handler {
+// rateLimitedState returns a state service that refuses transactions beyond a rate of changes.
+func rateLimitedState(state http.Handler, writes *rate.Limiter) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			return
 		}
-		var txn wire.Txn
-		if r.URL.Path == wire.PathCommit && wire.Unmarshal(body, &txn) == nil && !writes.AllowN(time.Now(), len(txn.Operations)) {
+		var transaction wire.Txn
+		if r.URL.Path == wire.PathCommit && wire.Unmarshal(body, &transaction) == nil && !writes.AllowN(time.Now(), len(transaction.Operations)) {
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
-		h.ServeHTTP(w, r)
+		state.ServeHTTP(w, r)
 	})
 }
 
-// newLoopback sets the platform up and starts its controllers.
+// newLoopback returns a platform whose controllers have been started.
 func newLoopback(ctx context.Context, t *testing.T, schedule faultSchedule) *loopback {
-	l := &loopback{simulation: newSimulation(ctx, t, schedule), clientAddresses: map[string]string{}, operatorAddresses: map[string]string{}, platformFiles: map[string]string{}, settingsFiles: map[string]string{},
-		commands: map[string]*exec.Cmd{},
-		http:     &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
+	l := &loopback{simulation: newSimulation(ctx, t, schedule), clientAddresses: map[string]string{}, operatorAddresses: map[string]string{},
+		platformFiles: map[string]string{}, settingsFiles: map[string]string{}, commands: map[string]*exec.Cmd{},
+		http: &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	l.cloud.BootMachine = l.bootLoopbackMachine
 	cloudAddress := serveLoopback(t, l.cloud)
 	writes := rate.NewLimiter(loopbackWrites, loopbackWrites)
@@ -122,32 +122,32 @@
 	return l
 }
 
-// start runs a controller's process.
+// start starts a process of a controller.
 func (l *loopback) start(name string) {
 	l.processMutex.Lock()
 	defer l.processMutex.Unlock()
-	cmd := exec.Command(*loopbackBinary, "--config", l.platformFiles[name], "--settings", l.settingsFiles[name])
-	cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
-	cmd.Stderr = os.Stderr
-	if err := cmd.Start(); err != nil {
+	command := exec.Command(*loopbackBinary, "--config", l.platformFiles[name], "--settings", l.settingsFiles[name])
+	command.Env = append(os.Environ(), "LOG_LEVEL=error")
+	command.Stderr = os.Stderr
+	if err := command.Start(); err != nil {
 		l.t.Error(err)
 		return
 	}
-	l.commands[name] = cmd
+	l.commands[name] = command
 }
 
-// signal sends a signal to a controller's process; after a kill it is waited for.
+// signal sends a signal to a controller's process, and waits for its end after a kill.
 func (l *loopback) signal(name string, sig syscall.Signal) {
 	l.processMutex.Lock()
 	defer l.processMutex.Unlock()
-	cmd := l.commands[name]
-	_ = cmd.Process.Signal(sig)
+	command := l.commands[name]
+	_ = command.Process.Signal(sig)
 	if sig == syscall.SIGKILL {
-		_ = cmd.Wait()
+		_ = command.Wait()
 	}
 }
 
-// leaderName names the controller that the state service holds for the leader.
+// leaderName returns the name of the leader on record, or of the first controller.
 func (l *loopback) leaderName() string {
 	var record store.LeadRecord
 	if l.state.Value(store.KeyLead, &record) {
@@ -175,7 +175,7 @@
 	return machine
 }
 
-// post sends one message to a controller.
+// post encodes a message and sends it to a controller.
 func (l *loopback) post(ctx context.Context, node, path string, message any) (int, []byte, error) {
 	encoded, err := wire.Marshal(message)
 	if err != nil {
@@ -184,16 +184,17 @@
 	return l.send(ctx, node, path, encoded)
 }
 
+// send sends an encoded message to a controller, and returns the response.
 func (l *loopback) send(ctx context.Context, node, path string, encoded []byte) (int, []byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.clientAddresses[node]+path, bytes.NewReader(encoded))
 	if err != nil {
 		return 0, nil, err
 	}
-	answer, err := l.http.Do(request)
+	response, err := l.http.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(answer.Body)
-	return answer.StatusCode, body, err
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	return response.StatusCode, body, err
 }
--- a/harness_total_loss_test.go
+++ b/harness_total_loss_test.go
@@ -16,8 +16,8 @@
 	"cedardoor/wire"
 )
 
-// eventLog is what happened on all machines, in order, and what the cloud was asked for.
-// It knows nothing of what controllers hold.
+// eventLog is what happened on all machines, in order, and the requests to the cloud. It does not
+// depend on the state of controllers.
 type eventLog struct {
 	mu      sync.Mutex // guards the fields below
 	events  []standin.Event
@@ -25,13 +25,14 @@
 	returns map[string]time.Time
 }
 
+// record adds an event on a machine.
 func (h *eventLog) record(event standin.Event) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.events = append(h.events, event)
 }
 
-// recordCloud takes in what the cloud was asked for.
+// recordCloud adds a request to the cloud, as the cloud describes it.
 func (h *eventLog) recordCloud(what string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -45,10 +46,11 @@
 	h.rentals = append(h.rentals, time.Now())
 }
 
-// commandCounts are the commands and requests of a span.
+// commandCounts counts commands to workers and requests to the cloud.
 type commandCounts struct{ Runs, Halts, Forgets, Rentals, Returns int }
 
-// count counts the commands that workers executed, and the requests to the cloud, in a span.
+// count returns how many commands workers executed, and how many requests the cloud received, in a
+// period.
 func (h *eventLog) count(from, to time.Time) (c commandCounts) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -79,30 +81,31 @@
 	return c
 }
 
-// maxDrainTime is how long after its last task was stopped a machine may be returned, and keepSpan
-// for how long after the return of the first controller no machine is given up.
+// Timing of the checks of a recovery.
 const (
+	// maxDrainTime is how soon after a task was stopped its machine must be returned if it was drained.
 	maxDrainTime = 3 * time.Minute
-	minKeepTime  = 10 * time.Second
-	// recoveryCheckTime is how long after that commands are counted and held against the promises.
+	// minKeepTime is for how long after the return of the first controller no machine is drained.
+	minKeepTime = 10 * time.Second
+	// recoveryCheckTime is for how long after that return commands are counted and checked.
 	recoveryCheckTime = 30 * time.Second
 )
 
-// jobOnMachine is the tasks of a job on a machine.
+// jobOnMachine identifies the tasks of a job on a machine.
 type jobOnMachine struct{ machine, job string }
 
-// violations holds a span of the histories against what a recovery promises. A task that runs is
-// stopped only for one of three causes, and each is judged by what is seen: its user asked to cancel its job;
-// another replica of its job is on the same machine, from which one is moved away; or its machine
-// is given up, and returned. A task begins again only after its run before was lost with
-// its machine's lease, or was stopped for such a cause.
-func (h *eventLog) violations(from, back, to time.Time, cancelled func(uid string) bool) (faults []string) {
+// violations checks the events of a period against the guarantees of a recovery. A running task is
+// stopped only for one of three causes: its user has asked to cancel its job; another replica of its
+// job is on the same machine, from which one is moved away; or its machine is drained, and returned.
+// A task starts again only after its last attempt was lost with its machine's lease, or was stopped
+// for such a cause.
+func (h *eventLog) violations(from, back, to time.Time, cancelled func(uid string) bool) (violations []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	ended := map[string]string{} // why a task's last run ended; absent while it runs or before its first
+	ended := map[string]string{} // causes for which the last attempts of tasks ended, if they have
 	ran := map[string]bool{}
-	moved := map[string]bool{} // stopped for a cause
-	on := map[jobOnMachine]int{}
+	justified := map[string]bool{} // tasks that were stopped for a cause
+	running := map[jobOnMachine]int{}
 	for _, event := range h.events {
 		uid := jobOf(event.Task)
 		within := !event.At.Before(from) && event.At.Before(to)
@@ -111,163 +114,179 @@
 		case event.Kind == standin.EventCommand && event.Verb == wire.VerbStop && event.Live:
 			returned, gone := h.returns[event.Machine]
 			drained := gone && returned.Sub(event.At) < maxDrainTime && event.At.Sub(back) > minKeepTime
-			moved[event.Task] = cancelled(uid) || on[here] > 1 || drained
-			if within && !moved[event.Task] {
-				faults = append(faults, fmt.Sprintf("%s attempt %d on %s is stopped without a cause", event.Task, event.Attempt, event.Machine))
+			justified[event.Task] = cancelled(uid) || running[here] > 1 || drained
+			if within && !justified[event.Task] {
+				violations = append(violations, fmt.Sprintf("%s attempt %d on %s is stopped without a cause", event.Task, event.Attempt, event.Machine))
 			}
 		case event.Kind == standin.EventEnded:
 			if within && event.Cause == standin.CauseMachineRemoved && !cancelled(uid) {
-				faults = append(faults, fmt.Sprintf("%s attempt %d is on %s when that is returned", event.Task, event.Attempt, event.Machine))
+				violations = append(violations, fmt.Sprintf("%s attempt %d is on %s when that is returned", event.Task, event.Attempt, event.Machine))
 			}
 			if _, over := ended[event.Task]; !over && ran[event.Task] {
-				on[here]--
+				running[here]--
 			}
 			ended[event.Task] = event.Cause
 		case event.Kind == standin.EventStarted:
 			why, over := ended[event.Task]
-			lost := over && (why == standin.CauseLeaseExpired || why == standin.CauseMachineRemoved || why == wire.CauseStopped && moved[event.Task])
+			lost := over && (why == standin.CauseLeaseExpired || why == standin.CauseMachineRemoved || why == wire.CauseStopped && justified[event.Task])
 			if within && ran[event.Task] && !lost {
-				faults = append(faults, fmt.Sprintf("%s attempt %d starts on %s, though its run before was not lost: %q", event.Task, event.Attempt, event.Machine, why))
+				violations = append(violations, fmt.Sprintf("%s attempt %d starts on %s, though its run before was not lost: %q", event.Task, event.Attempt, event.Machine, why))
 			}
 			delete(ended, event.Task)
 			ran[event.Task] = true
-			on[here]++
+			running[here]++
 		}
 	}
-	return faults
+	return violations
 }
 
-// lossSubmissions fills most of the machines of a scene: services, arrays that run throughout, a team at
-// its limit, jobs of one task, and jobs that are cancelled right before the loss.
-func lossSubmissions(machines int, lossAt float64) (users []scheduledSubmission) {
-	add := func(from, runs float64, mod func(spec *wire.Spec)) *scheduledSubmission {
-		users = append(users, newSubmission(len(users)+1, from, runs, mod))
-		return &users[len(users)-1]
+// lossSubmissions returns jobs that fill most of the machines: services, jobs that run throughout, a
+// team at its limit, jobs of one task, and jobs that are cancelled right before the loss.
+func lossSubmissions(machines int, lossAtS float64) (submissions []scheduledSubmission) {
+	add := func(afterS, runTimeS float64, mod func(spec *wire.Spec)) *scheduledSubmission {
+		submissions = append(submissions, newSubmission(len(submissions)+1, afterS, runTimeS, mod))
+		return &submissions[len(submissions)-1]
 	}
 	for range 4 {
 		add(2, 0, asService(machines/2))
 	}
 	for range 4 {
-		add(8, lossAt+40, func(spec *wire.Spec) { spec.Tasks, spec.Preemptible = machines/2, true })
+		add(8, lossAtS+40, func(spec *wire.Spec) { spec.Tasks, spec.Preemptible = machines/2, true })
 	}
 	for range 2 {
-		add(9, lossAt+20, func(spec *wire.Spec) { spec.Team, spec.Tasks = "tight", 5 })
+		add(9, lossAtS+20, func(spec *wire.Spec) { spec.Team, spec.Tasks = "tight", 5 })
 	}
 	for range machines / 4 {
-		add(10, lossAt+30, func(spec *wire.Spec) { spec.Preemptible = true })
+		add(10, lossAtS+30, func(spec *wire.Spec) { spec.Preemptible = true })
 	}
 	for range 3 {
-		submission := add(12, lossAt+60, func(spec *wire.Spec) { spec.Tasks, spec.Preemptible = 4, true })
-		submission.cancelAfter = seconds(lossAt - 12.5)
+		submission := add(12, lossAtS+60, func(spec *wire.Spec) { spec.Tasks, spec.Preemptible = 4, true })
+		submission.cancelAfter = seconds(lossAtS - 12.5)
 	}
-	return users
+	return submissions
 }
 
-// totalLoss is a scene in which all controllers end at once and some return after a spell.
+// totalLoss is a crash of all controllers at once, of which some return.
 type totalLoss struct {
 	lossAtS   float64
-	outageS   float64      // until the first is back
-	returning int          // how many come back; the others stay away
-	timing    workerTiming // of the workers, if not lossTiming
+	outageS   float64      // until the first returns
+	returning int          // how many return
+	timing    workerTiming // lossTiming if not set
 }
 
-// lossTiming is that of a usual platform.
+// lossTiming is the timing of workers in total losses.
 var lossTiming = workerTiming{report: 3 * time.Second, lease: 18 * time.Second, cancel: 43 * time.Second}
 
-// lostAt is when the controllers end: a second after its time, which the first leader has for itself.
+// lostAt returns when the controllers crash: the schedule begins a second after the simulation,
+// when its first leader has been elected.
 func (x totalLoss) lostAt(sim *simulation) time.Time {
 	return sim.startedAt.Add(seconds(x.lossAtS + 1))
 }
 
+// backAt returns when the first controller returns.
+func (x totalLoss) backAt(sim *simulation) time.Time {
+	return x.lostAt(sim).Add(seconds(x.outageS))
+}
+
+// schedule returns a schedule with the loss for a number of machines.
 func (x totalLoss) schedule(machines int, events *eventLog) faultSchedule {
-	schedule := faultSchedule{seed: 5, duration: seconds(x.lossAtS + x.outageS + 90), firstLeader: 1, maxMachines: 3 * machines, submissions: lossSubmissions(machines, x.lossAtS), onEvent: events.record, timing: lossTiming}
+	schedule := faultSchedule{seed: 5, duration: seconds(x.lossAtS + x.outageS + 90), firstLeader: 1, maxMachines: 3 * machines,
+		submissions: lossSubmissions(machines, x.lossAtS), onEvent: events.record, timing: lossTiming}
 	if x.timing != (workerTiming{}) {
 		schedule.timing = x.timing
 	}
 	for node := range controllerCount {
 		away := seconds(x.outageS + 0.3*float64(node))
 		if node >= x.returning {
-			away = schedule.duration - seconds(x.lossAtS) // they are asked at the end
+			away = schedule.duration - seconds(x.lossAtS) // they must be up for the final checks
 		}
 		schedule.faults = append(schedule.faults, scheduledFault{kind: controllerKilled, at: seconds(x.lossAtS), duration: away, controller: node})
 	}
 	schedule.setup = func(sim *simulation) {
-		note := sim.cloud.OnChange
-		sim.cloud.OnChange = func(what string) { note(what); events.recordCloud(what) }
+		onChange := sim.cloud.OnChange
+		sim.cloud.OnChange = func(what string) { onChange(what); events.recordCloud(what) }
 	}
 	return schedule
 }
 
-// lossMeasurements are what a scene of a total loss measures, from the return of the first controller.
+// lossMeasurements are the measurements of a recovery, from the return of the first controller. The
+// names of the fields are those of the recorded figures.
 type lossMeasurements struct {
 	Scene          string
 	Machines       int
-	FirstOrderS    float64 // the first command that a worker executed
-	MostReconciled float64 // nine tenths of the machines
+	FirstOrderS    float64 // until a worker executed the first command
+	MostReconciled float64 // seconds, for nine tenths of the machines
 	AllReconciled  float64
-	AllGoingS      float64 // all replicas run
+	AllGoingS      float64 // until all replicas run
 	Commands       commandCounts
-	StateRequests  int // all controllers, until all replicas run
+	StateRequests  int // of all controllers, until all replicas run
 	StateChanges   int
 	Progress       []progressPoint
 }
 
-// String prints the figures without the course of the recovery.
+// String formats the measurements without the progress.
 func (f lossMeasurements) String() string {
 	return fmt.Sprintf("%s: %d machines, first command %.2f s, most reconciled %.2f s, all %.2f s, all going %.2f s, %+v, %d requests, %d changes", f.Scene, f.Machines,
 		f.FirstOrderS, f.MostReconciled, f.AllReconciled, f.AllGoingS, f.Commands, f.StateRequests, f.StateChanges)
 }
 
-// progressPoint is how far a recovery is at a moment.
+// progressPoint is the progress of a recovery at a moment.
 type progressPoint struct {
 	AtS                           float64
 	Awaited, Reconciled, Replicas int
 }
 
-// playTotalLoss plays a scene and gives the faults that the histories show and the figures.
-func playTotalLoss(t *testing.T, loss totalLoss, machines int, lose func(r *recovery.Records)) (broken []string, figures lossMeasurements) {
+// playTotalLoss plays a total loss and returns the violations and the measurements. The records that
+// leaders read are changed by alter, if it is not nil; violations are expected then.
+func playTotalLoss(t *testing.T, loss totalLoss, machines int, alter func(records *recovery.Records)) (violations []string, measured lossMeasurements) {
 	events := &eventLog{}
 	schedule := loss.schedule(machines, events)
-	schedule.alterRecords = lose
-	figures.Scene = fmt.Sprintf("%d back after %.1f s", loss.returning, loss.outageS)
+	schedule.alterRecords = alter
+	measured.Scene = fmt.Sprintf("%d back after %.1f s", loss.returning, loss.outageS)
 	setup := schedule.setup
 	schedule.setup = func(sim *simulation) {
 		setup(sim)
-		sim.wg.Go(func() { sim.measureLoss(loss, events, &figures) })
+		sim.wg.Go(func() { sim.measureLoss(loss, events, &measured) })
 	}
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		sim := newSimulation(ctx, t, schedule)
 		sim.run()
-		if lose == nil {
+		if alter == nil {
 			sim.checkAllServed()
 		}
 		sim.shutDown(cancel)
-		lost := loss.lostAt(sim)
-		broken = append(sim.violations, events.violations(lost, lost.Add(seconds(loss.outageS)), lost.Add(seconds(loss.outageS)+recoveryCheckTime), func(uid string) bool { return sim.observed.views[uid].cancelRequested })...)
-		figures.Commands = events.count(lost.Add(seconds(loss.outageS)), lost.Add(seconds(loss.outageS)+recoveryCheckTime))
-		if t.Failed() || len(broken) > 0 && lose == nil {
+		violations = append(sim.violations, sim.recoveryViolations(loss, events)...)
+		back := loss.backAt(sim)
+		measured.Commands = events.count(back, back.Add(recoveryCheckTime))
+		if t.Failed() || len(violations) > 0 && alter == nil {
 			t.Logf("history:\n%s", strings.Join(sim.history, "\n"))
 		}
 	})
-	return broken, figures
+	return violations, measured
 }
 
-// measureLoss follows the recovery from the return of the first controller.
+// recoveryViolations checks the events after a total loss.
+func (s *simulation) recoveryViolations(loss totalLoss, events *eventLog) []string {
+	back := loss.backAt(s)
+	return events.violations(loss.lostAt(s), back, back.Add(recoveryCheckTime), func(uid string) bool { return s.observed.views[uid].cancelRequested })
+}
+
+// measureLoss measures the recovery from the return of the first controller.
 func (s *simulation) measureLoss(loss totalLoss, events *eventLog, measured *lossMeasurements) {
-	back := loss.lostAt(s).Add(seconds(loss.outageS))
+	back := loss.backAt(s)
 	time.Sleep(time.Until(back))
 	requests, changes := s.state.RequestCount(), s.state.ChangeCount()
-	const step = 250 * time.Millisecond
+	const interval = 250 * time.Millisecond
 	for s.ctx.Err() == nil && time.Since(back) < 60*time.Second && measured.AllGoingS == 0 {
-		time.Sleep(step)
+		time.Sleep(interval)
 		since := time.Since(back).Seconds()
 		var report recovery.Report
 		if leader := s.activeLeader(); leader != nil {
 			report, _ = leader.recoveryReport()
 		}
-		run, want := s.replicaCounts()
-		measured.Progress = append(measured.Progress, progressPoint{AtS: since, Awaited: report.Machines.Awaited, Reconciled: report.Machines.Reconciled, Replicas: run})
+		running, want := s.replicaCounts()
+		measured.Progress = append(measured.Progress, progressPoint{AtS: since, Awaited: report.Machines.Awaited, Reconciled: report.Machines.Reconciled, Replicas: running})
 		measured.Machines = max(measured.Machines, report.Machines.Recorded)
 		settled := report.Machines.Reconciled + report.Machines.Gone
 		if n := report.Machines.Recorded; n > 0 && measured.MostReconciled == 0 && 10*settled >= 9*n {
@@ -277,23 +296,28 @@
 			if measured.AllReconciled == 0 {
 				measured.AllReconciled = since
 			}
-			if run == want {
+			if running == want {
 				measured.AllGoingS = since
 				measured.StateRequests, measured.StateChanges = s.state.RequestCount()-requests, s.state.ChangeCount()-changes
 			}
 		}
 	}
-	events.mu.Lock()
-	defer events.mu.Unlock()
-	for _, event := range events.events {
-		if event.Kind == standin.EventCommand && event.At.After(back) {
-			measured.FirstOrderS = event.At.Sub(back).Seconds()
-			break
+	measured.FirstOrderS = events.firstCommandAfter(back).Seconds()
+}
+
+// firstCommandAfter returns how long after a moment a worker executed the next command, or 0.
+func (h *eventLog) firstCommandAfter(moment time.Time) time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, event := range h.events {
+		if event.Kind == standin.EventCommand && event.At.After(moment) {
+			return event.At.Sub(moment)
 		}
 	}
+	return 0
 }
 
-// saveMeasurements adds a scene's figures to the file that -loss.plot names, a line each.
+// saveMeasurements appends measurements to the file that -loss.plot names, if it is set.
 func saveMeasurements(measured lossMeasurements) error {
 	if *lossPlot == "" {
 		return nil
--- a/loopback_loss_test.go
+++ b/loopback_loss_test.go
@@ -6,13 +6,13 @@
 	"fmt"
 	"net/http"
 	"os"
+	"slices"
 	"strconv"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 
-	"cedardoor/internal/standin"
 	"cedardoor/operator"
 	"cedardoor/recovery"
 	"cedardoor/wire"
@@ -30,24 +30,29 @@
 	{outageS: 55, returning: 1}, {outageS: 0.5, returning: 1}, {outageS: 6, returning: 3}, {outageS: 25, returning: 2},
 }
 
-// loopbackLoss is a platform of real controllers that all end.
+// cancelledJobs is how many jobs, the last ones, are cancelled right before each loss.
+const cancelledJobs = 3
+
+// loopbackLoss is a platform of real controllers that all crash.
 type loopbackLoss struct {
 	*loopback
 	events        *eventLog
-	jobs          [][]scheduledSubmission // of each scene
+	jobs          [][]scheduledSubmission // of each loss
 	permanentJobs []scheduledSubmission   // run throughout
 }
 
-// oneTaskPerMachine makes a job's tasks take a machine each.
+// oneTaskPerMachine makes each of a job's tasks use a small machine.
 func oneTaskPerMachine(mod func(spec *wire.Spec)) func(spec *wire.Spec) {
 	return func(spec *wire.Spec) { mod(spec); spec.Cores, spec.RAM = 4, 8 }
 }
 
+// newLoopbackLoss returns a platform whose controllers have been started.
 func newLoopbackLoss(ctx context.Context, t *testing.T, workers int) *loopbackLoss {
 	l := &loopbackLoss{events: &eventLog{}}
-	schedule := faultSchedule{maxMachines: 2 * workers, timing: lossTiming, onEvent: l.events.record, limits: map[string]float64{"free": 0, "tight": tightLimit}, guarantees: map[string]float64{}}
-	add := func(to *[]scheduledSubmission, runs float64, mod func(spec *wire.Spec)) {
-		submission := newSubmission(len(schedule.submissions)+1, 0, runs, mod)
+	schedule := faultSchedule{maxMachines: 2 * workers, timing: lossTiming, onEvent: l.events.record,
+		limits: map[string]float64{"free": 0, "tight": tightLimit}, guarantees: map[string]float64{}}
+	add := func(to *[]scheduledSubmission, runTimeS float64, mod func(spec *wire.Spec)) {
+		submission := newSubmission(len(schedule.submissions)+1, 0, runTimeS, mod)
 		schedule.submissions = append(schedule.submissions, submission)
 		*to = append(*to, submission)
 	}
@@ -63,7 +68,7 @@
 		for range 12 {
 			add(&jobs, 90, func(spec *wire.Spec) { spec.Preemptible = true })
 		}
-		for range 3 { // cancelled right before the loss
+		for range cancelledJobs {
 			add(&jobs, 300, func(spec *wire.Spec) { spec.Tasks, spec.Preemptible = 4, true })
 		}
 		l.jobs = append(l.jobs, jobs)
@@ -79,8 +84,8 @@
 	for _, submission := range jobs {
 		encoded := submissionBody(l.t, submission.spec, nil)
 		for n := 0; ctx.Err() == nil; n++ {
-			status, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathJobs, encoded)
-			if err == nil && (status == http.StatusCreated || status == http.StatusOK) {
+			code, _, err := l.send(ctx, l.names[n%len(l.names)], wire.PathJobs, encoded)
+			if err == nil && (code == http.StatusCreated || code == http.StatusOK) {
 				l.mu.Lock()
 				l.observed.views[submission.spec.UID].accepted, l.observed.views[submission.spec.UID].lastProgress = true, time.Now()
 				l.mu.Unlock()
@@ -91,14 +96,14 @@
 	}
 }
 
-// cancelJob cancels a job until that is confirmed.
+// cancelJob requests the cancellation of a job until it is confirmed.
 func (l *loopbackLoss) cancelJob(ctx context.Context, uid string) {
 	l.mu.Lock()
 	l.observed.views[uid].cancelRequested = true
 	l.mu.Unlock()
 	for n := 0; ctx.Err() == nil; n++ {
-		status, _, err := l.send(ctx, l.names[n%len(l.names)], cancelPath(uid), nil)
-		if err == nil && status == http.StatusOK {
+		code, _, err := l.send(ctx, l.names[n%len(l.names)], cancelPath(uid), nil)
+		if err == nil && code == http.StatusOK {
 			l.mu.Lock()
 			l.observed.views[uid].cancelled, l.observed.views[uid].cancelledAt = true, time.Now()
 			l.mu.Unlock()
@@ -108,18 +113,18 @@
 	}
 }
 
-// running counts the tasks of jobs that are on machines, and all that they have.
-func (l *loopbackLoss) taskCounts(jobs []scheduledSubmission) (run, want int) {
+// taskCounts returns how many tasks of jobs run, and how many they have.
+func (l *loopbackLoss) taskCounts(jobs []scheduledSubmission) (running, want int) {
 	for _, submission := range jobs {
 		want += submission.spec.Tasks
 		for _, n := range l.tasksByZone(submission.spec.UID) {
-			run += n
+			running += n
 		}
 	}
-	return run, want
+	return running, want
 }
 
-// peakMemory is the most that a process has held, in MB.
+// peakMemory returns the most memory that a process has used, in MB.
 func peakMemory(pid int) float64 {
 	encoded, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -134,7 +139,7 @@
 	return 0
 }
 
-// recoveryReport asks each controller that is up for the leader's recovery, as operators do.
+// recoveryReport asks the controllers that are up for the leader's recovery, as operators do.
 func (l *loopbackLoss) recoveryReport(ctx context.Context, up int) (report recovery.Report, known bool) {
 	for _, name := range l.names[:up] {
 		if report, err := operator.Recovery(ctx, l.operatorAddresses[name]); err == nil && report.Fresh {
@@ -144,21 +149,16 @@
 	return report, false
 }
 
-// play plays one loss and gives its figures and faults.
-func (l *loopbackLoss) play(ctx context.Context, loss totalLoss, jobs []scheduledSubmission) (measured lossMeasurements, faults []string, memory float64) {
+// play plays one loss of a platform on which all jobs run. It returns the measurements, the violations
+// and the most memory that a controller used, in MB.
+func (l *loopbackLoss) play(ctx context.Context, loss totalLoss, jobs []scheduledSubmission) (measured lossMeasurements, violations []string, memory float64) {
 	measured.Scene = fmt.Sprintf("%d back after %.1f s", loss.returning, loss.outageS)
-	steady := jobs[:len(jobs)-3]
+	lasting, cancelled := jobs[:len(jobs)-cancelledJobs], jobs[len(jobs)-cancelledJobs:]
 	l.submitAll(ctx, jobs)
-	for deadline := time.Now().Add(90 * time.Second); ; time.Sleep(200 * time.Millisecond) {
-		run, want := l.taskCounts(append(append([]scheduledSubmission{}, l.permanentJobs...), jobs...))
-		if run == want {
-			break
-		}
-		if time.Now().After(deadline) {
-			return measured, []string{fmt.Sprintf("%s: %d of %d tasks run before the loss", measured.Scene, run, want)}, 0
-		}
+	if running, want := l.awaitRunning(jobs); running != want {
+		return measured, []string{fmt.Sprintf("%s: %d of %d tasks run before the loss", measured.Scene, running, want)}, 0
 	}
-	for _, submission := range jobs[len(jobs)-3:] {
+	for _, submission := range cancelled {
 		l.cancelJob(ctx, submission.spec.UID)
 	}
 	for _, name := range l.names {
@@ -167,6 +167,34 @@
 	lost := time.Now()
 	time.Sleep(seconds(loss.outageS))
 	back := time.Now()
+	l.measureRecovery(ctx, loss, back, lasting, &measured)
+	measured.FirstOrderS = l.events.firstCommandAfter(back).Seconds()
+	measured.Commands = l.events.count(back, back.Add(recoveryCheckTime))
+	violations = l.events.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return l.observed.views[uid].cancelRequested })
+	l.processMutex.Lock()
+	for _, name := range l.names[:loss.returning] {
+		memory = max(memory, peakMemory(l.commands[name].Process.Pid))
+	}
+	l.processMutex.Unlock()
+	for _, name := range l.names[loss.returning:] {
+		l.start(name)
+	}
+	return measured, violations, memory
+}
+
+// awaitRunning waits until all tasks of jobs and of the permanent jobs run, for 90 s at the most.
+func (l *loopbackLoss) awaitRunning(jobs []scheduledSubmission) (running, want int) {
+	for deadline := time.Now().Add(90 * time.Second); ; time.Sleep(200 * time.Millisecond) {
+		running, want = l.taskCounts(slices.Concat(l.permanentJobs, jobs))
+		if running == want || time.Now().After(deadline) {
+			return running, want
+		}
+	}
+}
+
+// measureRecovery starts the controllers that return, and measures the recovery of the permanent
+// jobs and those that last.
+func (l *loopbackLoss) measureRecovery(ctx context.Context, loss totalLoss, back time.Time, lasting []scheduledSubmission, measured *lossMeasurements) {
 	requests, changes := l.state.RequestCount(), l.state.ChangeCount()
 	for _, name := range l.names[:loss.returning] {
 		l.start(name)
@@ -175,8 +203,8 @@
 		time.Sleep(100 * time.Millisecond)
 		since := time.Since(back).Seconds()
 		report, known := l.recoveryReport(ctx, loss.returning)
-		run, want := l.taskCounts(append(append([]scheduledSubmission{}, l.permanentJobs...), steady...))
-		measured.Progress = append(measured.Progress, progressPoint{AtS: since, Awaited: report.Machines.Awaited, Reconciled: report.Machines.Reconciled, Replicas: run})
+		running, want := l.taskCounts(slices.Concat(l.permanentJobs, lasting))
+		measured.Progress = append(measured.Progress, progressPoint{AtS: since, Awaited: report.Machines.Awaited, Reconciled: report.Machines.Reconciled, Replicas: running})
 		measured.Machines = max(measured.Machines, report.Machines.Recorded)
 		settled := report.Machines.Reconciled + report.Machines.Gone
 		if n := report.Machines.Recorded; known && n > 0 && measured.MostReconciled == 0 && 10*settled >= 9*n {
@@ -185,36 +213,17 @@
 		if known && report.Stage == recovery.StageComplete && measured.AllReconciled == 0 {
 			measured.AllReconciled = since
 		}
-		// A release without the report tells nothing where leases outlast the spell.
+		// A controller without the report says nothing of leases that have expired in the outage.
 		settledAll := measured.AllReconciled > 0 || !known && loss.outageS > lossTiming.lease.Seconds()
-		if settledAll && run == want && measured.AllGoingS == 0 {
+		if settledAll && running == want && measured.AllGoingS == 0 {
 			measured.AllGoingS = since
 			measured.StateRequests, measured.StateChanges = l.state.RequestCount()-requests, l.state.ChangeCount()-changes
 		}
 	}
-	l.events.mu.Lock()
-	for _, event := range l.events.events {
-		if event.Kind == standin.EventCommand && event.At.After(back) {
-			measured.FirstOrderS = event.At.Sub(back).Seconds()
-			break
-		}
-	}
-	l.events.mu.Unlock()
-	measured.Commands = l.events.count(back, back.Add(recoveryCheckTime))
-	faults = l.events.violations(lost, back, back.Add(recoveryCheckTime), func(uid string) bool { return l.observed.views[uid].cancelRequested })
-	l.processMutex.Lock()
-	for _, name := range l.names[:loss.returning] {
-		memory = max(memory, peakMemory(l.commands[name].Process.Pid))
-	}
-	l.processMutex.Unlock()
-	for _, name := range l.names[loss.returning:] {
-		l.start(name)
-	}
-	return measured, faults, memory
 }
 
 // TestLoopbackLoss kills all real controllers on loopback, with hundreds of stand-in workers and
-// mixed work, and returns some after several spells. It prints what the recoveries took.
+// mixed work, and restarts some after outages of several lengths. It prints the measurements of the recoveries.
 func TestLoopbackLoss(t *testing.T) {
 	if *lossWorkers == 0 {
 		t.Skip("a measurement on the wall clock: run with -loopback.loss 300 -loopback.binary target/cedardoor")
@@ -224,23 +233,23 @@
 	time.Sleep(3 * time.Second)
 	l.submitAll(ctx, l.permanentJobs)
 	for i, loss := range loopbackLosses[:*lossPlays] {
-		measured, faults, memory := l.play(ctx, loss, l.jobs[i])
+		measured, violations, memory := l.play(ctx, loss, l.jobs[i])
 		t.Logf("%v, peak %.0f MB", measured, memory)
-		for _, fault := range faults {
-			t.Errorf("%s: %s", measured.Scene, fault)
+		for _, violation := range violations {
+			t.Errorf("%s: %s", measured.Scene, violation)
 		}
 		measured.Scene = "real processes, " + measured.Scene
 		if err := saveMeasurements(measured); err != nil {
 			t.Error(err)
 		}
-		for _, submission := range l.jobs[i][len(l.jobs[i])-3:] {
-			if run, _ := l.taskCounts([]scheduledSubmission{submission}); run > 0 && time.Since(l.observed.views[submission.spec.UID].cancelledAt) > lossTiming.cancel {
-				t.Errorf("%s: %s is cancelled, and %d tasks run", measured.Scene, submission.spec.UID, run)
+		for _, submission := range l.jobs[i][len(l.jobs[i])-cancelledJobs:] {
+			if running, _ := l.taskCounts([]scheduledSubmission{submission}); running > 0 && time.Since(l.observed.views[submission.spec.UID].cancelledAt) > lossTiming.cancel {
+				t.Errorf("%s: %s is cancelled, and %d tasks run", measured.Scene, submission.spec.UID, running)
 			}
 		}
 	}
-	if run, want := l.taskCounts(l.permanentJobs); run != want {
-		t.Errorf("%d of %d replicas run in the end", run, want)
+	if running, want := l.taskCounts(l.permanentJobs); running != want {
+		t.Errorf("%d of %d replicas run in the end", running, want)
 	}
 	cancel()
 	for _, name := range l.names {
--- a/loopback_quota_test.go
+++ b/loopback_quota_test.go
@@ -26,15 +26,15 @@
 	loopbackFlood  = flag.Int("loopback.flood", 64, "senders of the team that floods")
 )
 
-// teamMeasurements are the answers that one team's senders got.
+// teamMeasurements are the responses to the submissions of a team.
 type teamMeasurements struct {
 	mu       sync.Mutex // guards the fields below
 	accepted int
-	statuses map[int]int
+	codes    map[int]int    // how many responses had each status code
 	latency  *hdr.Histogram // of accepted submissions, in microseconds
 }
 
-// loopbackSchedule is the teams and all jobs that they may submit.
+// loopbackSchedule returns the teams and all jobs that they may submit.
 func loopbackSchedule() faultSchedule {
 	schedule := faultSchedule{maxMachines: 8, limits: map[string]float64{"flood": 0, "orders": 12, "ledger": 6, "batch": 0},
 		guarantees: map[string]float64{"orders": 8, "batch": 4}, timing: workerTiming{report: 2 * time.Second, lease: 10 * time.Second, cancel: 25 * time.Second}}
@@ -49,28 +49,28 @@
 	return schedule
 }
 
-// submitLoop submits a team's jobs one after another until ctx ends, with a pause between them and a
-// longer one after a refusal. A job that was refused is submitted again.
-func (l *loopback) submitLoop(ctx context.Context, jobs <-chan string, pause, refused time.Duration, figures *teamMeasurements) {
+// submitLoop submits a team's jobs one after another until ctx ends, with a pause after each. A job
+// that was refused is submitted again after retryAfter.
+func (l *loopback) submitLoop(ctx context.Context, jobs <-chan string, pause, retryAfter time.Duration, measured *teamMeasurements) {
 	for uid := range jobs {
 		spec, _ := l.Job(uid)
 		encoded := submissionBody(l.t, spec, nil)
 		for ctx.Err() == nil {
 			began := time.Now()
-			status, _, err := l.send(ctx, l.names[rand.IntN(len(l.names))], wire.PathJobs, encoded)
+			code, _, err := l.send(ctx, l.names[rand.IntN(len(l.names))], wire.PathJobs, encoded)
 			took := time.Since(began)
 			if err != nil {
-				status = 0
+				code = 0
 			}
-			taken := status == http.StatusCreated || status == http.StatusOK
-			figures.note(status, taken, took)
-			if taken {
+			accepted := code == http.StatusCreated || code == http.StatusOK
+			measured.add(code, accepted, took)
+			if accepted {
 				l.mu.Lock()
 				l.observed.views[uid].accepted, l.observed.views[uid].lastProgress = true, time.Now()
 				l.mu.Unlock()
 				break
 			}
-			time.Sleep(refused)
+			time.Sleep(retryAfter)
 		}
 		if ctx.Err() != nil {
 			return
@@ -79,11 +79,12 @@
 	}
 }
 
-func (f *teamMeasurements) note(status int, taken bool, took time.Duration) {
+// add adds the response to one submission.
+func (f *teamMeasurements) add(code int, accepted bool, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.statuses[status]++
-	if taken {
+	f.codes[code]++
+	if accepted {
 		f.accepted++
 		_ = f.latency.RecordValue(max(1, took.Microseconds()))
 	}
@@ -119,23 +120,23 @@
 }
 
 // TestLoopback submits for four teams, one of which floods, to real controllers on
-// loopback while leaders are killed, paused and refused, and holds the workers' histories
-// against the limits and guarantees. It prints how each team's submissions went.
+// loopback while leaders are killed, paused and refused, and checks the workers' events
+// against the limits and guarantees. It prints the latencies of each team's submissions.
 func TestLoopback(t *testing.T) {
 	if *loopbackSpan == 0 {
 		t.Skip("a measurement on the wall clock: run with -loopback 60s -loopback.binary target/cedardoor")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	l := newLoopback(ctx, t, loopbackSchedule())
-	watch := newGuaranteeMonitor(l.simulation)
+	monitor := newGuaranteeMonitor(l.simulation)
 	time.Sleep(3 * time.Second)
 	load, stopLoad := context.WithTimeout(ctx, *loopbackSpan)
 	defer stopLoad()
 	var wg sync.WaitGroup
-	all := map[string]*teamMeasurements{}
+	teams := map[string]*teamMeasurements{}
 	for team := range l.schedule.limits {
-		figures := &teamMeasurements{statuses: map[int]int{}, latency: hdr.New(1, 60_000_000, 3)}
-		all[team] = figures
+		measured := &teamMeasurements{codes: map[int]int{}, latency: hdr.New(1, 60_000_000, 3)}
+		teams[team] = measured
 		jobs := make(chan string, loopbackJobs)
 		for _, submission := range l.schedule.submissions {
 			if submission.spec.Team == team {
@@ -143,12 +144,12 @@
 			}
 		}
 		close(jobs)
-		senders, pause, refused := 4, time.Second, time.Second
+		senders, pause, retryAfter := 4, time.Second, time.Second
 		if team == "flood" {
-			senders, pause, refused = *loopbackFlood, 0, 50*time.Millisecond
+			senders, pause, retryAfter = *loopbackFlood, 0, 50*time.Millisecond
 		}
 		for range senders {
-			wg.Go(func() { l.submitLoop(load, jobs, pause, refused, figures) })
+			wg.Go(func() { l.submitLoop(load, jobs, pause, retryAfter, measured) })
 		}
 	}
 	if *loopbackFaults {
@@ -157,7 +158,7 @@
 	wg.Go(func() {
 		for load.Err() == nil {
 			time.Sleep(250 * time.Millisecond)
-			watch.sample()
+			monitor.sample()
 		}
 	})
 	wg.Wait()
@@ -166,15 +167,15 @@
 		l.signal(name, syscall.SIGKILL)
 	}
 	l.wg.Wait()
-	for _, team := range slices.Sorted(maps.Keys(all)) {
-		f := all[team]
+	for _, team := range slices.Sorted(maps.Keys(teams)) {
+		f := teams[team]
 		t.Logf("%-7s %6.1f accepted/s  latency ms p50 %.1f p99 %.1f max %.1f  answers %v", team, float64(f.accepted)/loopbackSpan.Seconds(),
-			float64(f.latency.ValueAtQuantile(50))/1e3, float64(f.latency.ValueAtQuantile(99))/1e3, float64(f.latency.Max())/1e3, f.statuses)
+			float64(f.latency.ValueAtQuantile(50))/1e3, float64(f.latency.ValueAtQuantile(99))/1e3, float64(f.latency.Max())/1e3, f.codes)
 	}
 	for team := range l.schedule.guarantees {
-		t.Logf("%s: at most %v under its guarantee without a start, %.2f of it on average", team, watch.longestUnserved[team], watch.servedShare(team))
+		t.Logf("%s: at most %v under its guarantee without a start, %.2f of it on average", team, monitor.longestUnserved[team], monitor.servedShare(team))
 	}
-	for _, violation := range append(l.violations, watch.unservedTeams()...) {
+	for _, violation := range append(l.violations, monitor.unservedTeams()...) {
 		t.Error(violation)
 	}
 }
--- a/quota_guarantees_test.go
+++ b/quota_guarantees_test.go
@@ -11,7 +11,7 @@
 	"cedardoor/wire"
 )
 
-// How much the team limits are played: a short seeded form unless more is asked for.
+// The extent of the tests with several teams.
 var (
 	quotaSeeds = flag.Uint64("quota.seeds", 3, "how many schedules of submissions by several teams are played")
 	quotaJobs  = flag.Int("quota.jobs", jobsPerRound, "how many jobs each of them submits")
@@ -25,12 +25,12 @@
 	for seed := *quotaSeed; seed < *quotaSeed+*quotaSeeds; seed++ {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
 			t.Parallel()
-			broken, watch := playTeamSchedule(t, randomTeamSchedule(seed))
-			for _, fault := range slices.Concat(broken, watch.unservedTeams(), watch.underservedTeams()) {
-				t.Error(fault)
+			violations, monitor := playTeamSchedule(t, randomTeamSchedule(seed))
+			for _, violation := range slices.Concat(violations, monitor.unservedTeams(), monitor.underservedTeams()) {
+				t.Error(violation)
 			}
-			for team := range watch.simulation.schedule.guarantees {
-				t.Logf("%s: at most %v under its guarantee without a start, %.2f of it on average", team, watch.longestUnserved[team], watch.servedShare(team))
+			for team := range monitor.simulation.schedule.guarantees {
+				t.Logf("%s: at most %v under its guarantee without a start, %.2f of it on average", team, monitor.longestUnserved[team], monitor.servedShare(team))
 			}
 		})
 	}
@@ -39,17 +39,17 @@
 // The checks detect a ledger that knows no limits, and one that knows no guarantees.
 func TestCheckerDetectsBrokenLedgers(t *testing.T) {
 	for name, tt := range map[string]struct {
-		strip func(l quota.Limits) quota.Limits
-		found func(broken []string, watch *guaranteeMonitor) bool
+		strip func(limits quota.Limits) quota.Limits
+		found func(violations []string, monitor *guaranteeMonitor) bool
 	}{
 		"without limits": {
-			func(l quota.Limits) quota.Limits { return quota.Limits{Guarantee: l.Guarantee} },
-			func(broken []string, _ *guaranteeMonitor) bool {
-				return slices.ContainsFunc(broken, func(violation string) bool { return strings.Contains(violation, "quota") })
+			func(limits quota.Limits) quota.Limits { return quota.Limits{Guarantee: limits.Guarantee} },
+			func(violations []string, _ *guaranteeMonitor) bool {
+				return slices.ContainsFunc(violations, func(violation string) bool { return strings.Contains(violation, "quota") })
 			}},
 		"without guarantees": {
-			func(l quota.Limits) quota.Limits { return quota.Limits{Limit: l.Limit} },
-			func(_ []string, watch *guaranteeMonitor) bool { return len(watch.unservedTeams()) > 0 }},
+			func(limits quota.Limits) quota.Limits { return quota.Limits{Limit: limits.Limit} },
+			func(_ []string, monitor *guaranteeMonitor) bool { return len(monitor.unservedTeams()) > 0 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -61,8 +61,8 @@
 				}
 				return quota.NewLedger(stripped)
 			}
-			if broken, watch := playTeamSchedule(t, schedule); !tt.found(broken, watch) {
-				t.Errorf("nothing is found: %v, %v", broken, watch.longestUnserved)
+			if violations, monitor := playTeamSchedule(t, schedule); !tt.found(violations, monitor) {
+				t.Errorf("nothing is found: %v, %v", violations, monitor.longestUnserved)
 			}
 		})
 	}
--- a/random_schedules_test.go
+++ b/random_schedules_test.go
@@ -1,12 +1,9 @@
 package cedardoor
 
 import (
-	"context"
 	"flag"
 	"fmt"
-	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
 	"cedardoor/wire"
@@ -40,6 +37,7 @@
 	playRandomSchedules(t, *oneWayCount, randomOneWaySchedule)
 }
 
+// playRandomSchedules plays the schedules of a number of seeds at the same time.
 func playRandomSchedules(t *testing.T, seeds uint64, draw func(seed uint64) faultSchedule) {
 	for seed := *firstSeed; seed < *firstSeed+seeds; seed++ {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
@@ -51,59 +49,39 @@
 
 // Without faults every batch job is done and every replica runs.
 func TestScheduleWithoutFaults(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		schedule := randomSchedule(1)
-		schedule.faults = nil
-		for i := range schedule.submissions {
-			schedule.submissions[i].cancelOnFault, schedule.submissions[i].cancelAfter, schedule.submissions[i].cancelOnDone = "", 0, false
-		}
-		sim := newSimulation(ctx, t, schedule)
-		sim.run()
+	schedule := randomSchedule(1)
+	schedule.faults = nil
+	for i := range schedule.submissions {
+		schedule.submissions[i].cancelOnFault, schedule.submissions[i].cancelAfter, schedule.submissions[i].cancelOnDone = "", 0, false
+	}
+	playSchedule(t, schedule, func(sim *simulation) {
 		for _, submission := range schedule.submissions {
 			if submission.spec.Kind == wire.KindBatch && !sim.observed.views[submission.spec.UID].done {
-				t.Errorf("%s is not done", submission.spec.UID)
+				sim.t.Errorf("%s is not done", submission.spec.UID)
 			}
 		}
-		sim.shutDown(cancel)
-		for _, violation := range sim.violations {
-			t.Error(violation)
-		}
-		if t.Failed() {
-			t.Log(strings.Join(sim.history, "\n"))
-		}
 	})
 }
 
 // A job that arrives while nothing is rented gets a machine on which it may run.
 func TestJobGetsEligibleMachine(t *testing.T) {
-	bound := map[string]func(spec *wire.Spec){
+	constraints := map[string]func(spec *wire.Spec){
 		"anywhere": func(*wire.Spec) {},
 		"zone x":   func(spec *wire.Spec) { spec.Zone = "x" },
 		"zone y":   func(spec *wire.Spec) { spec.Zone = "y" },
 		"type b":   func(spec *wire.Spec) { spec.MachineTypes = []string{"b"} },
 		"type s":   func(spec *wire.Spec) { spec.MachineTypes = []string{"s"} },
 	}
-	for name, mod := range bound {
+	for name, constrain := range constraints {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				ctx, cancel := context.WithCancel(t.Context())
-				schedule := faultSchedule{seed: 1, duration: 30 * time.Second}
-				schedule.submissions = []scheduledSubmission{{after: time.Second, runTime: 5 * time.Second, spec: jobSpec("j-1", func(spec *wire.Spec) {
-					spec.Team, spec.Cores, spec.ExpectedS = "free", 1, 5
-					mod(spec)
-				})}}
-				sim := newSimulation(ctx, t, schedule)
-				sim.run()
+			schedule := faultSchedule{seed: 1, duration: 30 * time.Second}
+			schedule.submissions = []scheduledSubmission{{after: time.Second, runTime: 5 * time.Second, spec: jobSpec("j-1", func(spec *wire.Spec) {
+				spec.Team, spec.Cores, spec.ExpectedS = "free", 1, 5
+				constrain(spec)
+			})}}
+			playSchedule(t, schedule, func(sim *simulation) {
 				if left := sim.unplacedTasks(true); len(left) > 0 {
-					t.Errorf("after %v: %v", schedule.duration+faultFreeTail, left)
-				}
-				sim.shutDown(cancel)
-				for _, violation := range sim.violations {
-					t.Error(violation)
-				}
-				if t.Failed() {
-					t.Log(strings.Join(sim.history, "\n"))
+					sim.t.Errorf("after %v: %v", schedule.duration+faultFreeTail, left)
 				}
 			})
 		})
--- a/total_loss_test.go
+++ b/total_loss_test.go
@@ -9,34 +9,34 @@
 	"cedardoor/recovery"
 )
 
-// How much total losses are played: a short seeded form unless more is asked for.
+// The extent of the tests of total losses.
 var (
 	lossSeeds    = flag.Uint64("loss.seeds", 12, "how many random schedules of losses of all controllers are played")
 	lossSeed     = flag.Uint64("loss.seed", 0, "the seed of the first of them")
-	lossMachines = flag.Int("loss.machines", 60, "how many machines the scenes of a total loss have")
-	lossPlot     = flag.String("loss.plot", "", "the file that the figures of the scenes of a total loss are added to")
+	lossMachines = flag.Int("loss.machines", 60, "how many machines there are in total losses")
+	lossPlot     = flag.String("loss.plot", "", "the file that the measurements of total losses are added to")
 )
 
-// allGoingWithin is a leader's lease, the time that a worker needs to try two controllers that do
-// not answer, a report and a quarter, and as much as starts take.
+// allGoingWithin is after how many seconds all replicas run again: a leader's lease, the time in which a
+// worker tries two controllers that do not respond, a report interval and a quarter, and the time of starts.
 const allGoingWithin = 5 + 10 + 3.75 + 3
 
 // All controllers crash at once while everything runs, and one, two or three return: at once,
 // within the workers' lease, beyond it, and beyond the cancellation limit. No running task is
 // stopped or started again without a cause.
 func TestTotalLoss(t *testing.T) {
-	for _, spell := range []float64{0.4, 6, 25, 50} {
-		for returns := 1; returns <= 3; returns++ {
-			loss := totalLoss{lossAtS: 40, outageS: spell, returning: returns}
-			t.Run(fmt.Sprintf("spell=%v,returns=%d", spell, returns), func(t *testing.T) {
+	for _, outageS := range []float64{0.4, 6, 25, 50} {
+		for returning := 1; returning <= controllerCount; returning++ {
+			loss := totalLoss{lossAtS: 40, outageS: outageS, returning: returning}
+			t.Run(fmt.Sprintf("outage=%v,returns=%d", outageS, returning), func(t *testing.T) {
 				t.Parallel()
-				broken, measured := playTotalLoss(t, loss, *lossMachines, nil)
-				for _, violation := range broken {
+				violations, measured := playTotalLoss(t, loss, *lossMachines, nil)
+				for _, violation := range violations {
 					t.Error(violation)
 				}
-				// Workers whose leases lasted need nothing: no starts, no machines. (With controllers that
-				// stay down some workers try those first, until their leases are over.)
-				if spell < 1 && returns == 3 && (measured.Commands.Runs > 0 || measured.Commands.Halts > 0 || measured.Commands.Rentals > 0) {
+				// Workers whose leases lasted need neither starts nor machines. (If some controllers stay
+				// down, workers may try those first until their leases have expired.)
+				if outageS < 1 && returning == controllerCount && (measured.Commands.Runs > 0 || measured.Commands.Halts > 0 || measured.Commands.Rentals > 0) {
 					t.Errorf("%+v, want no starts, stops and rentals", measured.Commands)
 				}
 				if measured.AllGoingS == 0 || measured.AllGoingS > allGoingWithin {
@@ -55,11 +55,11 @@
 // Meanwhile it receives no heartbeats for longer than it would take to resign, if another could
 // lead.
 func TestWorkersFindOnlyReturnedController(t *testing.T) {
-	for _, spell := range []float64{6, 14, 32} {
-		t.Run(fmt.Sprintf("spell=%v", spell), func(t *testing.T) {
+	for _, outageS := range []float64{6, 14, 32} {
+		t.Run(fmt.Sprintf("outage=%v", outageS), func(t *testing.T) {
 			t.Parallel()
-			broken, measured := playTotalLoss(t, totalLoss{lossAtS: 40, outageS: spell, returning: 1, timing: defaultTiming}, 20, nil)
-			for _, violation := range broken {
+			violations, measured := playTotalLoss(t, totalLoss{lossAtS: 40, outageS: outageS, returning: 1, timing: defaultTiming}, 20, nil)
+			for _, violation := range violations {
 				t.Error(violation)
 			}
 			if measured.AllGoingS == 0 || measured.AllGoingS > allGoingWithin {
@@ -72,15 +72,15 @@
 
 // The checks detect a leader that starts tasks at once, as if none of its predecessors' ran.
 func TestCheckerDetectsLeaderThatStartsAtOnce(t *testing.T) {
-	forget := func(r *recovery.Records) {
-		for i := range r.Chunks {
-			r.Chunks[i].Runs = nil
+	forget := func(records *recovery.Records) {
+		for i := range records.Chunks {
+			records.Chunks[i].Runs = nil
 		}
-		r.Shared = nil
+		records.Shared = nil
 	}
-	broken, _ := playTotalLoss(t, totalLoss{lossAtS: 40, outageS: 6, returning: 3}, 20, forget)
+	violations, _ := playTotalLoss(t, totalLoss{lossAtS: 40, outageS: 6, returning: 3}, 20, forget)
 	kinds := map[string]bool{}
-	for _, violation := range broken {
+	for _, violation := range violations {
 		for _, kind := range []string{"is stopped without a cause", "starts on"} {
 			if strings.Contains(violation, kind) {
 				kinds[kind] = true
@@ -88,7 +88,7 @@
 		}
 	}
 	if len(kinds) != 2 {
-		t.Errorf("found %v in %d faults", kinds, len(broken))
+		t.Errorf("found %v in %d faults", kinds, len(violations))
 	}
 }
 
@@ -114,21 +114,20 @@
 			setup := schedule.setup
 			schedule.setup = func(sim *simulation) {
 				setup(sim)
-				sim.crashLeaders(loss.lostAt(sim).Add(seconds(loss.outageS)), request, 2)
+				sim.crashLeaders(loss.backAt(sim), request, 2)
 			}
 			var sim *simulation
 			playSchedule(t, schedule, func(played *simulation) {
 				sim = played
 				sim.checkAllServed()
 			})
-			lost := loss.lostAt(sim)
-			for _, f := range events.violations(lost, lost.Add(seconds(loss.outageS)), lost.Add(seconds(loss.outageS)+recoveryCheckTime), func(uid string) bool { return sim.observed.views[uid].cancelRequested }) {
-				t.Error(f)
+			for _, violation := range sim.recoveryViolations(loss, events) {
+				t.Error(violation)
 			}
 		})
 	}
 }
 
-// crashPoints is up to which of its requests a recovering leader ends: with its election it has
+// crashPoints is the last request of a recovering leader at which it crashes: it has been elected, has
 // read all records and begun to write by then.
 const crashPoints = 20
