--- a/autoscaling_test.go
+++ b/autoscaling_test.go
@@ -153,11 +153,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go func() {
-		for cluster.clock.BlockUntilContext(ctx, 2) == nil {
-			cluster.clock.Advance(time.Second)
-		}
-	}()
+	go cluster.runClock(ctx, time.Second)
 	leader.autoscale(t.Context())
 	cancel()
 	asked := cluster.cloud.RentalRequests()
--- a/harness_cluster_test.go
+++ b/harness_cluster_test.go
@@ -122,6 +122,18 @@
 	return worker
 }
 
+// workers returns new workers in one zone that have reported to a leader. Their names have the
+// given format.
+func (s *testCluster) workers(leader *leader, format string, count int) (workers []*standin.Worker) {
+	s.tb.Helper()
+	for i := range count {
+		worker := s.worker(fmt.Sprintf(format, i+1), "x", true)
+		heartbeat(s.tb, leader, worker)
+		workers = append(workers, worker)
+	}
+	return workers
+}
+
 // connect links controllers to each other.
 func (s *testCluster) connect(nodes ...*Service) {
 	s.tb.Helper()
--- a/harness_steps_test.go
+++ b/harness_steps_test.go
@@ -123,6 +123,30 @@
 	}
 }
 
+// checkStartedOnce fails the test if an attempt has started more than once on workers. It returns
+// the attempts.
+func checkStartedOnce(t testing.TB, workers []*standin.Worker) map[string]bool {
+	t.Helper()
+	started := map[string]bool{}
+	for _, worker := range workers {
+		for _, attempt := range worker.StartedAttempts() {
+			if started[attempt] {
+				t.Errorf("%s started twice", attempt)
+			}
+			started[attempt] = true
+		}
+	}
+	return started
+}
+
+// runClock advances the clock in steps, whenever something besides the elector waits on it, until
+// ctx ends.
+func (s *testCluster) runClock(ctx context.Context, step time.Duration) {
+	for s.clock.BlockUntilContext(ctx, 2) == nil {
+		s.clock.Advance(step)
+	}
+}
+
 // quarantined lists the workers' machines that are quarantined, with the reasons.
 func quarantined(leader *leader, workers []*standin.Worker) (out []string) {
 	for _, worker := range workers {
@@ -192,11 +216,6 @@
 	look()
 	ctx, cancel := context.WithCancel(s.tb.Context())
 	defer cancel()
-	go func() {
-		// The retry waits on the clock, as does the elector.
-		for s.clock.BlockUntilContext(ctx, 2) == nil {
-			s.clock.Advance(100 * time.Millisecond)
-		}
-	}()
+	go s.runClock(ctx, 100*time.Millisecond) // for the retry
 	<-done
 }
--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -195,11 +195,7 @@
 		}
 		cluster.resync(leader)
 		ctx, cancel := context.WithCancel(t.Context())
-		go func() {
-			for cluster.clock.BlockUntilContext(ctx, 2) == nil {
-				cluster.clock.Advance(100 * time.Millisecond)
-			}
-		}()
+		go cluster.runClock(ctx, 100*time.Millisecond)
 		late := 0
 		drain := func() {
 			for range 12 {
--- a/placement_test.go
+++ b/placement_test.go
@@ -1,7 +1,6 @@
 package cedardoor
 
 import (
-	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -161,12 +160,7 @@
 	cluster := newTestCluster(t)
 	node := cluster.node(func(facts *config.Facts) { facts.Limits.CoreShare = 0.1 })
 	leader, _ := cluster.elect(node)
-	var workers []*standin.Worker
-	for i := range 16 {
-		worker := cluster.worker(fmt.Sprintf("n-%02d", i+1), "x", true)
-		heartbeat(t, leader, worker)
-		workers = append(workers, worker)
-	}
+	workers := cluster.workers(leader, "n-%02d", 16)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Priority, spec.Tasks, spec.Cores, spec.RAM = "low", 5000, 0.05, 0.1 }))
 	cluster.submit(node, jobSpec("j-2", func(spec *wire.Spec) { spec.Priority, spec.Tasks, spec.Cores, spec.RAM = "standard", 300, 0.05, 0.1 }))
 	cluster.resync(leader)
--- a/quota_failover_test.go
+++ b/quota_failover_test.go
@@ -62,7 +62,7 @@
 // once, and not before.
 func TestCancelledTasksCountUntilProvedGone(t *testing.T) {
 	for _, tasks := range []int{1, 2} {
-		for _, proof := range []string{"lease end", "return", "newer session", "halted"} {
+		for _, proof := range []string{"lease end", "return", "newer incarnation", "stopped"} {
 			t.Run(fmt.Sprintf("%d tasks, %s", tasks, proof), func(t *testing.T) {
 				cluster := newTestCluster(t)
 				nodeA, nodeB, nodeC := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
@@ -92,7 +92,7 @@
 				}
 				heartbeat(t, l, other)
 				cluster.resync(l)
-				nothing("under the leader that saw the cancel", l)
+				nothing("under the leader that saw the cancellation", l)
 				stop()
 				l, stop = cluster.elect(nodeB)
 				nothing("under its successor", l)
@@ -111,11 +111,11 @@
 					cluster.advance(4 * time.Second)
 				case "return":
 					l.returnMachines(t.Context(), []string{"n-1"})
-				case "newer session":
+				case "newer incarnation":
 					hung.ExpireLease()
 					hung.SetUnreachable(false)
 					heartbeat(t, l, hung)
-				case "halted":
+				case "stopped":
 					hung.SetUnreachable(false)
 					for range 2 {
 						cluster.reportAndSettle(l, hung)
@@ -124,7 +124,7 @@
 				cluster.reportAndSettle(l, other)
 				heartbeat(t, l, other)
 				if got := len(other.LiveTasks()) + len(hung.LiveTasks()); proof == "return" && len(other.LiveTasks()) != 2 || proof != "return" && got != 2 {
-					t.Errorf("%d tasks run after the proof, want 2: the room is not used", got)
+					t.Errorf("%d tasks run after the proof, want 2: the quota is not used", got)
 				}
 				for _, k := range append(hung.LiveTasks(), other.LiveTasks()...) {
 					if proof != "return" && !strings.HasPrefix(k, "j-3/") {
--- a/recording_test.go
+++ b/recording_test.go
@@ -6,7 +6,6 @@
 	"testing"
 	"time"
 
-	"cedardoor/internal/standin"
 	"cedardoor/statewriter"
 	"cedardoor/store"
 	"cedardoor/wire"
@@ -48,12 +47,7 @@
 	puts := func(jobs int) float64 {
 		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
 		l, stop := cluster.elect(nodeA)
-		var workers []*standin.Worker
-		for i := range 4 {
-			worker := cluster.worker(fmt.Sprintf("n-%d", i+1), "x", true)
-			heartbeat(t, l, worker)
-			workers = append(workers, worker)
-		}
+		workers := cluster.workers(l, "n-%d", 4)
 		uid := func(k int) string { return fmt.Sprintf("j-%d", k) }
 		for k := range jobs {
 			cluster.submit(nodeA, jobSpec(uid(k), func(spec *wire.Spec) { spec.Cores, spec.RAM = 0.25, 0.5 }))
@@ -88,15 +82,7 @@
 				t.Fatalf("%s submitted again: %d %+v", uid(k), code, status)
 			}
 		}
-		seen := map[string]bool{}
-		for _, worker := range workers {
-			for _, k := range worker.StartedAttempts() {
-				if seen[k] {
-					t.Errorf("%s started twice", k)
-				}
-				seen[k] = true
-			}
-		}
+		seen := checkStartedOnce(t, workers)
 		if len(seen) != jobs {
 			t.Errorf("%d attempts of %d jobs, want one each", len(seen), jobs)
 		}
