--- a/cancellation_test.go
+++ b/cancellation_test.go
@@ -150,88 +150,103 @@
 func TestCancellationDuringFailover(t *testing.T) {
 	for _, tasks := range []int{1, 2} {
 		for _, moment := range []string{"before", "starts=j", "starts=p", "starts=s", "catalog", "demand", "watch"} {
-			t.Run(fmt.Sprintf("%d tasks, %s", tasks, moment), func(t *testing.T) {
-				cluster := newTestCluster(t)
-				nodeA, nodeB, nodeC := cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(8))
-				leader, stop := cluster.elect(nodeA)
-				worker := cluster.worker("n-1", "x", true)
-				heartbeat(t, leader, worker)
-				for _, uid := range []string{"j-1", "j-2"} {
-					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 4/float64(tasks) }))
-				}
-				cluster.submit(nodeA, jobSpec("j-3", func(spec *wire.Spec) { spec.Cores = 4 }))
-				cluster.syncAndSettle(leader)
-				stop()
-				cancelled := false
-				cancel := func() {
-					if code, status, _ := cluster.ask(nodeC, http.MethodPost, cancelPath("j-2"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
-						t.Errorf("cancellation: %d %+v", code, status)
-					}
-					cancelled = true
-				}
-				if moment == "before" {
-					cancel()
-				} else {
-					cluster.state.BeforeRequest(func(path string) {
-						// Right before this read is executed.
-						if !cancelled && strings.Contains(path, moment) {
-							cancel()
-						}
-					})
-				}
-				ctx, end := context.WithCancel(t.Context())
-				term := cluster.acquireTerm(nodeB)
-				leader = newLeader(nodeB, term)
-				leader.ctx = ctx
-				epoch, err := leader.loadRecords(ctx)
-				if err != nil {
-					t.Fatal(err)
-				}
-				leader.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: cluster.cloud.MachineTypes})
-				if cancelled == (moment == "watch") {
-					t.Fatalf("cancelled by the end of the load: %t", cancelled)
-				}
-				cluster.state.BeforeRequest(nil)
-				if !cancelled {
-					cancel()
-				}
-				heartbeat(t, leader, worker)
-				leader.mu.Lock()
-				if used := leader.fleet.Machine("n-1").UsedCores; used != 8 && len(worker.LiveTasks()) == 2*tasks {
-					t.Errorf("%v cores in use while %v are there", used, worker.LiveTasks())
-				}
-				leader.mu.Unlock()
-				watching := make(chan struct{})
-				go func() { defer close(watching); leader.watchJobs(ctx, epoch) }()
-				for known := false; !known; runtime.Gosched() {
-					leader.mu.Lock()
-					job := leader.jobs.Get("j-2")
-					known = job == nil || job.Cancelled
-					leader.mu.Unlock()
-				}
-				end()
-				<-watching
-				for range 3 {
-					cluster.settle(leader)
-					heartbeat(t, leader, worker)
-				}
-				for _, task := range worker.LiveTasks() {
-					if strings.HasPrefix(task, "j-2/") {
-						t.Errorf("%s goes on", task)
-					}
-				}
-				workers := []*standin.Worker{worker}
-				if startCount(workers, "j-1") != tasks || startCount(workers, "j-2") != tasks || startCount(workers, "j-3") != 1 {
-					t.Errorf("starts %v", worker.StartedAttempts())
-				}
-				if left := cluster.state.Keys(store.PrefixAttempts + "j-2"); len(left) != 0 {
-					t.Errorf("records left: %v", left)
-				}
-			})
+			t.Run(fmt.Sprintf("%d tasks, %s", tasks, moment), func(t *testing.T) { checkCancellationDuringFailover(t, tasks, moment) })
 		}
 	}
 }
 
+// checkCancellationDuringFailover cancels a job before the failover, right before the read of the successor
+// whose path contains moment, or before its first watch.
+func checkCancellationDuringFailover(t *testing.T, tasks int, moment string) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB, nodeC := cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(8)), cluster.node(withTeamLimit(8))
+	oldLeader, stop := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, oldLeader, worker)
+	for _, uid := range []string{"j-1", "j-2"} {
+		cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 4/float64(tasks) }))
+	}
+	cluster.submit(nodeA, jobSpec("j-3", func(spec *wire.Spec) { spec.Cores = 4 }))
+	cluster.syncAndSettle(oldLeader)
+	stop()
+	cancelled := false
+	cancel := func() {
+		if code, status, _ := cluster.ask(nodeC, http.MethodPost, cancelPath("j-2"), nil); code != http.StatusOK || status.Status != wire.JobCancelled {
+			t.Errorf("cancellation: %d %+v", code, status)
+		}
+		cancelled = true
+	}
+	if moment == "before" {
+		cancel()
+	} else {
+		cluster.state.BeforeRequest(func(path string) {
+			if !cancelled && strings.Contains(path, moment) {
+				cancel()
+			}
+		})
+	}
+	ctx, end := context.WithCancel(t.Context())
+	defer end()
+	leader := newLeader(nodeB, cluster.acquireTerm(nodeB))
+	leader.ctx = ctx
+	revision, err := leader.loadRecords(ctx)
+	if err != nil {
+		t.Fatal(err)
+	}
+	leader.autoscaler.RestoreCatalog(wire.Catalog{MachineTypes: cluster.cloud.MachineTypes})
+	if cancelled == (moment == "watch") {
+		t.Fatalf("cancelled by the end of the load: %t", cancelled)
+	}
+	cluster.state.BeforeRequest(nil)
+	if !cancelled {
+		cancel()
+	}
+	heartbeat(t, leader, worker)
+	leader.mu.Lock()
+	if used := leader.fleet.Machine("n-1").UsedCores; used != 8 && len(worker.LiveTasks()) == 2*tasks {
+		t.Errorf("%v cores in use while %v are there", used, worker.LiveTasks())
+	}
+	leader.mu.Unlock()
+	watchUntilCancelled(ctx, end, leader, revision, "j-2")
+	checkCancelledJobStops(t, cluster, leader, worker, tasks)
+}
+
+// watchUntilCancelled lets a leader watch jobs until it knows that one is cancelled, and ends the watch.
+func watchUntilCancelled(ctx context.Context, end func(), leader *leader, revision uint64, uid string) {
+	watching := make(chan struct{})
+	go func() { defer close(watching); leader.watchJobs(ctx, revision) }()
+	for known := false; !known; runtime.Gosched() {
+		leader.mu.Lock()
+		job := leader.jobs.Get(uid)
+		known = job == nil || job.Cancelled
+		leader.mu.Unlock()
+	}
+	end()
+	<-watching
+}
+
+// checkCancelledJobStops checks that the tasks of j-2 stop, without records left, and those of j-1 and j-3
+// go on.
+func checkCancelledJobStops(t *testing.T, cluster *testCluster, leader *leader, worker *standin.Worker, tasks int) {
+	t.Helper()
+	for range 3 {
+		cluster.settle(leader)
+		heartbeat(t, leader, worker)
+	}
+	for _, task := range worker.LiveTasks() {
+		if strings.HasPrefix(task, "j-2/") {
+			t.Errorf("%s goes on", task)
+		}
+	}
+	workers := []*standin.Worker{worker}
+	if startCount(workers, "j-1") != tasks || startCount(workers, "j-2") != tasks || startCount(workers, "j-3") != 1 {
+		t.Errorf("starts %v", worker.StartedAttempts())
+	}
+	if left := cluster.state.Keys(store.PrefixAttempts + "j-2"); len(left) != 0 {
+		t.Errorf("records left: %v", left)
+	}
+}
+
 // A leader is cut from the state service and the other controllers, while its workers and users
 // reach it. Another takes over and cancels a job. The old one reports nothing to users and responds
 // to no worker once another may lead, a command of it that is in flight is fenced off, and the new
--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -105,153 +105,175 @@
 // was written, also one that has just started; the leader then finds out, and nothing is recorded
 // again, moved again or left behind.
 func TestEveryLostCommitResponse(t *testing.T) {
-	life := func(tasks int, lossy bool) (puts int) {
-		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
-		leader, _ := cluster.elect(nodeA)
-		worker := cluster.worker("n-1", "x", true)
-		heartbeat(t, leader, worker)
-		uids := []string{"j-1", "j-2"}
-		for _, uid := range uids {
-			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 1 }))
+	for _, tasks := range []int{1, 2} {
+		// Deletions of what a finished job leaves have no condition: the retry deletes nothing.
+		again := 2 * (tasks - 1)
+		if plain, lost := changesOfTwoJobs(t, tasks, false), changesOfTwoJobs(t, tasks, true); lost != plain+again {
+			t.Errorf("%d tasks a job: %d changes where every response is lost, %d where none is", tasks, lost, plain)
 		}
-		cluster.resync(leader)
-		before := cluster.state.ChangeCount()
-		now := wire.JobQueued
-		drain := func() {
-			for range 9 {
-				transaction := nextTransaction(leader)
-				if transaction == nil {
-					return
-				}
-				if len(transaction.Finished()) > 0 {
-					now = wire.JobDone
-				}
-				record := func() {
-					if !leader.commit(t.Context(), transaction) {
-						t.Fatal("the term is over")
-					}
-				}
-				if !lossy {
-					record()
-					continue
+	}
+}
+
+// changesOfTwoJobs returns how many changes the leader makes in the life of two jobs. If lossy is set,
+// the response to each transaction is lost.
+func changesOfTwoJobs(t *testing.T, tasks int, lossy bool) (changes int) {
+	t.Helper()
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
+	leader, _ := cluster.elect(nodeA)
+	worker := cluster.worker("n-1", "x", true)
+	heartbeat(t, leader, worker)
+	uids := []string{"j-1", "j-2"}
+	for _, uid := range uids {
+		cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 1 }))
+	}
+	cluster.resync(leader)
+	before := cluster.state.ChangeCount()
+	recorded := wire.JobQueued // the status of the jobs
+	recordAll := func() {
+		for range 9 {
+			transaction := nextTransaction(leader)
+			if transaction == nil {
+				return
+			}
+			if len(transaction.Finished()) > 0 {
+				recorded = wire.JobDone
+			}
+			commit := func() {
+				if !leader.commit(t.Context(), transaction) {
+					t.Fatal("the term is over")
 				}
-				cluster.loseAnswerDuring(record, func() {
-					for _, node := range []*Service{nodeB, cluster.node(nil)} {
-						for _, uid := range uids {
-							if _, status, _ := cluster.ask(node, http.MethodGet, jobPath(uid), nil); status.Status != now {
-								t.Errorf("%s: %+v, want %s", uid, status, now)
-							}
-						}
-					}
-				})
 			}
-		}
-		planNow(leader)
-		drain()
-		cluster.settle(leader)
-		if got := len(worker.LiveTasks()); got != 2*tasks {
-			t.Fatalf("%d tasks run", got)
-		}
-		for _, task := range worker.LiveTasks() {
-			worker.EndTask(task, wire.CauseDone)
-		}
-		heartbeat(t, leader, worker)
-		drain()
-		for _, uid := range uids {
-			if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs, jobSpec(uid, nil)); code != http.StatusOK || status.Status != wire.JobDone {
-				t.Errorf("%s submitted again: %d %+v", uid, code, status)
+			if !lossy {
+				commit()
+				continue
 			}
+			cluster.loseAnswerDuring(commit, func() {
+				for _, node := range []*Service{nodeB, cluster.node(nil)} {
+					cluster.checkStatuses(node, uids, recorded)
+				}
+			})
 		}
-		leader.mu.Lock()
-		defer leader.mu.Unlock()
-		if left := leader.writer.Backlog(); left.FinalMoves+leader.jobs.Len()+left.Dirty+left.StaleShared != 0 {
-			t.Errorf("%d tasks a job: %+v and %d jobs are left", tasks, left, leader.jobs.Len())
-		}
-		if left := cluster.state.Keys(store.PrefixJob); len(left) != 0 {
-			t.Errorf("jobs that have not moved: %v", left)
-		}
-		if got := len(worker.StartedAttempts()); got != 2*tasks {
-			t.Errorf("%d starts of %d tasks", got, 2*tasks)
+	}
+	planNow(leader)
+	recordAll()
+	cluster.settle(leader)
+	if got := len(worker.LiveTasks()); got != 2*tasks {
+		t.Fatalf("%d tasks run", got)
+	}
+	for _, task := range worker.LiveTasks() {
+		worker.EndTask(task, wire.CauseDone)
+	}
+	heartbeat(t, leader, worker)
+	recordAll()
+	for _, uid := range uids {
+		if code, status, _ := cluster.ask(nodeB, http.MethodPost, wire.PathJobs, jobSpec(uid, nil)); code != http.StatusOK || status.Status != wire.JobDone {
+			t.Errorf("%s submitted again: %d %+v", uid, code, status)
 		}
-		return cluster.state.ChangeCount() - before
 	}
-	for _, tasks := range []int{1, 2} {
-		// Deletions of what a finished job leaves have no condition: the retry deletes nothing.
-		again := 2 * (tasks - 1)
-		if plain, lost := life(tasks, false), life(tasks, true); lost != plain+again {
-			t.Errorf("%d tasks a job: %d changes where every response is lost, %d where none is", tasks, lost, plain)
+	cluster.checkNothingLeft(leader)
+	if got := len(worker.StartedAttempts()); got != 2*tasks {
+		t.Errorf("%d starts of %d tasks", got, 2*tasks)
+	}
+	return cluster.state.ChangeCount() - before
+}
+
+// checkStatuses checks that a node reports a status of jobs.
+func (s *testCluster) checkStatuses(node *Service, uids []string, want string) {
+	s.tb.Helper()
+	for _, uid := range uids {
+		if _, status, _ := s.ask(node, http.MethodGet, jobPath(uid), nil); status.Status != want {
+			s.tb.Errorf("%s: %+v, want %s", uid, status, want)
 		}
 	}
 }
 
+// checkNothingLeft checks that a leader has nothing left to record, and has moved all jobs.
+func (s *testCluster) checkNothingLeft(leader *leader) {
+	s.tb.Helper()
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	if left := leader.writer.Backlog(); left.FinalMoves+leader.jobs.Len()+left.Dirty+left.StaleShared != 0 {
+		s.tb.Errorf("%+v and %d jobs are left", left, leader.jobs.Len())
+	}
+	if left := s.state.Keys(store.PrefixJob); len(left) != 0 {
+		s.tb.Errorf("jobs that have not moved: %v", left)
+	}
+}
+
 // Every transaction of the leader is executed without a response, and again after newer ones of the
 // same leader: each takes effect once, and the late execution changes nothing.
 func TestDelayedTransactionsOfTheLeader(t *testing.T) {
 	for _, tasks := range []int{1, 2} {
-		cluster, node, leader, worker := clusterWithWorker(t)
-		uids := []string{"j-1", "j-2", "j-3"}
-		for _, uid := range uids {
-			cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 1 }))
-		}
-		cluster.resync(leader)
-		ctx, cancel := context.WithCancel(t.Context())
-		go cluster.runClock(ctx, 100*time.Millisecond)
-		late := 0
-		drain := func() {
-			for range 12 {
-				transaction := nextTransaction(leader)
-				if transaction == nil {
-					return
-				}
-				cluster.state.DelayNextTransaction()
-				if late++; !leader.commit(t.Context(), transaction) {
-					t.Fatal("the term is over")
-				}
+		checkDelayedTransactions(t, tasks)
+	}
+}
+
+// checkDelayedTransactions delays every transaction of the leader in the life of jobs with a number of
+// tasks each.
+func checkDelayedTransactions(t *testing.T, tasks int) {
+	t.Helper()
+	cluster, node, leader, worker := clusterWithWorker(t)
+	for _, uid := range []string{"j-1", "j-2", "j-3"} {
+		cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 1 }))
+	}
+	cluster.resync(leader)
+	ctx, cancel := context.WithCancel(t.Context())
+	go cluster.runClock(ctx, 100*time.Millisecond)
+	late := 0
+	recordAll := func() {
+		for range 12 {
+			transaction := nextTransaction(leader)
+			if transaction == nil {
+				return
 			}
-		}
-		planNow(leader)
-		drain()
-		cluster.settle(leader)
-		worker.EndTask("j-1/0", wire.CauseDone)
-		worker.EndTask("j-1/1", wire.CauseDone)
-		worker.EndTask("j-2/0", wire.CauseError)
-		if _, status, _ := cluster.ask(node, http.MethodPost, cancelPath("j-3"), nil); status.Status != wire.JobCancelled {
-			t.Fatalf("cancellation: %+v", status)
-		}
-		heartbeat(t, leader, worker)
-		cluster.resync(leader)
-		drain()
-		// A job that is recorded twice by itself: its first record must not overwrite the second.
-		cluster.submit(node, jobSpec("j-4", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 0.5 }))
-		cluster.resync(leader)
-		planNow(leader)
-		drain()
-		cluster.settle(leader)
-		worker.EndTask("j-4/0", wire.CauseDone)
-		heartbeat(t, leader, worker)
-		leader.mu.Lock()
-		leader.writer.MarkDirty("j-4") // need not wait for others' results
-		leader.mu.Unlock()
-		drain()
-		cancel()
-		cluster.settle(leader)
-		keys, puts := cluster.state.Keys(""), cluster.state.ChangeCount()
-		if got := cluster.state.DelayedCount(); got != late || late < 3 {
-			t.Fatalf("%d transactions are late, want %d", got, late)
-		}
-		cluster.state.DeliverDelayed()
-		if after := cluster.state.Keys(""); !slices.Equal(keys, after) {
-			t.Errorf("%d tasks a job: late transactions turn %v into %v", tasks, keys, after)
-		}
-		if got := cluster.state.ChangeCount() - puts; got != 0 {
-			t.Errorf("%d tasks a job: %d changes were made late", tasks, got)
-		}
-		for uid, want := range map[string]string{"j-1": wire.JobDone, "j-3": wire.JobCancelled} {
-			if _, status, _ := cluster.ask(cluster.node(nil), http.MethodGet, jobPath(uid), nil); status.Status != want {
-				t.Errorf("%s: %+v, want %s", uid, status, want)
+			cluster.state.DelayNextTransaction()
+			if late++; !leader.commit(t.Context(), transaction) {
+				t.Fatal("the term is over")
 			}
 		}
 	}
+	planNow(leader)
+	recordAll()
+	cluster.settle(leader)
+	worker.EndTask("j-1/0", wire.CauseDone)
+	worker.EndTask("j-1/1", wire.CauseDone)
+	worker.EndTask("j-2/0", wire.CauseError)
+	if _, status, _ := cluster.ask(node, http.MethodPost, cancelPath("j-3"), nil); status.Status != wire.JobCancelled {
+		t.Fatalf("cancellation: %+v", status)
+	}
+	heartbeat(t, leader, worker)
+	cluster.resync(leader)
+	recordAll()
+	// A job that is recorded twice by itself: its first record must not overwrite the second.
+	cluster.submit(node, jobSpec("j-4", func(spec *wire.Spec) { spec.Tasks, spec.Cores = 2, 0.5 }))
+	cluster.resync(leader)
+	planNow(leader)
+	recordAll()
+	cluster.settle(leader)
+	worker.EndTask("j-4/0", wire.CauseDone)
+	heartbeat(t, leader, worker)
+	leader.mu.Lock()
+	leader.writer.MarkDirty("j-4") // need not wait for others' results
+	leader.mu.Unlock()
+	recordAll()
+	cancel()
+	cluster.settle(leader)
+	keys, puts := cluster.state.Keys(""), cluster.state.ChangeCount()
+	if got := cluster.state.DelayedCount(); got != late || late < 3 {
+		t.Fatalf("%d transactions are late, want %d", got, late)
+	}
+	cluster.state.DeliverDelayed()
+	if after := cluster.state.Keys(""); !slices.Equal(keys, after) {
+		t.Errorf("%d tasks a job: late transactions turn %v into %v", tasks, keys, after)
+	}
+	if got := cluster.state.ChangeCount() - puts; got != 0 {
+		t.Errorf("%d tasks a job: %d changes were made late", tasks, got)
+	}
+	for uid, want := range map[string]string{"j-1": wire.JobDone, "j-3": wire.JobCancelled} {
+		if _, status, _ := cluster.ask(cluster.node(nil), http.MethodGet, jobPath(uid), nil); status.Status != want {
+			t.Errorf("%s: %+v, want %s", uid, status, want)
+		}
+	}
 }
 
 // Every transaction may be applied, answered, and arrive again: nothing that users were told
--- a/quota_failover_test.go
+++ b/quota_failover_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"cedardoor/config"
+	"cedardoor/internal/standin"
 	"cedardoor/quota"
 	"cedardoor/wire"
 )
@@ -63,75 +64,87 @@
 func TestCancelledTasksCountUntilProvedGone(t *testing.T) {
 	for _, tasks := range []int{1, 2} {
 		for _, proof := range []string{"lease end", "return", "newer incarnation", "stopped"} {
-			t.Run(fmt.Sprintf("%d tasks, %s", tasks, proof), func(t *testing.T) {
-				cluster := newTestCluster(t)
-				nodeA, nodeB, nodeC := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
-				l, stop := cluster.elect(nodeA)
-				hung, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-				heartbeat(t, l, hung)
-				uids := []string{"j-1", "j-2"}[:3-tasks]
-				for _, uid := range uids {
-					cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = tasks }))
-				}
-				cluster.syncAndSettle(l)
-				if got := hung.LiveTasks(); len(got) != 2 {
-					t.Fatalf("on the machine: %v", got)
-				}
-				hung.SetUnreachable(true)
-				for _, uid := range uids {
-					cluster.cancelJob(nodeB, uid)
-				}
-				cluster.submit(nodeB, jobSpec("j-3", func(spec *wire.Spec) { spec.Tasks = 2 }))
-				nothing := func(when string, leader *leader) {
-					t.Helper()
-					cluster.reportAndSettle(leader, other)
-					heartbeat(t, leader, other)
-					if got := other.StartedAttempts(); len(got) != 0 {
-						t.Fatalf("%s: %v started beyond the limit", when, got)
-					}
-				}
-				heartbeat(t, l, other)
-				cluster.resync(l)
-				nothing("under the leader that saw the cancellation", l)
-				stop()
-				l, stop = cluster.elect(nodeB)
-				nothing("under its successor", l)
-				cluster.advance(9 * time.Second)
-				nothing("half a lease later", l)
-				stop()
-				l, _ = cluster.elect(nodeC)
-				nothing("under the next", l)
-				switch proof {
-				case "lease end":
-					for range 17 {
-						cluster.advance(time.Second)
-						nothing("before the lease's end", l)
-					}
-					hung.ExpireLease()
-					cluster.advance(4 * time.Second)
-				case "return":
-					l.returnMachines(t.Context(), []string{"n-1"})
-				case "newer incarnation":
-					hung.ExpireLease()
-					hung.SetUnreachable(false)
-					heartbeat(t, l, hung)
-				case "stopped":
-					hung.SetUnreachable(false)
-					for range 2 {
-						cluster.reportAndSettle(l, hung)
-					}
-				}
-				cluster.reportAndSettle(l, other)
-				heartbeat(t, l, other)
-				if got := len(other.LiveTasks()) + len(hung.LiveTasks()); proof == "return" && len(other.LiveTasks()) != 2 || proof != "return" && got != 2 {
-					t.Errorf("%d tasks run after the proof, want 2: the quota is not used", got)
-				}
-				for _, k := range append(hung.LiveTasks(), other.LiveTasks()...) {
-					if proof != "return" && !strings.HasPrefix(k, "j-3/") {
-						t.Errorf("%s still runs", k)
-					}
-				}
-			})
+			t.Run(fmt.Sprintf("%d tasks, %s", tasks, proof), func(t *testing.T) { checkCountsUntilProvedGone(t, tasks, proof) })
+		}
+	}
+}
+
+// checkCountsUntilProvedGone cancels jobs with a number of tasks each, two in total, and checks that nothing
+// starts in their place before the given proof that they are gone.
+func checkCountsUntilProvedGone(t *testing.T, tasks int, proof string) {
+	cluster := newTestCluster(t)
+	nodeA, nodeB, nodeC := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
+	leader, stop := cluster.elect(nodeA)
+	hung, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, leader, hung)
+	uids := []string{"j-1", "j-2"}[:3-tasks]
+	for _, uid := range uids {
+		cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = tasks }))
+	}
+	cluster.syncAndSettle(leader)
+	if got := hung.LiveTasks(); len(got) != 2 {
+		t.Fatalf("on the machine: %v", got)
+	}
+	hung.SetUnreachable(true)
+	for _, uid := range uids {
+		cluster.cancelJob(nodeB, uid)
+	}
+	cluster.submit(nodeB, jobSpec("j-3", func(spec *wire.Spec) { spec.Tasks = 2 }))
+	checkNoStart := func(when string) {
+		t.Helper()
+		cluster.reportAndSettle(leader, other)
+		heartbeat(t, leader, other)
+		if got := other.StartedAttempts(); len(got) != 0 {
+			t.Fatalf("%s: %v started beyond the limit", when, got)
+		}
+	}
+	heartbeat(t, leader, other)
+	cluster.resync(leader)
+	checkNoStart("under the leader that saw the cancellation")
+	stop()
+	leader, stop = cluster.elect(nodeB)
+	checkNoStart("under its successor")
+	cluster.advance(9 * time.Second)
+	checkNoStart("half a lease later")
+	stop()
+	leader, _ = cluster.elect(nodeC)
+	checkNoStart("under the next")
+	if proof == "lease end" {
+		for range 17 {
+			cluster.advance(time.Second)
+			checkNoStart("before the lease's end")
+		}
+	}
+	cluster.proveGone(leader, hung, proof)
+	cluster.reportAndSettle(leader, other)
+	heartbeat(t, leader, other)
+	if got := len(other.LiveTasks()) + len(hung.LiveTasks()); proof == "return" && len(other.LiveTasks()) != 2 || proof != "return" && got != 2 {
+		t.Errorf("%d tasks run after the proof, want 2: the quota is not used", got)
+	}
+	for _, task := range append(hung.LiveTasks(), other.LiveTasks()...) {
+		if proof != "return" && !strings.HasPrefix(task, "j-3/") {
+			t.Errorf("%s still runs", task)
+		}
+	}
+}
+
+// proveGone lets a leader learn in some way that the cancelled tasks on an unreachable machine are gone.
+func (s *testCluster) proveGone(leader *leader, worker *standin.Worker, proof string) {
+	s.tb.Helper()
+	switch proof {
+	case "lease end":
+		worker.ExpireLease()
+		s.advance(4 * time.Second)
+	case "return":
+		leader.returnMachines(s.tb.Context(), []string{worker.Identity.Machine})
+	case "newer incarnation":
+		worker.ExpireLease()
+		worker.SetUnreachable(false)
+		heartbeat(s.tb, leader, worker)
+	case "stopped":
+		worker.SetUnreachable(false)
+		for range 2 {
+			s.reportAndSettle(leader, worker)
 		}
 	}
 }
