--- a/cancellation_outage_test.go
+++ b/cancellation_outage_test.go
@@ -196,7 +196,7 @@
 			cluster.advance(3 * time.Second)
 			cluster.state.Refuse(node.cfg.Node, false)
 		},
-		"stood still": func(cluster *testCluster, _ *Service, leader *leader) {
+		"process paused": func(cluster *testCluster, _ *Service, leader *leader) {
 			cluster.clock.Advance(4 * time.Second)
 			leader.checkPause()
 		},
@@ -224,10 +224,7 @@
 			if _, may := node.elector.HoldsLease(); !may {
 				t.Fatal("the leader has lost its lease")
 			}
-			leader.mu.Lock()
-			scope := leader.commandScope()
-			leader.mu.Unlock()
-			if scope != fleet.NoRuns {
+			if scope := currentCommandScope(leader); scope != fleet.NoRuns {
 				t.Fatalf("scope %v, want no runs", scope)
 			}
 			heartbeat(t, leader, worker)
@@ -235,17 +232,7 @@
 			if got := worker.StartedAttempts(); len(got) != 0 {
 				t.Fatalf("started %v, which was cancelled", got)
 			}
-			ctx, cancel := context.WithCancel(t.Context())
-			done := make(chan struct{})
-			go func() { defer close(done); leader.watchJobs(ctx, leader.syncedRevision()) }()
-			for scope != fleet.AllCommands { // it reads at once, and without waiting
-				leader.mu.Lock()
-				scope = leader.commandScope()
-				leader.mu.Unlock()
-				runtime.Gosched()
-			}
-			cancel()
-			<-done
+			watchUntilSynced(t, leader)
 			cluster.reportAndSettle(leader, worker)
 			if got := worker.StartedAttempts(); len(got) != 0 {
 				t.Errorf("started %v, which was cancelled", got)
@@ -254,6 +241,26 @@
 	}
 }
 
+// currentCommandScope returns which commands a leader may send now.
+func currentCommandScope(leader *leader) fleet.Scope {
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	return leader.commandScope()
+}
+
+// watchUntilSynced lets a leader watch jobs until it has read the changes, which it does without waiting.
+func watchUntilSynced(t *testing.T, leader *leader) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() { defer close(done); leader.watchJobs(ctx, leader.syncedRevision()) }()
+	for currentCommandScope(leader) != fleet.AllCommands {
+		runtime.Gosched()
+	}
+	cancel()
+	<-done
+}
+
 // A cancellation that the leader knows, of a task whose machine could not be reached, stops the
 // task also when the machine reports only in an outage that all attest.
 func TestKnownCancellationStopsTaskInOutage(t *testing.T) {
--- a/concurrent_failures_test.go
+++ b/concurrent_failures_test.go
@@ -257,72 +257,81 @@
 // arrive at once and no report does; and responses of the state service to the leader may be held,
 // too.
 func TestAsymmetricMessageDelay(t *testing.T) {
-	const from, until = 24.0, 31.0
 	for _, tt := range []struct {
-		name  string
-		state bool // what the state service answers the leader waits, as well
-		way   standin.Direction
+		name      string
+		holdState bool // responses of the state service to the leader are held, too
+		direction standin.Direction
 	}{{"to machines", false, standin.Outbound}, {"from machines", false, standin.Inbound}, {"to machines and from the state service", true, standin.Outbound}} {
-		t.Run(tt.name, func(t *testing.T) {
-			schedule := faultSchedule{seed: 6, duration: seconds(60), firstLeader: 1, buffersMessages: true}
-			tight := func(zone string) func(spec *wire.Spec) {
-				return func(spec *wire.Spec) {
-					asService(6)(spec)
-					spec.Team, spec.Zone, spec.MachineTypes = "tight", zone, []string{"b"}
-				}
-			}
-			schedule.submissions = []scheduledSubmission{
-				// Its machines have capacity and connections when the hold begins.
-				newSubmission(1, 1, 0, func(spec *wire.Spec) {
-					asService(4)(spec)
-					spec.Cores, spec.Zone, spec.MachineTypes = 6, "x", []string{"b"}
-				}),
-				newSubmission(2, 1, 0, func(spec *wire.Spec) {
-					asService(4)(spec)
-					spec.Cores, spec.Zone, spec.MachineTypes = 6, "y", []string{"b"}
-				}),
-				newSubmission(3, from-0.95, 0, tight("x")), newSubmission(4, from, 0, tight("y")),
-			}
-			schedule.submissions[0].cancelAfter, schedule.submissions[1].cancelAfter = seconds(from-5), seconds(from-5)
-			schedule.submissions[2].cancelAfter = seconds(0.4)
-			var mu sync.Mutex
-			var there []int // tasks of the cancelled job on machines, through the hold
-			schedule.setup = func(sim *simulation) {
-				hold := func(yes bool) {
-					for _, machine := range sim.cloud.Machines() {
-						if machine.Info.Zone == "x" {
-							sim.network.Hold("node-1", machine.Info.UID, tt.way, yes)
-						}
-					}
-				}
-				sim.runAt(from, func() { hold(true) })
-				sim.runAt(until, func() { hold(false) })
-				if tt.state {
-					sim.runAt(from+1.2, func() { sim.network.Hold("state", "node-1", standin.Outbound, true) })
-					sim.runAt(from+4, func() { sim.network.Hold("state", "node-1", standin.Outbound, false) })
-				}
-				for when := from; when < until; when += 0.1 {
-					sim.runAt(when, func() {
-						mu.Lock()
-						defer mu.Unlock()
-						there = append(there, sim.tasksByZone("j-3")["x"])
-					})
+		t.Run(tt.name, func(t *testing.T) { checkAsymmetricDelay(t, tt.direction, tt.holdState) })
+	}
+}
+
+// checkAsymmetricDelay holds messages between the leader and the machines of a zone in one direction.
+func checkAsymmetricDelay(t *testing.T, direction standin.Direction, holdState bool) {
+	const from, until = 24.0, 31.0
+	schedule := faultSchedule{seed: 6, duration: seconds(60), firstLeader: 1, buffersMessages: true}
+	schedule.submissions = asymmetricDelaySubmissions(from)
+	var mu sync.Mutex
+	var running []int // tasks of the cancelled job, sampled during the hold
+	schedule.setup = func(sim *simulation) {
+		hold := func(held bool) {
+			for _, machine := range sim.cloud.Machines() {
+				if machine.Info.Zone == "x" {
+					sim.network.Hold("node-1", machine.Info.UID, direction, held)
 				}
 			}
-			playSchedule(t, schedule, func(sim *simulation) {
-				sim.mu.Lock()
-				next, began := sim.observed.firstStarts["j-4/0"]
-				sim.mu.Unlock()
-				if most := slices.Max(there); (most > 0) != (tt.way == standin.Inbound) {
-					sim.t.Errorf("at most %d tasks of the cancelled job were on machines inside the hold", most)
-				}
-				if wait := next.Sub(sim.startedAt); !began || tt.way == standin.Outbound && wait < seconds(until) {
-					sim.t.Errorf("the team's next job began at %v, while runs of the cancelled one were on their way", wait)
-				}
-				sim.checkAllServed()
+		}
+		sim.runAt(from, func() { hold(true) })
+		sim.runAt(until, func() { hold(false) })
+		if holdState {
+			sim.runAt(from+1.2, func() { sim.network.Hold("state", "node-1", standin.Outbound, true) })
+			sim.runAt(from+4, func() { sim.network.Hold("state", "node-1", standin.Outbound, false) })
+		}
+		for atS := from; atS < until; atS += 0.1 {
+			sim.runAt(atS, func() {
+				mu.Lock()
+				defer mu.Unlock()
+				running = append(running, sim.tasksByZone("j-3")["x"])
 			})
-		})
+		}
+	}
+	playSchedule(t, schedule, func(sim *simulation) {
+		sim.mu.Lock()
+		next, began := sim.observed.firstStarts["j-4/0"]
+		sim.mu.Unlock()
+		if most := slices.Max(running); (most > 0) != (direction == standin.Inbound) {
+			sim.t.Errorf("at most %d tasks of the cancelled job ran during the hold", most)
+		}
+		if wait := next.Sub(sim.startedAt); !began || direction == standin.Outbound && wait < seconds(until) {
+			sim.t.Errorf("the team's next job began at %v, while runs of the cancelled one were in flight", wait)
+		}
+		sim.checkAllServed()
+	})
+}
+
+// asymmetricDelaySubmissions returns two services that leave capacity and connections to machines when the
+// hold begins, a job of a team at its limit that is cancelled during the hold, and its next one.
+func asymmetricDelaySubmissions(fromS float64) []scheduledSubmission {
+	tight := func(zone string) func(spec *wire.Spec) {
+		return func(spec *wire.Spec) {
+			asService(6)(spec)
+			spec.Team, spec.Zone, spec.MachineTypes = "tight", zone, []string{"b"}
+		}
+	}
+	submissions := []scheduledSubmission{
+		newSubmission(1, 1, 0, func(spec *wire.Spec) {
+			asService(4)(spec)
+			spec.Cores, spec.Zone, spec.MachineTypes = 6, "x", []string{"b"}
+		}),
+		newSubmission(2, 1, 0, func(spec *wire.Spec) {
+			asService(4)(spec)
+			spec.Cores, spec.Zone, spec.MachineTypes = 6, "y", []string{"b"}
+		}),
+		newSubmission(3, fromS-0.95, 0, tight("x")), newSubmission(4, fromS, 0, tight("y")),
 	}
+	submissions[0].cancelAfter, submissions[1].cancelAfter = seconds(fromS-5), seconds(fromS-5)
+	submissions[2].cancelAfter = seconds(0.4)
+	return submissions
 }
 
 // Jobs of one task each arrive faster than the machines complete them, so that each has waited long
--- a/damaged_records_test.go
+++ b/damaged_records_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"cedardoor/config"
+	"cedardoor/internal/standin"
 	"cedardoor/recovery"
 	"cedardoor/store"
 	"cedardoor/wire"
@@ -115,82 +115,80 @@
 // others start only once every machine is reconciled, with attempt numbers that were never used.
 func TestDamagedAttemptRecord(t *testing.T) {
 	for _, shared := range []bool{false, true} {
-		cluster := newTestCluster(t)
-		tight := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 8 }
-		nodeA, nodeB := cluster.node(tight), cluster.node(tight)
-		oldLeader, stop := cluster.elect(nodeA)
-		worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-		heartbeat(t, oldLeader, worker)
-		jobs, tasks := []string{"j-1"}, []string{"j-1/0", "j-1/1", "j-1/2"}
-		if shared {
-			jobs, tasks = []string{"j-1", "j-2", "j-3"}, []string{"j-1/0", "j-2/0", "j-3/0"}
-		}
-		for _, uid := range jobs {
-			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = len(tasks) / len(jobs) }))
-		}
-		cluster.submit(nodeA, jobSpec("j-7", func(spec *wire.Spec) { spec.Kind, spec.Tasks = wire.KindService, 1 }))
-		cluster.syncAndSettle(oldLeader)
-		key := store.ChunkKey("j-1", 0)
-		if shared {
-			key = cluster.state.Keys(store.PrefixShared)[0]
-		}
-		cluster.writeRecord(nodeA, key, damagedRecord)
-		stop()
-		worker.EndTask(tasks[2], "lost") // gone without a trace
-		forgetEnded(worker, oldLeader.term.Token)
-		newLeader, _ := cluster.elect(nodeB)
-		if use := newLeader.quota.Usage("team").Total.Cores.Decimal(); use < 8 {
-			t.Fatalf("shared %t: the team uses %v, want that what may run counts", shared, use)
-		}
-		cluster.submit(nodeB, jobSpec("j-8", nil))
-		cluster.resync(newLeader)
-		look := func() {
-			heartbeat(t, newLeader, worker)
-			heartbeat(t, newLeader, other)
-			cluster.lookUpOrphans(newLeader)
-			cluster.settle(newLeader)
-		}
-		look()
-		look()
-		if got := worker.LiveTasks(); !slices.Contains(got, tasks[0]) || !slices.Contains(got, tasks[1]) {
-			t.Fatalf("shared %t: what ran is stopped: %v", shared, got)
-		}
-		ofLost := func() []string {
-			return slices.DeleteFunc(append(worker.StartedAttempts(), other.StartedAttempts()...), func(start string) bool { return start[:5] != tasks[2] })
-		}
-		if got := ofLost(); len(got) != 1 {
-			t.Fatalf("shared %t: started before every machine was accounted for: %v", shared, got)
-		}
-		for range 4 {
-			cluster.advance(8 * time.Second)
-			look()
-		}
-		starts := append(worker.StartedAttempts(), other.StartedAttempts()...)
-		count := map[string]int{}
-		for _, start := range starts {
-			count[start]++
-			if count[start] > 1 {
-				t.Errorf("shared %t: %s is started twice", shared, start)
-			}
-		}
-		live := append(worker.LiveTasks(), other.LiveTasks()...)
-		for _, task := range tasks {
-			if !slices.Contains(live, task) {
-				t.Errorf("shared %t: %s does not run: %v, starts %v", shared, task, live, starts)
-			}
-		}
-		if again := ofLost(); len(again) != 2 || len(again[1]) < len("j-1/2#4294967296") {
-			t.Errorf("shared %t: attempts of the lost task: %v, want a new one far above the first", shared, again)
-		}
-		if keys := cluster.state.Keys(key); shared && len(keys) != 0 {
-			t.Errorf("the damaged record is still there: %v", keys)
-		}
-		// The next leader finds whole records.
-		records, err := recovery.Read(t.Context(), nodeB.store)
-		if err != nil || len(records.Damaged) != 0 {
-			t.Errorf("shared %t: left behind: %+v, %v", shared, records.Damaged, err)
+		checkDamagedAttemptRecord(t, shared)
+	}
+}
+
+// checkDamagedAttemptRecord damages the record of the attempts of one job, or the shared record of those of
+// three jobs, and loses the last task.
+func checkDamagedAttemptRecord(t *testing.T, shared bool) {
+	t.Helper()
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(8))
+	oldLeader, stop := cluster.elect(nodeA)
+	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
+	heartbeat(t, oldLeader, worker)
+	jobs, tasks := []string{"j-1"}, []string{"j-1/0", "j-1/1", "j-1/2"}
+	if shared {
+		jobs, tasks = []string{"j-1", "j-2", "j-3"}, []string{"j-1/0", "j-2/0", "j-3/0"}
+	}
+	for _, uid := range jobs {
+		cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = len(tasks) / len(jobs) }))
+	}
+	cluster.submit(nodeA, jobSpec("j-7", func(spec *wire.Spec) { spec.Kind, spec.Tasks = wire.KindService, 1 }))
+	cluster.syncAndSettle(oldLeader)
+	key := store.ChunkKey("j-1", 0)
+	if shared {
+		key = cluster.state.Keys(store.PrefixShared)[0]
+	}
+	cluster.writeRecord(nodeA, key, damagedRecord)
+	stop()
+	worker.EndTask(tasks[2], "lost") // gone without a trace
+	forgetEnded(worker, oldLeader.term.Token)
+	newLeader, _ := cluster.elect(nodeB)
+	if use := newLeader.quota.Usage("team").Total.Cores.Decimal(); use < 8 {
+		t.Fatalf("shared %t: the team uses %v, want that what may run counts", shared, use)
+	}
+	cluster.submit(nodeB, jobSpec("j-8", nil))
+	cluster.resync(newLeader)
+	report := func() {
+		heartbeat(t, newLeader, worker)
+		heartbeat(t, newLeader, other)
+		cluster.lookUpOrphans(newLeader)
+		cluster.settle(newLeader)
+	}
+	report()
+	report()
+	if got := worker.LiveTasks(); !slices.Contains(got, tasks[0]) || !slices.Contains(got, tasks[1]) {
+		t.Fatalf("shared %t: what ran is stopped: %v", shared, got)
+	}
+	ofLost := func() []string {
+		return slices.DeleteFunc(append(worker.StartedAttempts(), other.StartedAttempts()...), func(start string) bool { return start[:5] != tasks[2] })
+	}
+	if got := ofLost(); len(got) != 1 {
+		t.Fatalf("shared %t: started before every machine was accounted for: %v", shared, got)
+	}
+	for range 4 {
+		cluster.advance(8 * time.Second)
+		report()
+	}
+	starts := checkStartedOnce(t, []*standin.Worker{worker, other})
+	live := append(worker.LiveTasks(), other.LiveTasks()...)
+	for _, task := range tasks {
+		if !slices.Contains(live, task) {
+			t.Errorf("shared %t: %s does not run: %v, starts %v", shared, task, live, starts)
 		}
 	}
+	if again := ofLost(); len(again) != 2 || len(again[1]) < len("j-1/2#4294967296") {
+		t.Errorf("shared %t: attempts of the lost task: %v, want a new one far above the first", shared, again)
+	}
+	if keys := cluster.state.Keys(key); shared && len(keys) != 0 {
+		t.Errorf("the damaged record is still there: %v", keys)
+	}
+	// The next leader finds whole records.
+	records, err := recovery.Read(t.Context(), nodeB.store)
+	if err != nil || len(records.Damaged) != 0 {
+		t.Errorf("shared %t: left behind: %+v, %v", shared, records.Damaged, err)
+	}
 }
 
 // A machine that has not reported the new leader's token may yet receive an old command: no task of
--- a/failover_test.go
+++ b/failover_test.go
@@ -261,73 +261,83 @@
 func TestFailoverDuringPlacementOnNewMachine(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		for _, tasks := range []int{1, 2} {
-			t.Run(fmt.Sprintf("late %t, %d tasks", late, tasks), func(t *testing.T) {
-				cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
-				leader, stop := cluster.elect(nodeA)
-				cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tasks }))
-				cluster.resync(leader)
-				worker, other := cluster.worker("n-000200", "x", true), cluster.worker("n-000201", "y", true)
-				heartbeat(t, leader, worker)
-				lost := cluster.state.LostResponses()
-				if late {
-					cluster.state.DelayNextTransaction()
-				} else {
-					cluster.state.LoseResponses(1)
-				}
-				ctx, end := context.WithCancel(t.Context())
-				done := make(chan struct{})
-				go func() { defer close(done); leader.pass(ctx) }()
-				for cluster.state.DelayedCount() == 0 && cluster.state.LostResponses() == lost {
-					runtime.Gosched()
-				}
-				end()
-				<-done
-				stop()
-				if got := worker.StartedAttempts(); len(got) != 0 {
-					t.Fatalf("started before that was known to be recorded: %v", got)
-				}
-				leader, _ = cluster.elect(nodeB)
-				if err := leader.readMachineList(t.Context()); err != nil {
-					t.Fatal(err)
-				}
-				deliver := func() {
-					before := cluster.state.Keys("")
-					cluster.state.DeliverDelayed()
-					if after := cluster.state.Keys(""); !slices.Equal(before, after) {
-						t.Errorf("the earlier leader's late transaction was applied: %v, then %v", before, after)
-					}
-				}
-				if tasks == 2 {
-					deliver()
-				}
-				// The machine that holds nothing comes first: it may get the task only if
-				// the record of the first did not come about.
-				cluster.reportAndSettle(leader, other)
-				deliver()
-				if !late && len(other.StartedAttempts()) != 0 {
-					t.Errorf("started on another machine than on record: %v", other.StartedAttempts())
-				}
-				for range 3 {
-					cluster.reportAndSettle(leader, worker, other)
-				}
-				leader.autoscale(t.Context())
-				if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != tasks || len(worker.LiveTasks())+len(other.LiveTasks()) != tasks {
-					t.Errorf("starts %v and %v, want %d", worker.StartedAttempts(), other.StartedAttempts(), tasks)
-				}
-				for range 10 { // longer than three times the list's lag
-					cluster.advance(3 * time.Second)
-					heartbeat(t, leader, worker)
-					heartbeat(t, leader, other)
-				}
-				if err := leader.readMachineList(t.Context()); err != nil {
-					t.Fatal(err)
-				}
-				if got := cluster.cloud.Returns(); len(got) != 0 || !cluster.machineUsable(leader, "n-000200") {
-					t.Errorf("a machine that no list shows yet is given up: returned %v", got)
-				}
-			})
+			t.Run(fmt.Sprintf("late %t, %d tasks", late, tasks), func(t *testing.T) { checkFailoverDuringPlacement(t, late, tasks) })
+		}
+	}
+}
+
+// checkFailoverDuringPlacement lets a leader place a job on a new machine and crash before the transaction
+// has a response, which is delayed if late is set.
+func checkFailoverDuringPlacement(t *testing.T, late bool, tasks int) {
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
+	leader, stop := cluster.elect(nodeA)
+	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tasks }))
+	cluster.resync(leader)
+	worker, other := cluster.worker("n-000200", "x", true), cluster.worker("n-000201", "y", true)
+	heartbeat(t, leader, worker)
+	cluster.crashWithoutResponse(leader, late)
+	stop()
+	if got := worker.StartedAttempts(); len(got) != 0 {
+		t.Fatalf("started before that was known to be recorded: %v", got)
+	}
+	leader, _ = cluster.elect(nodeB)
+	if err := leader.readMachineList(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	deliverDelayed := func() {
+		before := cluster.state.Keys("")
+		cluster.state.DeliverDelayed()
+		if after := cluster.state.Keys(""); !slices.Equal(before, after) {
+			t.Errorf("the earlier leader's late transaction was applied: %v, then %v", before, after)
 		}
 	}
+	if tasks == 2 {
+		deliverDelayed()
+	}
+	// The machine that holds nothing comes first: it may get the task only if
+	// the record of the first did not come about.
+	cluster.reportAndSettle(leader, other)
+	deliverDelayed()
+	if !late && len(other.StartedAttempts()) != 0 {
+		t.Errorf("started on another machine than on record: %v", other.StartedAttempts())
+	}
+	for range 3 {
+		cluster.reportAndSettle(leader, worker, other)
+	}
+	leader.autoscale(t.Context())
+	if got := len(worker.StartedAttempts()) + len(other.StartedAttempts()); got != tasks || len(worker.LiveTasks())+len(other.LiveTasks()) != tasks {
+		t.Errorf("starts %v and %v, want %d", worker.StartedAttempts(), other.StartedAttempts(), tasks)
+	}
+	for range 10 { // longer than three times the list's lag
+		cluster.advance(3 * time.Second)
+		heartbeat(t, leader, worker)
+		heartbeat(t, leader, other)
+	}
+	if err := leader.readMachineList(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	if got := cluster.cloud.Returns(); len(got) != 0 || !cluster.machineUsable(leader, "n-000200") {
+		t.Errorf("a machine that no list shows yet is given up: returned %v", got)
+	}
+}
+
+// crashWithoutResponse ends a pass of the leader when its first transaction is delayed, if late is set, or
+// executed without a response.
+func (s *testCluster) crashWithoutResponse(leader *leader, late bool) {
+	lost := s.state.LostResponses()
+	if late {
+		s.state.DelayNextTransaction()
+	} else {
+		s.state.LoseResponses(1)
+	}
+	ctx, crash := context.WithCancel(s.tb.Context())
+	done := make(chan struct{})
+	go func() { defer close(done); leader.pass(ctx) }()
+	for s.state.DelayedCount() == 0 && s.state.LostResponses() == lost {
+		runtime.Gosched()
+	}
+	crash()
+	<-done
 }
 
 // A machine with long tasks reports to a new leader and does not receive the responses. Each may
--- a/heartbeat_test.go
+++ b/heartbeat_test.go
@@ -91,6 +91,7 @@
 	t.Run("cancelled", func(t *testing.T) { checkStaleHeartbeats(t, true) })
 }
 
+// checkStaleHeartbeats delivers copies of heartbeats of a job that runs, or is cancelled.
 func checkStaleHeartbeats(t *testing.T, cancel bool) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(2))
 	leader, stop := cluster.elect(nodeA)
@@ -114,30 +115,19 @@
 	cluster.submit(nodeB, jobSpec("j-2", nil)) // the team's limit keeps it waiting
 	leader, _ = cluster.elect(nodeB)
 	nodeB.current.Store(leader)
-	all := func() {
+	deliverAll := func() {
 		t.Helper()
-		for _, c := range copies {
-			if _, ok := nodeA.Heartbeat(&c); ok {
-				t.Error("answered by a controller that does not lead")
-			}
-			if response, ok := nodeB.Heartbeat(&c); ok {
-				for _, command := range response.Commands {
-					if command.Verb == wire.VerbRun && command.Attempt != 2 {
-						t.Errorf("a copy is answered with %+v", command)
-					}
-				}
-			}
-		}
+		deliverCopies(t, copies, nodeA, nodeB)
 		cluster.reportAndSettle(leader, other)
 		if got := append(worker.StartedAttempts(), other.StartedAttempts()...); len(got) != 2 {
 			t.Fatalf("started on the word of old reports: %v", got)
 		}
 	}
-	all()
+	deliverAll()
 	if cluster.machineUsable(leader, "n-1") {
 		t.Error("trusted on copies from before the term")
 	}
-	all()
+	deliverAll()
 	if cancel {
 		for range 3 {
 			cluster.reportAndSettle(leader, worker)
@@ -150,7 +140,7 @@
 	}
 	cluster.reportAndSettle(leader, worker)
 	slices.Reverse(copies) // the oldest comes last
-	all()
+	deliverAll()
 	leader.mu.Lock()
 	if machine := leader.fleet.Machine("n-1"); machine.Incarnation != 2 || !machine.Reported || machine.LiveCount() != 1 {
 		t.Errorf("after copies came behind newer reports: incarnation %d, trusted %t, %d tasks", machine.Incarnation, machine.Reported, machine.LiveCount())
@@ -164,6 +154,23 @@
 	}
 }
 
+// deliverCopies delivers copies of heartbeats to a controller that does not lead and to the leader.
+func deliverCopies(t *testing.T, copies []wire.Heartbeat, follower, leading *Service) {
+	t.Helper()
+	for _, report := range copies {
+		if _, ok := follower.Heartbeat(&report); ok {
+			t.Error("answered by a controller that does not lead")
+		}
+		if response, ok := leading.Heartbeat(&report); ok {
+			for _, command := range response.Commands {
+				if command.Verb == wire.VerbRun && command.Attempt != 2 {
+					t.Errorf("a copy is answered with %+v", command)
+				}
+			}
+		}
+	}
+}
+
 // All workers report to a new leader within a second or two. The cost of a heartbeat does not grow
 // with the fleet, no task is moved or started meanwhile, and each machine is trusted by its second
 // heartbeat.
--- a/random_schedules_test.go
+++ b/random_schedules_test.go
@@ -11,11 +11,11 @@
 
 // The numbers of random schedules to play, and the seed of the first.
 var (
-	scheduleCount = flag.Uint64("meetings", 200, "how many random schedules are played")
-	furtherCount  = flag.Uint64("further", 100, "how many random schedules with further faults are played")
-	heldCount     = flag.Uint64("held", 40, "how many random schedules are played whose messages are held, too")
-	oneWayCount   = flag.Uint64("oneway", 30, "how many random schedules are played whose messages are held in one direction only")
-	firstSeed     = flag.Uint64("meeting", 0, "the seed of the first random schedule")
+	scheduleCount = flag.Uint64("schedules", 200, "how many random schedules are played")
+	furtherCount  = flag.Uint64("schedules.further", 100, "how many random schedules with further faults are played")
+	heldCount     = flag.Uint64("schedules.held", 40, "how many random schedules are played whose messages are held, too")
+	oneWayCount   = flag.Uint64("schedules.oneway", 30, "how many random schedules are played whose messages are held in one direction only")
+	firstSeed     = flag.Uint64("schedules.seed", 0, "the seed of the first random schedule")
 )
 
 // Whole services run random schedules of faults against stand-ins on virtual time, and the rules of
--- a/recording_test.go
+++ b/recording_test.go
@@ -44,36 +44,34 @@
 // change. The changes of a job do not grow with their number, and a failover neither loses a job
 // nor runs one twice.
 func TestSingleTaskJobsShareRecords(t *testing.T) {
-	puts := func(jobs int) float64 {
+	changesPerJob := func(jobs int) float64 {
 		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
-		l, stop := cluster.elect(nodeA)
-		workers := cluster.workers(l, "n-%d", 4)
+		leader, stop := cluster.elect(nodeA)
+		workers := cluster.workers(leader, "n-%d", 4)
 		uid := func(k int) string { return fmt.Sprintf("j-%d", k) }
 		for k := range jobs {
 			cluster.submit(nodeA, jobSpec(uid(k), func(spec *wire.Spec) { spec.Cores, spec.RAM = 0.25, 0.5 }))
 		}
 		accepted := cluster.state.ChangeCount()
-		cluster.resync(l)
-		ended := map[string]bool{}
-		work := func(leader *leader, rounds int) {
+		cluster.resync(leader)
+		work := func(rounds int) {
 			for range rounds {
 				cluster.settle(leader)
 				for _, worker := range workers {
 					for _, task := range worker.LiveTasks() {
 						worker.EndTask(task, wire.CauseDone)
-						ended[task] = true
 					}
 					heartbeat(t, leader, worker)
 				}
 				cluster.advance(time.Second)
 			}
 		}
-		work(l, 1)
-		cluster.settle(l)
+		work(1)
+		cluster.settle(leader)
 		stop()
-		l, _ = cluster.elect(nodeB)
-		work(l, 12)
-		cluster.settle(l)
+		leader, _ = cluster.elect(nodeB)
+		work(12)
+		cluster.settle(leader)
 		for k := range jobs {
 			if _, status, _ := cluster.ask(nodeB, http.MethodGet, jobPath(uid(k)), nil); status.Status != wire.JobDone {
 				t.Fatalf("%s of %d: %+v, want done", uid(k), jobs, status)
@@ -97,7 +95,7 @@
 		return float64(cluster.state.ChangeCount()-accepted) / float64(jobs)
 	}
 	// One for the end, two for the move, and a share of the attempts'.
-	small, large := puts(120), puts(480)
+	small, large := changesPerJob(120), changesPerJob(480)
 	if small > 3.6 || large > 3.4 {
 		t.Errorf("%.2f and %.2f changes a job of 120 and 480, want little more than 3", small, large)
 	}
