--- a/autoscaling_test.go
+++ b/autoscaling_test.go
@@ -13,8 +13,7 @@
 	"cedardoor/wire"
 )
 
-// bootingFleet is a leader that asked for so many machines some time ago; the list
-// shows them, and none has come up.
+// bootingFleet returns a leader that rented machines some time ago, none of which has booted.
 func bootingFleet(t *testing.T, n int, ago time.Duration) (*testCluster, *leader) {
 	t.Helper()
 	cluster, _, leader := clusterWithLeader(t)
@@ -23,6 +22,7 @@
 	return cluster, leader
 }
 
+// addRentals adds rented machines that boot, from a number on.
 func addRentals(leader *leader, from, n int) {
 	now := leader.clock.Now()
 	for i := from; i < from+n; i++ {
@@ -33,6 +33,7 @@
 	}
 }
 
+// markUp lets rented machines report, from a number on.
 func (l *leader) markUp(from, n int) {
 	for i := from; i < from+n; i++ {
 		machine := l.fleet.Machine(fmt.Sprintf("n-%02d", i))
@@ -41,7 +42,9 @@
 	}
 }
 
-func overdueCounts(leader *leader) (out, givenUp int) {
+// overdueCounts returns how many machines are to be replaced, and to be returned, because their boots
+// are overdue.
+func overdueCounts(leader *leader) (replaced, returned int) {
 	overdue := leader.autoscaler.Overdue(leader.scalingView(leader.clock.Now()))
 	return len(overdue.Replace), len(overdue.Return)
 }
@@ -51,12 +54,12 @@
 func TestMachineThatNeverBootsIsReplaced(t *testing.T) {
 	cluster, leader := bootingFleet(t, 10, 30*time.Second)
 	leader.markUp(1, 9)
-	if out, up := overdueCounts(leader); out != 0 || up != 0 {
-		t.Errorf("in its time: %d counted out, %d given up", out, up)
+	if replaced, returned := overdueCounts(leader); replaced != 0 || returned != 0 {
+		t.Errorf("in its time: %d replaced, %d returned", replaced, returned)
 	}
 	cluster.advance(22 * time.Second) // 52 s of the 30 that its type takes
-	if out, up := overdueCounts(leader); out != 1 || up != 1 {
-		t.Errorf("late: %d counted out, %d given up, want it", out, up)
+	if replaced, returned := overdueCounts(leader); replaced != 1 || returned != 1 {
+		t.Errorf("late: %d replaced, %d returned, want it", replaced, returned)
 	}
 	for _, share := range leader.autoscaler.BootShares() {
 		if share < 0.99 || share > 1.01 {
@@ -69,20 +72,20 @@
 // again. When new machines boot in time, the late ones are returned.
 func TestSlowBootsRentNoSecondFleet(t *testing.T) {
 	cluster, leader := bootingFleet(t, 20, 60*time.Second)
-	if out, up := overdueCounts(leader); out == 0 || out > 6 || up != 0 {
-		t.Errorf("all late: %d counted out, %d given up, want a part and none", out, up)
+	if replaced, returned := overdueCounts(leader); replaced == 0 || replaced > 6 || returned != 0 {
+		t.Errorf("all late: %d replaced, %d returned, want a part and none", replaced, returned)
 	}
 	cluster.advance(30 * time.Second)
 	leader.markUp(0, 8) // at three times the stated time
 	cluster.advance(40 * time.Second)
-	if out, up := overdueCounts(leader); out == 0 || out > 4 || up != 0 {
-		t.Errorf("at 4.3 times, others having come at 3: %d counted out, %d given up", out, up)
+	if replaced, returned := overdueCounts(leader); replaced == 0 || replaced > 4 || returned != 0 {
+		t.Errorf("at 4.3 times, others having come at 3: %d replaced, %d returned", replaced, returned)
 	}
 	addRentals(leader, 20, 12)
 	cluster.advance(20 * time.Second)
 	leader.markUp(20, 12)
-	if out, up := overdueCounts(leader); out != 12 || up != 12 {
-		t.Errorf("new ones come in time: %d counted out, %d given up, want the 12 left", out, up)
+	if replaced, returned := overdueCounts(leader); replaced != 12 || returned != 12 {
+		t.Errorf("new ones come in time: %d replaced, %d returned, want the 12 left", replaced, returned)
 	}
 }
 
--- a/bench_serving_test.go
+++ b/bench_serving_test.go
@@ -16,7 +16,7 @@
 	"cedardoor/wire"
 )
 
-// serveLimited serves users and workers on loopback as the daemon does.
+// serveLimited serves users and workers on loopback as the daemon does, and returns the address.
 func serveLimited(tb testing.TB, leader *leader, h http.Handler) string {
 	ln, err := listen(tb.Context(), "127.0.0.1:0")
 	if err != nil {
@@ -32,10 +32,11 @@
 
 // rawConnection sends requests over one raw connection, so that the client costs little.
 type rawConnection struct {
-	c net.Conn
-	r *bufio.Reader
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
+// dialRaw returns a connection to an address.
 func dialRaw(tb testing.TB, addr string) *rawConnection {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -45,14 +46,15 @@
 	return &rawConnection{c, bufio.NewReader(c)}
 }
 
+// send sends a request and reads the response.
 func (x *rawConnection) send(tb testing.TB, method, path string, body []byte) {
 	req := fmt.Appendf(nil, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/msgpack\r\nContent-Length: %d\r\n\r\n", method, path, len(body))
-	if _, err := x.c.Write(append(req, body...)); err != nil {
+	if _, err := x.conn.Write(append(req, body...)); err != nil {
 		tb.Fatal(err)
 	}
 	length := 0
 	for first := true; ; first = false {
-		line, err := x.r.ReadSlice('\n')
+		line, err := x.reader.ReadSlice('\n')
 		if err != nil {
 			tb.Fatal(err)
 		}
@@ -66,7 +68,7 @@
 			fmt.Sscan(string(v), &length)
 		}
 	}
-	if _, err := x.r.Discard(length); err != nil {
+	if _, err := x.reader.Discard(length); err != nil {
 		tb.Fatal(err)
 	}
 }
@@ -95,15 +97,16 @@
 			for n := range b.N {
 				i := n % len(raws)
 				setSequence(b, raws[i], uint64(n)+100)
-				h(&discardResponse{h: http.Header{}}, &http.Request{Method: http.MethodPost, Body: io.NopCloser(bytes.NewReader(raws[i]))})
+				h(&discardResponse{header: http.Header{}}, &http.Request{Method: http.MethodPost, Body: io.NopCloser(bytes.NewReader(raws[i]))})
 			}
 		})
 	}
 }
 
-type discardResponse struct{ h http.Header }
+// discardResponse is a response writer that discards the response.
+type discardResponse struct{ header http.Header }
 
-func (d *discardResponse) Header() http.Header { return d.h }
+func (d *discardResponse) Header() http.Header { return d.header }
 
 func (d *discardResponse) Write(p []byte) (int, error) { return len(p), nil }
 
@@ -120,15 +123,16 @@
 	}
 }
 
-type benchAgent struct{ g *leader }
+// benchAgent passes heartbeats to a leader.
+type benchAgent struct{ leader *leader }
 
 func (s benchAgent) Heartbeat(report *wire.Heartbeat) (wire.HeartbeatResponse, bool) {
-	return s.g.Heartbeat(report)
+	return s.leader.Heartbeat(report)
 }
 
 func (s benchAgent) Leader() string { return "" }
 
-// BenchmarkBeatServed is the same over a connection.
+// BenchmarkBeatServed is a heartbeat over a connection.
 func BenchmarkBeatServed(b *testing.B) {
 	_, leader := trustedFleet(b, benchMachines, benchTasks)
 	node := leader.servingNode(b)
@@ -162,6 +166,7 @@
 	}
 }
 
+// redirecting is a controller that does not lead.
 type redirecting struct{}
 
 func (redirecting) Heartbeat(*wire.Heartbeat) (wire.HeartbeatResponse, bool) {
@@ -170,7 +175,7 @@
 
 func (redirecting) Leader() string { return "node-2" }
 
-// servingNode gives a second node of the leader's site that serves users.
+// servingNode returns a second node of the leader's cluster that serves users.
 func (l *leader) servingNode(tb testing.TB) *Service {
 	operator, err := config.LoadOperator("")
 	if err != nil {
@@ -219,7 +224,7 @@
 	}
 }
 
-// BenchmarkConnect is a connection that comes, with one probe, and goes.
+// BenchmarkConnect is a new connection with one probe.
 func BenchmarkConnect(b *testing.B) {
 	_, leader := trustedFleet(b, 10, benchTasks)
 	addr := serveLimited(b, leader, leader.servingNode(b).router)
@@ -286,7 +291,7 @@
 	}
 }
 
-// encodeReport is a report as it comes.
+// encodeReport returns an encoded report.
 func encodeReport(tb testing.TB, report *wire.Heartbeat) []byte {
 	encoded, err := wire.Marshal(report)
 	if err != nil {
--- a/bench_test.go
+++ b/bench_test.go
@@ -12,10 +12,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Benchmarks of what a controller does all day, one thread running as in the
-// daemon. They give the account of costs in docs/results.md; what must not grow is
-// counted in heartbeat_test.go instead.
+// The benchmarks measure the regular work of a controller on one thread, as in the daemon.
+// docs/results.md lists the costs; what must not grow is counted in heartbeat_test.go.
 
+// The size of the fleet of benchmarks.
 const (
 	benchMachines = 700
 	benchTasks    = 6
@@ -53,7 +53,7 @@
 	}
 }
 
-// BenchmarkResize is a pass of the fleet's sizing with nothing to rent or return.
+// BenchmarkResize is a pass of the autoscaler with nothing to rent or return.
 func BenchmarkResize(b *testing.B) {
 	_, leader := trustedFleet(b, benchMachines, benchTasks)
 	useOneThread(b)
@@ -63,7 +63,7 @@
 	}
 }
 
-// BenchmarkList is one reading of the cloud's list, without its request.
+// BenchmarkCheckStall is one check for a pause of the process.
 func BenchmarkCheckStall(b *testing.B) {
 	_, leader := trustedFleet(b, benchMachines, benchTasks)
 	useOneThread(b)
@@ -73,7 +73,7 @@
 	}
 }
 
-// BenchmarkChange is a job that comes with the changes, and a plan that finds no room for it.
+// BenchmarkChange is a job that is added to the job table and removed.
 func BenchmarkChange(b *testing.B) {
 	_, leader := trustedFleet(b, benchMachines, benchTasks)
 	encoded, err := wire.Marshal(store.JobRecord{Spec: jobSpec("j-900", func(spec *wire.Spec) { spec.Tasks = 8 })})
@@ -94,7 +94,7 @@
 	}
 }
 
-// BenchmarkTask is a task placed, told, seen running, ended, recorded and
+// BenchmarkTask is a task that is placed, started, seen running, ended, recorded and
 // forgotten, in jobs of 48.
 func BenchmarkTask(b *testing.B) {
 	cluster := newTestCluster(b)
@@ -174,7 +174,7 @@
 	}
 }
 
-// BenchmarkPlanShort is a plan for 60 jobs that find no room.
+// BenchmarkPlanShort is a plan for 60 jobs without capacity for them.
 func BenchmarkPlanShort(b *testing.B) {
 	_, leader := trustedFleet(b, benchMachines, benchTasks)
 	leader.mu.Lock()
@@ -199,7 +199,7 @@
 	}
 }
 
-// BenchmarkRefresh is a machine brought into the picture.
+// BenchmarkRefresh is the update of a machine in the snapshot.
 func BenchmarkRefresh(b *testing.B) {
 	_, leader := trustedFleet(b, benchMachines, benchTasks)
 	leader.pass(b.Context())
--- a/damaged_records_test.go
+++ b/damaged_records_test.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -119,6 +120,31 @@
 	}
 }
 
+// startedAttemptsOf lists the attempts of a task that have started on workers.
+func startedAttemptsOf(workers []*standin.Worker, task string) (attempts []string) {
+	for _, worker := range workers {
+		for _, attempt := range worker.StartedAttempts() {
+			if name, _, _ := strings.Cut(attempt, "#"); name == task {
+				attempts = append(attempts, attempt)
+			}
+		}
+	}
+	return attempts
+}
+
+// submitDamagedRecordJobs submits the jobs whose tasks are recorded in the damaged record, and a service.
+func submitDamagedRecordJobs(cluster *testCluster, node *Service, shared bool) (tasks []string) {
+	jobs, tasks := []string{"j-1"}, []string{"j-1/0", "j-1/1", "j-1/2"}
+	if shared {
+		jobs, tasks = []string{"j-1", "j-2", "j-3"}, []string{"j-1/0", "j-2/0", "j-3/0"}
+	}
+	for _, uid := range jobs {
+		cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = len(tasks) / len(jobs) }))
+	}
+	cluster.submit(node, jobSpec("j-7", func(spec *wire.Spec) { spec.Kind, spec.Tasks = wire.KindService, 1 }))
+	return tasks
+}
+
 // checkDamagedAttemptRecord damages the record of the attempts of one job, or the shared record of those of
 // three jobs, and loses the last task.
 func checkDamagedAttemptRecord(t *testing.T, shared bool) {
@@ -127,14 +153,7 @@
 	oldLeader, stop := cluster.elect(nodeA)
 	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
 	heartbeat(t, oldLeader, worker)
-	jobs, tasks := []string{"j-1"}, []string{"j-1/0", "j-1/1", "j-1/2"}
-	if shared {
-		jobs, tasks = []string{"j-1", "j-2", "j-3"}, []string{"j-1/0", "j-2/0", "j-3/0"}
-	}
-	for _, uid := range jobs {
-		cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = len(tasks) / len(jobs) }))
-	}
-	cluster.submit(nodeA, jobSpec("j-7", func(spec *wire.Spec) { spec.Kind, spec.Tasks = wire.KindService, 1 }))
+	tasks := submitDamagedRecordJobs(cluster, nodeA, shared)
 	cluster.syncAndSettle(oldLeader)
 	key := store.ChunkKey("j-1", 0)
 	if shared {
@@ -161,24 +180,22 @@
 	if got := worker.LiveTasks(); !slices.Contains(got, tasks[0]) || !slices.Contains(got, tasks[1]) {
 		t.Fatalf("shared %t: what ran is stopped: %v", shared, got)
 	}
-	ofLost := func() []string {
-		return slices.DeleteFunc(append(worker.StartedAttempts(), other.StartedAttempts()...), func(start string) bool { return start[:5] != tasks[2] })
-	}
-	if got := ofLost(); len(got) != 1 {
-		t.Fatalf("shared %t: started before every machine was accounted for: %v", shared, got)
+	workers := []*standin.Worker{worker, other}
+	if got := startedAttemptsOf(workers, tasks[2]); len(got) != 1 {
+		t.Fatalf("shared %t: started before every machine was reconciled: %v", shared, got)
 	}
 	for range 4 {
 		cluster.advance(8 * time.Second)
 		report()
 	}
-	starts := checkStartedOnce(t, []*standin.Worker{worker, other})
+	starts := checkStartedOnce(t, workers)
 	live := append(worker.LiveTasks(), other.LiveTasks()...)
 	for _, task := range tasks {
 		if !slices.Contains(live, task) {
 			t.Errorf("shared %t: %s does not run: %v, starts %v", shared, task, live, starts)
 		}
 	}
-	if again := ofLost(); len(again) != 2 || len(again[1]) < len("j-1/2#4294967296") {
+	if again := startedAttemptsOf(workers, tasks[2]); len(again) != 2 || len(again[1]) < len("j-1/2#4294967296") {
 		t.Errorf("shared %t: attempts of the lost task: %v, want a new one far above the first", shared, again)
 	}
 	if keys := cluster.state.Keys(key); shared && len(keys) != 0 {
--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -177,6 +177,19 @@
 	return cluster.state.ChangeCount() - before
 }
 
+// checkDelayedChangeNothing checks that the delayed transactions change nothing when they are executed.
+func (s *testCluster) checkDelayedChangeNothing() {
+	s.tb.Helper()
+	keys, changes := s.state.Keys(""), s.state.ChangeCount()
+	s.state.DeliverDelayed()
+	if after := s.state.Keys(""); !slices.Equal(keys, after) {
+		s.tb.Errorf("delayed transactions turn %v into %v", keys, after)
+	}
+	if got := s.state.ChangeCount() - changes; got != 0 {
+		s.tb.Errorf("delayed transactions make %d changes", got)
+	}
+}
+
 // checkStatuses checks that a node reports a status of jobs.
 func (s *testCluster) checkStatuses(node *Service, uids []string, want string) {
 	s.tb.Helper()
@@ -258,17 +271,10 @@
 	recordAll()
 	cancel()
 	cluster.settle(leader)
-	keys, puts := cluster.state.Keys(""), cluster.state.ChangeCount()
 	if got := cluster.state.DelayedCount(); got != late || late < 3 {
-		t.Fatalf("%d transactions are late, want %d", got, late)
-	}
-	cluster.state.DeliverDelayed()
-	if after := cluster.state.Keys(""); !slices.Equal(keys, after) {
-		t.Errorf("%d tasks a job: late transactions turn %v into %v", tasks, keys, after)
-	}
-	if got := cluster.state.ChangeCount() - puts; got != 0 {
-		t.Errorf("%d tasks a job: %d changes were made late", tasks, got)
+		t.Fatalf("%d transactions are delayed, want %d", got, late)
 	}
+	cluster.checkDelayedChangeNothing()
 	for uid, want := range map[string]string{"j-1": wire.JobDone, "j-3": wire.JobCancelled} {
 		if _, status, _ := cluster.ask(cluster.node(nil), http.MethodGet, jobPath(uid), nil); status.Status != want {
 			t.Errorf("%s: %+v, want %s", uid, status, want)
