--- a/cancellation_test.go
+++ b/cancellation_test.go
@@ -55,8 +55,7 @@
 // the submission at other nodes and cancel at once. Whoever is told that the job is cancelled is
 // told nothing else from then on, and it never runs.
 func TestImmediateCancellationWithSlowState(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodes := []*Service{cluster.node(nil), cluster.node(nil), cluster.node(nil)}
+	cluster, nodes := clusterWithNodes(t, 3)
 	leader, _ := cluster.elect(nodes[0])
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, leader, worker)
@@ -96,8 +95,7 @@
 func TestCancellationRacesCompletion(t *testing.T) {
 	for _, tasks := range []int{1, 2} {
 		for _, first := range []string{"cancel", "end", "end between the cancel's reading and writing"} {
-			cluster := newTestCluster(t)
-			nodes := []*Service{cluster.node(nil), cluster.node(nil)}
+			cluster, nodes := clusterWithNodes(t, 2)
 			leader, _ := cluster.elect(nodes[0])
 			worker := cluster.worker("n-1", "x", true)
 			heartbeat(t, leader, worker)
--- a/damaged_records_test.go
+++ b/damaged_records_test.go
@@ -16,9 +16,7 @@
 // A job whose record can't be decoded stays known and its tasks run on; other jobs are served.
 func TestDamagedJobRecord(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
-	oldLeader, stop := cluster.elect(nodeA)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, oldLeader, worker)
+	oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
 	cluster.syncAndSettle(oldLeader)
 	cluster.writeRecord(nodeA, store.JobKey("j-1"), damagedRecord)
@@ -68,9 +66,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			cluster := newTestCluster(t)
 			nodeA, nodeB, nodeC := cluster.node(nil), cluster.node(nil), cluster.node(nil)
-			oldLeader, stop := cluster.elect(nodeA)
-			worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-			heartbeat(t, oldLeader, worker)
+			oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
 			cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tt.tasks }))
 			cluster.submit(nodeA, jobSpec("j-2", nil)) // shares the record, where there is one
 			cluster.syncAndSettle(oldLeader)
@@ -150,9 +146,7 @@
 func checkDamagedAttemptRecord(t *testing.T, shared bool) {
 	t.Helper()
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(8))
-	oldLeader, stop := cluster.elect(nodeA)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, oldLeader, worker)
+	oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
 	tasks := submitDamagedRecordJobs(cluster, nodeA, shared)
 	cluster.syncAndSettle(oldLeader)
 	key := store.ChunkKey("j-1", 0)
@@ -212,9 +206,7 @@
 // an unreadable record starts while the machine's lease may last, although it answers probes.
 func TestUnreconciledMachineDelaysUnreadableTasks(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
-	oldLeader, stop := cluster.elect(nodeA)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, oldLeader, worker)
+	oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 3 }))
 	cluster.syncAndSettle(oldLeader)
 	cluster.writeRecord(nodeA, store.ChunkKey("j-1", 0), damagedRecord)
--- a/failover_test.go
+++ b/failover_test.go
@@ -20,9 +20,7 @@
 // the lease has expired.
 func TestFailoverKeepsPlacements(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
-	oldLeader, stop := cluster.elect(nodeA)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, oldLeader, worker)
+	oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
 	cluster.submit(nodeA, jobSpec("j-1", nil))
 	cluster.syncAndSettle(oldLeader)
 	stop()
@@ -345,9 +343,7 @@
 // soon as the worker's next incarnation proves that it has ended.
 func TestMachineThatDoesNotReceiveNewLeadersResponses(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
-	leader, stop := cluster.elect(nodeA)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, leader, worker)
+	leader, stop, worker, other := cluster.electWithWorkers(nodeA)
 	cluster.submit(nodeA, jobSpec("j-1", nil))
 	cluster.syncAndSettle(leader)
 	stop()
@@ -375,8 +371,7 @@
 // controllers restart at once. Jobs of two and three tasks complete at different times meanwhile,
 // each task once, and are done when all of their tasks are.
 func TestTenFailoversWhileTasksComplete(t *testing.T) {
-	cluster := newTestCluster(t)
-	nodes := []*Service{cluster.node(nil), cluster.node(nil)}
+	cluster, nodes := clusterWithNodes(t, 2)
 	leader, stop := cluster.elect(nodes[0])
 	worker := cluster.worker("n-1", "x", true)
 	heartbeat(t, leader, worker)
@@ -436,9 +431,7 @@
 func TestAllControllersDownBeyondLease(t *testing.T) {
 	cluster := newTestCluster(t)
 	node := cluster.node(nil)
-	leader, stop := cluster.elect(node)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, leader, worker)
+	leader, stop, worker, other := cluster.electWithWorkers(node)
 	cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
 	cluster.syncAndSettle(leader)
 	stop()
--- a/harness_cluster_setups_test.go
+++ b/harness_cluster_setups_test.go
@@ -28,6 +28,26 @@
 	return cluster, cluster.node(mod), cluster.node(mod)
 }
 
+// clusterWithNodes returns a cluster with a number of controllers of which none leads yet.
+func clusterWithNodes(t testing.TB, count int) (cluster *testCluster, nodes []*Service) {
+	t.Helper()
+	cluster = newTestCluster(t)
+	for range count {
+		nodes = append(nodes, cluster.node(nil))
+	}
+	return cluster, nodes
+}
+
+// electWithWorkers makes a node lead until stop is called, with two workers in different zones of
+// which the first has reported.
+func (s *testCluster) electWithWorkers(node *Service) (leader *leader, stop func(), worker, other *standin.Worker) {
+	s.tb.Helper()
+	leader, stop = s.elect(node)
+	worker, other = s.worker("n-1", "x", true), s.worker("n-2", "y", true)
+	heartbeat(s.tb, leader, worker)
+	return leader, stop, worker, other
+}
+
 // clusterWithWorker returns a cluster with a leader and a worker that has reported.
 func clusterWithWorker(t *testing.T) (*testCluster, *Service, *leader, *standin.Worker) {
 	t.Helper()
@@ -58,10 +78,7 @@
 // with a worker that runs a task each of j-1 and j-2.
 func connectedCluster(t *testing.T) (cluster *testCluster, nodes []*Service, leader *leader, worker *standin.Worker) {
 	t.Helper()
-	cluster = newTestCluster(t)
-	for range 3 {
-		nodes = append(nodes, cluster.node(nil))
-	}
+	cluster, nodes = clusterWithNodes(t, 3)
 	cluster.connectWithIsolation(nodes...)
 	leader, _ = cluster.elect(nodes[0])
 	nodes[0].current.Store(leader)
--- a/heartbeat_test.go
+++ b/heartbeat_test.go
@@ -43,9 +43,7 @@
 // machine trusted, and starts nothing elsewhere.
 func TestStaleHeartbeatReachesNewLeaderFirst(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
-	oldLeader, stop := cluster.elect(nodeA)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, oldLeader, worker)
+	oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
 	old := worker.Report() // shows nothing yet
 	cluster.submit(nodeA, jobSpec("j-1", nil))
 	cluster.syncAndSettle(oldLeader)
@@ -94,9 +92,7 @@
 // checkStaleHeartbeats delivers copies of heartbeats of a job that runs, or is cancelled.
 func checkStaleHeartbeats(t *testing.T, cancel bool) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(2))
-	leader, stop := cluster.elect(nodeA)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, leader, worker)
+	leader, stop, worker, other := cluster.electWithWorkers(nodeA)
 	copies := []wire.Heartbeat{worker.Report()} // nothing there yet
 	cluster.submit(nodeA, jobSpec("j-1", nil))
 	cluster.syncAndSettle(leader)
--- a/quota_failover_test.go
+++ b/quota_failover_test.go
@@ -6,7 +6,6 @@
 	"testing"
 	"time"
 
-	"cedardoor/config"
 	"cedardoor/internal/standin"
 	"cedardoor/quota"
 	"cedardoor/wire"
@@ -14,11 +13,8 @@
 
 // A team's limit counts tasks that a predecessor started and that may still run.
 func TestTeamLimitAcrossLeaders(t *testing.T) {
-	limit := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 4 }
-	cluster, nodeA, nodeB := clusterWithTwoNodes(t, limit)
-	oldLeader, stop := cluster.elect(nodeA)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, oldLeader, worker)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(4))
+	oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 4 }))
 	cluster.syncAndSettle(oldLeader)
 	if got := worker.LiveTasks(); len(got) != 2 {
@@ -34,11 +30,8 @@
 
 // A new leader counts the tasks of a cancelled job while they may still run.
 func TestCancelledTasksCountTowardsLimit(t *testing.T) {
-	limit := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 4 }
-	cluster, nodeA, nodeB := clusterWithTwoNodes(t, limit)
-	oldLeader, stop := cluster.elect(nodeA)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, oldLeader, worker)
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(4))
+	oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
 	cluster.syncAndSettle(oldLeader)
 	stop()
@@ -74,9 +67,7 @@
 func checkCountsUntilProvedGone(t *testing.T, tasks int, proof string) {
 	cluster := newTestCluster(t)
 	nodeA, nodeB, nodeC := cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4)), cluster.node(withTeamLimit(4))
-	leader, stop := cluster.elect(nodeA)
-	hung, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, leader, hung)
+	leader, stop, hung, other := cluster.electWithWorkers(nodeA)
 	uids := []string{"j-1", "j-2"}[:3-tasks]
 	for _, uid := range uids {
 		cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = tasks }))
@@ -155,9 +146,7 @@
 func TestCompletedTasksDoNotCountAfterFailover(t *testing.T) {
 	for _, tasks := range []int{1, 2} {
 		cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(4))
-		leader, stop := cluster.elect(nodeA)
-		worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-		heartbeat(t, leader, worker)
+		leader, stop, worker, other := cluster.electWithWorkers(nodeA)
 		cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores = tasks, 4/float64(tasks) }))
 		cluster.syncAndSettle(leader)
 		for _, task := range worker.LiveTasks() {
@@ -184,9 +173,7 @@
 // that it reserved quota for is ever started.
 func TestPausedLeaderCannotUseReservedQuota(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(4))
-	oldLeader, stop := cluster.elect(nodeA)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, oldLeader, worker)
+	oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
 	cluster.resync(oldLeader)
 	oldLeader.mu.Lock()
--- a/user_requests_test.go
+++ b/user_requests_test.go
@@ -161,8 +161,7 @@
 func TestAllControllersAgreeAfterResponse(t *testing.T) {
 	for _, fault := range transactionFaults {
 		t.Run(fault.name, func(t *testing.T) {
-			cluster := newTestCluster(t)
-			nodes := []*Service{cluster.node(nil), cluster.node(nil), cluster.node(nil)}
+			cluster, nodes := clusterWithNodes(t, 3)
 			leader, _ := cluster.elect(nodes[0])
 			worker := cluster.worker("n-1", "x", true)
 			heartbeat(t, leader, worker)
