--- a/heartbeat_test.go
+++ b/heartbeat_test.go
@@ -172,7 +172,7 @@
 // heartbeat.
 func TestHeartbeatSurgeAfterTotalLoss(t *testing.T) {
 	const tasks = 4
-	visits := func(machines int) float64 {
+	examine := func(machines int) float64 {
 		_, leader := adoptedFleet(t, machines, tasks)
 		leader.fleet.Examined = 0
 		for tally, token := range []uint64{0, leader.term.Token} {
@@ -189,8 +189,8 @@
 		}
 		return per
 	}
-	small, large := visits(200), visits(minFleetLimit)
+	small, large := examine(200), examine(minFleetLimit)
 	if small != large || large > 4*tasks {
-		t.Errorf("a heartbeat of the surge visits %.1f and %.1f, want the same and few", small, large)
+		t.Errorf("a heartbeat of the surge examines %.1f and %.1f, want the same and few", small, large)
 	}
 }
--- a/lost_responses_test.go
+++ b/lost_responses_test.go
@@ -296,25 +296,25 @@
 	if _, err := node.elector.RaiseToken(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	type told struct {
+	type observation struct {
 		keys   []string
 		status []string
-		lead   uint64
+		token  uint64
 	}
-	look := func() (is told) {
-		is.keys = cluster.state.Keys("")
+	observe := func() (seen observation) {
+		seen.keys = cluster.state.Keys("")
 		for _, uid := range []string{"j-1", "j-2", "j-3"} {
 			_, status, _ := cluster.ask(node, "GET", jobPath(uid), nil)
-			is.status = append(is.status, status.Status)
+			seen.status = append(seen.status, status.Status)
 		}
 		var record store.TokenRecord
 		cluster.state.Value(store.KeyToken, &record)
-		is.lead = record.Token
-		return is
+		seen.token = record.Token
+		return seen
 	}
-	before := look()
+	before := observe()
 	cluster.state.RepeatTransactions()
-	if diff := cmp.Diff(before, look(), cmp.AllowUnexported(told{})); diff != "" {
+	if diff := cmp.Diff(before, observe(), cmp.AllowUnexported(observation{})); diff != "" {
 		t.Error(diff)
 	}
 	if code, status, _ := cluster.ask(node, "POST", wire.PathJobs, jobSpec("j-2", nil)); code != 200 || status.Status != wire.JobCancelled {
--- a/mass_loss_test.go
+++ b/mass_loss_test.go
@@ -17,7 +17,7 @@
 // batches.
 func TestMassLoss(t *testing.T) {
 	const tasks = 4
-	visits := func(machines, lost int) int {
+	examine := func(machines, lost int) int {
 		cluster, leader := adoptedFleet(t, machines, tasks)
 		cluster.advance(10 * time.Second)
 		for i := range machines - lost {
@@ -29,12 +29,12 @@
 		defer leader.mu.Unlock()
 		now := leader.clock.Now()
 		leader.fleet.Examined = 0
-		news := leader.fleet.ExpireLeases(now)
-		if len(news) != lost*tasks {
-			t.Fatalf("%d of %d machines lost: %d tasks gone, want %d", lost, machines, len(news), lost*tasks)
+		events := leader.fleet.ExpireLeases(now)
+		if len(events) != lost*tasks {
+			t.Fatalf("%d of %d machines lost: %d tasks gone, want %d", lost, machines, len(events), lost*tasks)
 		}
-		looked := leader.fleet.Examined
-		leader.applyEvents(news, now)
+		examined := leader.fleet.Examined
+		leader.applyEvents(events, now)
 		for job := range leader.jobs.All() {
 			leader.writer.MarkDirty(job.UID)
 		}
@@ -56,12 +56,12 @@
 			}
 			leader.writer.Applied(transaction, 1, now, leader.fleet.MarkDurable)
 		}
-		return looked
+		return examined
 	}
-	// Each machine's lease end is looked at once a lease; beyond that, only what is lost.
+	// Each machine's lease end is examined once a lease; beyond that, only what is lost.
 	for _, machines := range []int{300, minFleetLimit} {
-		if looked := visits(machines, 100); looked > machines+100*tasks {
-			t.Errorf("the loss of 100 of %d machines visits %d", machines, looked)
+		if examined := examine(machines, 100); examined > machines+100*tasks {
+			t.Errorf("the loss of 100 of %d machines examines %d", machines, examined)
 		}
 	}
 	got := autoscaler.SplitRentals([]cloud.Rental{{MachineType: "b", Zone: "x", Count: 120}, {MachineType: "b", Zone: "y", Preemptible: true, Count: 70}}, 4)
--- a/recording_test.go
+++ b/recording_test.go
@@ -14,7 +14,7 @@
 // The number of changes follows the records written, not the tasks: results are recorded together,
 // and the placements of a job in one change.
 func TestChangesFollowRecordsNotTasks(t *testing.T) {
-	puts := func(tasks int) (placed, ended int) {
+	changes := func(tasks int) (placed, ended int) {
 		cluster, node, leader, worker := clusterWithWorker(t)
 		cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = tasks, 0.05, 0.1 }))
 		cluster.resync(leader)
@@ -33,8 +33,8 @@
 		cluster.reportAndSettle(leader, worker)
 		return placed, cluster.state.ChangeCount() - before
 	}
-	fewPlaced, fewEnded := puts(6)
-	manyPlaced, manyEnded := puts(110)
+	fewPlaced, fewEnded := changes(6)
+	manyPlaced, manyEnded := changes(110)
 	if fewPlaced != manyPlaced || fewEnded != manyEnded {
 		t.Errorf("6 tasks take %d and %d changes, 110 take %d and %d", fewPlaced, fewEnded, manyPlaced, manyEnded)
 	}
--- a/team_reports_test.go
+++ b/team_reports_test.go
@@ -33,7 +33,7 @@
 	node := cluster.node(func(facts *config.Facts) { facts.Teams[0].CPUsMax, facts.Teams[0].CPUs = 4, 2 })
 	leader, worker, _ := leadWithJob(t, node, cluster, 4)
 	node.current.Store(leader)
-	look := func() quota.TeamReport {
+	teamReport := func() quota.TeamReport {
 		t.Helper()
 		report, err := node.Teams(t.Context())
 		if err != nil || !report.Fresh || report.Leader != node.cfg.Node {
@@ -44,7 +44,7 @@
 	want := quota.TeamReport{Team: "team", Tasks: quota.TasksReport{Running: 2},
 		Cores:   quota.ResourceReport{Limit: 4, Guarantee: 2, InUse: 4, Running: 4},
 		Waiting: quota.WaitingReport{Jobs: 1, Tasks: 2, Reasons: map[quota.Reason]int{quota.ReasonLimit: 2}}}
-	if diff := cmp.Diff(want, look()); diff != "" {
+	if diff := cmp.Diff(want, teamReport()); diff != "" {
 		t.Errorf("at its limit: %s", diff)
 	}
 	worker.SetUnreachable(true) // direct commands don't arrive
@@ -52,13 +52,13 @@
 	cluster.resync(leader)
 	want.Tasks, want.Waiting = quota.TasksReport{Stopping: 2}, quota.WaitingReport{}
 	want.Cores.Running, want.Cores.Stopping = 0, 4
-	if diff := cmp.Diff(want, look()); diff != "" {
+	if diff := cmp.Diff(want, teamReport()); diff != "" {
 		t.Errorf("cancelled, and not proved gone: %s", diff)
 	}
 	heartbeat(t, leader, worker) // is told to stop
 	heartbeat(t, leader, worker) // shows that it has
 	want.Tasks, want.Cores = quota.TasksReport{}, quota.ResourceReport{Limit: 4, Guarantee: 2}
-	if diff := cmp.Diff(want, look()); diff != "" {
+	if diff := cmp.Diff(want, teamReport()); diff != "" {
 		t.Errorf("proved gone: %s", diff)
 	}
 }
