--- a/bench_test.go
+++ b/bench_test.go
@@ -94,6 +94,30 @@
 	}
 }
 
+// taskReports returns, by the index of the machine, the tasks that machines with allocations report in a
+// round: none in the first, running ones in the second and completed ones in the third.
+func taskReports(leader *leader, round int) map[int][]wire.TaskReport {
+	leader.mu.Lock()
+	defer leader.mu.Unlock()
+	reports := map[int][]wire.TaskReport{}
+	leader.fleet.EachMachine(func(machine *fleet.Machine) {
+		var index int
+		fmt.Sscanf(machine.Name, "n-%d", &index)
+		machine.EachAllocation(func(allocation *fleet.Allocation) {
+			task := wire.TaskReport{Task: allocation.Task.String(), Attempt: allocation.Attempt, Status: wire.TaskRunning}
+			if round == 2 {
+				task.Status, task.Cause = wire.TaskEnded, wire.CauseDone
+			}
+			if round > 0 {
+				reports[index] = append(reports[index], task)
+			} else {
+				reports[index] = nil
+			}
+		})
+	})
+	return reports
+}
+
 // BenchmarkTask is a task that is placed, started, seen running, ended, recorded and
 // forgotten, in jobs of 48.
 func BenchmarkTask(b *testing.B) {
@@ -135,27 +159,10 @@
 		leader.mu.Unlock()
 		leader.pass(b.Context())
 		for round := range 3 {
-			leader.mu.Lock()
-			on := map[int][]wire.TaskReport{}
-			leader.fleet.EachMachine(func(machine *fleet.Machine) {
-				var at int
-				fmt.Sscanf(machine.Name, "n-%d", &at)
-				machine.EachAllocation(func(allocation *fleet.Allocation) {
-					task := wire.TaskReport{Task: allocation.Task.String(), Attempt: allocation.Attempt, Status: wire.TaskRunning}
-					if round == 2 {
-						task.Status, task.Cause = wire.TaskEnded, wire.CauseDone
-					}
-					if round > 0 {
-						on[at] = append(on[at], task)
-					} else {
-						on[at] = nil
-					}
-				})
-			})
-			leader.mu.Unlock()
-			for i, list := range on {
+			reports := taskReports(leader, round)
+			for i, tasks := range reports {
 				report := fleetReport(i, 0, 0, leader.term.Token)
-				report.Tasks = list
+				report.Tasks = tasks
 				heartbeat(i, report)
 			}
 			if round == 2 {
@@ -165,7 +172,7 @@
 				}
 				leader.mu.Unlock()
 				leader.pass(b.Context())
-				for i := range on {
+				for i := range reports {
 					heartbeat(i, fleetReport(i, 0, 0, leader.term.Token))
 				}
 			}
