--- a/damaged_records_test.go
+++ b/damaged_records_test.go
@@ -3,10 +3,11 @@
 import (
 	"net/http"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
-	"cedardoor/config"
+	"cedardoor/internal/standin"
 	"cedardoor/recovery"
 	"cedardoor/store"
 	"cedardoor/wire"
@@ -15,9 +16,7 @@
 // A job whose record can't be decoded stays known and its tasks run on; other jobs are served.
 func TestDamagedJobRecord(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
-	oldLeader, stop := cluster.elect(nodeA)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, oldLeader, worker)
+	oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 2 }))
 	cluster.syncAndSettle(oldLeader)
 	cluster.writeRecord(nodeA, store.JobKey("j-1"), damagedRecord)
@@ -67,9 +66,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			cluster := newTestCluster(t)
 			nodeA, nodeB, nodeC := cluster.node(nil), cluster.node(nil), cluster.node(nil)
-			oldLeader, stop := cluster.elect(nodeA)
-			worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-			heartbeat(t, oldLeader, worker)
+			oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
 			cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = tt.tasks }))
 			cluster.submit(nodeA, jobSpec("j-2", nil)) // shares the record, where there is one
 			cluster.syncAndSettle(oldLeader)
@@ -115,91 +112,101 @@
 // others start only once every machine is reconciled, with attempt numbers that were never used.
 func TestDamagedAttemptRecord(t *testing.T) {
 	for _, shared := range []bool{false, true} {
-		cluster := newTestCluster(t)
-		tight := func(facts *config.Facts) { facts.Teams[0].CPUsMax = 8 }
-		nodeA, nodeB := cluster.node(tight), cluster.node(tight)
-		oldLeader, stop := cluster.elect(nodeA)
-		worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-		heartbeat(t, oldLeader, worker)
-		jobs, tasks := []string{"j-1"}, []string{"j-1/0", "j-1/1", "j-1/2"}
-		if shared {
-			jobs, tasks = []string{"j-1", "j-2", "j-3"}, []string{"j-1/0", "j-2/0", "j-3/0"}
-		}
-		for _, uid := range jobs {
-			cluster.submit(nodeA, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = len(tasks) / len(jobs) }))
-		}
-		cluster.submit(nodeA, jobSpec("j-7", func(spec *wire.Spec) { spec.Kind, spec.Tasks = wire.KindService, 1 }))
-		cluster.syncAndSettle(oldLeader)
-		key := store.ChunkKey("j-1", 0)
-		if shared {
-			key = cluster.state.Keys(store.PrefixShared)[0]
-		}
-		cluster.writeRecord(nodeA, key, damagedRecord)
-		stop()
-		worker.EndTask(tasks[2], "lost") // gone without a trace
-		forgetEnded(worker, oldLeader.term.Token)
-		newLeader, _ := cluster.elect(nodeB)
-		if use := newLeader.quota.Usage("team").Total.Cores.Decimal(); use < 8 {
-			t.Fatalf("shared %t: the team uses %v, want that what may run counts", shared, use)
-		}
-		cluster.submit(nodeB, jobSpec("j-8", nil))
-		cluster.resync(newLeader)
-		look := func() {
-			heartbeat(t, newLeader, worker)
-			heartbeat(t, newLeader, other)
-			cluster.lookUpOrphans(newLeader)
-			cluster.settle(newLeader)
-		}
-		look()
-		look()
-		if got := worker.LiveTasks(); !slices.Contains(got, tasks[0]) || !slices.Contains(got, tasks[1]) {
-			t.Fatalf("shared %t: what ran is stopped: %v", shared, got)
-		}
-		ofLost := func() []string {
-			return slices.DeleteFunc(append(worker.StartedAttempts(), other.StartedAttempts()...), func(start string) bool { return start[:5] != tasks[2] })
-		}
-		if got := ofLost(); len(got) != 1 {
-			t.Fatalf("shared %t: started before every machine was accounted for: %v", shared, got)
-		}
-		for range 4 {
-			cluster.advance(8 * time.Second)
-			look()
-		}
-		starts := append(worker.StartedAttempts(), other.StartedAttempts()...)
-		count := map[string]int{}
-		for _, start := range starts {
-			count[start]++
-			if count[start] > 1 {
-				t.Errorf("shared %t: %s is started twice", shared, start)
-			}
-		}
-		live := append(worker.LiveTasks(), other.LiveTasks()...)
-		for _, task := range tasks {
-			if !slices.Contains(live, task) {
-				t.Errorf("shared %t: %s does not run: %v, starts %v", shared, task, live, starts)
+		checkDamagedAttemptRecord(t, shared)
+	}
+}
+
+// startedAttemptsOf lists the attempts of a task that have started on workers.
+func startedAttemptsOf(workers []*standin.Worker, task string) (attempts []string) {
+	for _, worker := range workers {
+		for _, attempt := range worker.StartedAttempts() {
+			if name, _, _ := strings.Cut(attempt, "#"); name == task {
+				attempts = append(attempts, attempt)
 			}
 		}
-		if again := ofLost(); len(again) != 2 || len(again[1]) < len("j-1/2#4294967296") {
-			t.Errorf("shared %t: attempts of the lost task: %v, want a new one far above the first", shared, again)
-		}
-		if keys := cluster.state.Keys(key); shared && len(keys) != 0 {
-			t.Errorf("the damaged record is still there: %v", keys)
-		}
-		// The next leader finds whole records.
-		records, err := recovery.Read(t.Context(), nodeB.store)
-		if err != nil || len(records.Damaged) != 0 {
-			t.Errorf("shared %t: left behind: %+v, %v", shared, records.Damaged, err)
+	}
+	return attempts
+}
+
+// submitDamagedRecordJobs submits the jobs whose tasks are recorded in the damaged record, and a service.
+func submitDamagedRecordJobs(cluster *testCluster, node *Service, shared bool) (tasks []string) {
+	jobs, tasks := []string{"j-1"}, []string{"j-1/0", "j-1/1", "j-1/2"}
+	if shared {
+		jobs, tasks = []string{"j-1", "j-2", "j-3"}, []string{"j-1/0", "j-2/0", "j-3/0"}
+	}
+	for _, uid := range jobs {
+		cluster.submit(node, jobSpec(uid, func(spec *wire.Spec) { spec.Tasks = len(tasks) / len(jobs) }))
+	}
+	cluster.submit(node, jobSpec("j-7", func(spec *wire.Spec) { spec.Kind, spec.Tasks = wire.KindService, 1 }))
+	return tasks
+}
+
+// checkDamagedAttemptRecord damages the record of the attempts of one job, or the shared record of those of
+// three jobs, and loses the last task.
+func checkDamagedAttemptRecord(t *testing.T, shared bool) {
+	t.Helper()
+	cluster, nodeA, nodeB := clusterWithTwoNodes(t, withTeamLimit(8))
+	oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
+	tasks := submitDamagedRecordJobs(cluster, nodeA, shared)
+	cluster.syncAndSettle(oldLeader)
+	key := store.ChunkKey("j-1", 0)
+	if shared {
+		key = cluster.state.Keys(store.PrefixShared)[0]
+	}
+	cluster.writeRecord(nodeA, key, damagedRecord)
+	stop()
+	worker.EndTask(tasks[2], "lost") // gone without a trace
+	forgetEnded(worker, oldLeader.term.Token)
+	newLeader, _ := cluster.elect(nodeB)
+	if use := newLeader.quota.Usage("team").Total.Cores.Decimal(); use < 8 {
+		t.Fatalf("shared %t: the team uses %v, want that what may run counts", shared, use)
+	}
+	cluster.submit(nodeB, jobSpec("j-8", nil))
+	cluster.resync(newLeader)
+	report := func() {
+		heartbeat(t, newLeader, worker)
+		heartbeat(t, newLeader, other)
+		cluster.lookUpOrphans(newLeader)
+		cluster.settle(newLeader)
+	}
+	report()
+	report()
+	if got := worker.LiveTasks(); !slices.Contains(got, tasks[0]) || !slices.Contains(got, tasks[1]) {
+		t.Fatalf("shared %t: what ran is stopped: %v", shared, got)
+	}
+	workers := []*standin.Worker{worker, other}
+	if got := startedAttemptsOf(workers, tasks[2]); len(got) != 1 {
+		t.Fatalf("shared %t: started before every machine was reconciled: %v", shared, got)
+	}
+	for range 4 {
+		cluster.advance(8 * time.Second)
+		report()
+	}
+	starts := checkStartedOnce(t, workers)
+	live := append(worker.LiveTasks(), other.LiveTasks()...)
+	for _, task := range tasks {
+		if !slices.Contains(live, task) {
+			t.Errorf("shared %t: %s does not run: %v, starts %v", shared, task, live, starts)
 		}
 	}
+	if again := startedAttemptsOf(workers, tasks[2]); len(again) != 2 || len(again[1]) < len("j-1/2#4294967296") {
+		t.Errorf("shared %t: attempts of the lost task: %v, want a new one far above the first", shared, again)
+	}
+	if keys := cluster.state.Keys(key); shared && len(keys) != 0 {
+		t.Errorf("the damaged record is still there: %v", keys)
+	}
+	// The next leader finds whole records.
+	records, err := recovery.Read(t.Context(), nodeB.store)
+	if err != nil || len(records.Damaged) != 0 {
+		t.Errorf("shared %t: left behind: %+v, %v", shared, records.Damaged, err)
+	}
 }
 
 // A machine that has not reported the new leader's token may yet receive an old command: no task of
 // an unreadable record starts while the machine's lease may last, although it answers probes.
 func TestUnreconciledMachineDelaysUnreadableTasks(t *testing.T) {
 	cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
-	oldLeader, stop := cluster.elect(nodeA)
-	worker, other := cluster.worker("n-1", "x", true), cluster.worker("n-2", "y", true)
-	heartbeat(t, oldLeader, worker)
+	oldLeader, stop, worker, other := cluster.electWithWorkers(nodeA)
 	cluster.submit(nodeA, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks = 3 }))
 	cluster.syncAndSettle(oldLeader)
 	cluster.writeRecord(nodeA, store.ChunkKey("j-1", 0), damagedRecord)
--- a/recording_test.go
+++ b/recording_test.go
@@ -6,7 +6,6 @@
 	"testing"
 	"time"
 
-	"cedardoor/internal/standin"
 	"cedardoor/statewriter"
 	"cedardoor/store"
 	"cedardoor/wire"
@@ -15,7 +14,7 @@
 // The number of changes follows the records written, not the tasks: results are recorded together,
 // and the placements of a job in one change.
 func TestChangesFollowRecordsNotTasks(t *testing.T) {
-	puts := func(tasks int) (placed, ended int) {
+	changes := func(tasks int) (placed, ended int) {
 		cluster, node, leader, worker := clusterWithWorker(t)
 		cluster.submit(node, jobSpec("j-1", func(spec *wire.Spec) { spec.Tasks, spec.Cores, spec.RAM = tasks, 0.05, 0.1 }))
 		cluster.resync(leader)
@@ -34,8 +33,8 @@
 		cluster.reportAndSettle(leader, worker)
 		return placed, cluster.state.ChangeCount() - before
 	}
-	fewPlaced, fewEnded := puts(6)
-	manyPlaced, manyEnded := puts(110)
+	fewPlaced, fewEnded := changes(6)
+	manyPlaced, manyEnded := changes(110)
 	if fewPlaced != manyPlaced || fewEnded != manyEnded {
 		t.Errorf("6 tasks take %d and %d changes, 110 take %d and %d", fewPlaced, fewEnded, manyPlaced, manyEnded)
 	}
@@ -45,41 +44,34 @@
 // change. The changes of a job do not grow with their number, and a failover neither loses a job
 // nor runs one twice.
 func TestSingleTaskJobsShareRecords(t *testing.T) {
-	puts := func(jobs int) float64 {
+	changesPerJob := func(jobs int) float64 {
 		cluster, nodeA, nodeB := clusterWithTwoNodes(t, nil)
-		l, stop := cluster.elect(nodeA)
-		var workers []*standin.Worker
-		for i := range 4 {
-			worker := cluster.worker(fmt.Sprintf("n-%d", i+1), "x", true)
-			heartbeat(t, l, worker)
-			workers = append(workers, worker)
-		}
+		leader, stop := cluster.elect(nodeA)
+		workers := cluster.workers(leader, "n-%d", 4)
 		uid := func(k int) string { return fmt.Sprintf("j-%d", k) }
 		for k := range jobs {
 			cluster.submit(nodeA, jobSpec(uid(k), func(spec *wire.Spec) { spec.Cores, spec.RAM = 0.25, 0.5 }))
 		}
 		accepted := cluster.state.ChangeCount()
-		cluster.resync(l)
-		ended := map[string]bool{}
-		work := func(leader *leader, rounds int) {
+		cluster.resync(leader)
+		work := func(rounds int) {
 			for range rounds {
 				cluster.settle(leader)
 				for _, worker := range workers {
 					for _, task := range worker.LiveTasks() {
 						worker.EndTask(task, wire.CauseDone)
-						ended[task] = true
 					}
 					heartbeat(t, leader, worker)
 				}
 				cluster.advance(time.Second)
 			}
 		}
-		work(l, 1)
-		cluster.settle(l)
+		work(1)
+		cluster.settle(leader)
 		stop()
-		l, _ = cluster.elect(nodeB)
-		work(l, 12)
-		cluster.settle(l)
+		leader, _ = cluster.elect(nodeB)
+		work(12)
+		cluster.settle(leader)
 		for k := range jobs {
 			if _, status, _ := cluster.ask(nodeB, http.MethodGet, jobPath(uid(k)), nil); status.Status != wire.JobDone {
 				t.Fatalf("%s of %d: %+v, want done", uid(k), jobs, status)
@@ -88,15 +80,7 @@
 				t.Fatalf("%s submitted again: %d %+v", uid(k), code, status)
 			}
 		}
-		seen := map[string]bool{}
-		for _, worker := range workers {
-			for _, k := range worker.StartedAttempts() {
-				if seen[k] {
-					t.Errorf("%s started twice", k)
-				}
-				seen[k] = true
-			}
-		}
+		seen := checkStartedOnce(t, workers)
 		if len(seen) != jobs {
 			t.Errorf("%d attempts of %d jobs, want one each", len(seen), jobs)
 		}
@@ -111,7 +95,7 @@
 		return float64(cluster.state.ChangeCount()-accepted) / float64(jobs)
 	}
 	// One for the end, two for the move, and a share of the attempts'.
-	small, large := puts(120), puts(480)
+	small, large := changesPerJob(120), changesPerJob(480)
 	if small > 3.6 || large > 3.4 {
 		t.Errorf("%.2f and %.2f changes a job of 120 and 480, want little more than 3", small, large)
 	}
