--- a/bench_test.go
+++ b/bench_test.go
@@ -102,7 +102,9 @@
 	reports := map[int][]wire.TaskReport{}
 	leader.fleet.EachMachine(func(machine *fleet.Machine) {
 		var index int
-		fmt.Sscanf(machine.Name, "n-%d", &index)
+		if _, err := fmt.Sscanf(machine.Name, "n-%d", &index); err != nil {
+			panic(err) // every machine of the bench has such a name
+		}
 		machine.EachAllocation(func(allocation *fleet.Allocation) {
 			task := wire.TaskReport{Task: allocation.Task.String(), Attempt: allocation.Attempt, Status: wire.TaskRunning}
 			if round == 2 {
--- a/total_loss_test.go
+++ b/total_loss_test.go
@@ -74,7 +74,7 @@
 func TestCheckerDetectsLeaderThatStartsAtOnce(t *testing.T) {
 	forget := func(records *recovery.Records) {
 		for i := range records.Chunks {
-			records.Chunks[i].Runs = nil
+			records.Chunks[i].Attempts = nil
 		}
 		records.Shared = nil
 	}
