--- a/changefeed/feed.go
+++ b/changefeed/feed.go
@@ -24,7 +24,7 @@
 	readAt             clock.Micros       // when the last read of changes that was answered began
 	leaseHeldSince     clock.Micros       // since when the leader's lease has been held without a break
 	stopWatch          context.CancelFunc // ends the watch that waits, nil when none does
-	// cancellationPending are the jobs that are said to be cancelled, and when that was heard.
+	// cancellationPending are the jobs that are said to be cancelled, and when that was reported.
 	cancellationPending map[*jobs.Job]clock.Micros
 }
 
@@ -67,8 +67,8 @@
 	if read.LeaseHeld {
 		f.syncedInterruption = max(f.syncedInterruption, read.Interruption)
 	}
-	for job, heardAt := range f.cancellationPending {
-		if heardAt < read.BeganAt || job.Cancelled {
+	for job, reportedAt := range f.cancellationPending {
+		if reportedAt < read.BeganAt || job.Cancelled {
 			job.CancellationPending = false
 			delete(f.cancellationPending, job)
 			changed = true
--- a/control_loop.go
+++ b/control_loop.go
@@ -135,12 +135,13 @@
 	}
 }
 
-// resignIfIsolated gives leadership up when no worker at all is heard any more, or none hears.
+// resignIfIsolated gives leadership up when no worker at all reports any more, or none acknowledges
+// commands.
 func (l *leader) resignIfIsolated(ctx context.Context) {
 	now := l.clock.Now()
 	l.mu.Lock()
 	isolation := l.detector.Isolation(now)
-	unfound := !l.detector.HasHeardWorkers() && now-l.term.Since < l.maxReportDelay()
+	unfound := !l.detector.HasReports() && now-l.term.Since < l.maxReportDelay()
 	l.mu.Unlock()
 	if !isolation.Silent && isolation.NotAcknowledging == 0 {
 		return
--- a/detector/detector.go
+++ b/detector/detector.go
@@ -79,8 +79,8 @@
 // HeartbeatReceived notes that a heartbeat of any worker came.
 func (d *Detector) HeartbeatReceived(now clock.Micros) { d.lastHeartbeat = now }
 
-// HasHeardWorkers tells whether any heartbeat came in this term.
-func (d *Detector) HasHeardWorkers() bool { return d.lastHeartbeat > d.Since }
+// HasReports tells whether any heartbeat came in this term.
+func (d *Detector) HasReports() bool { return d.lastHeartbeat > d.Since }
 
 // CheckPause notes when this process went on after a pause in which its clocks ran on. Whatever
 // seemed silent, idle or slow to boot meanwhile was only not listened to, so that is counted from
--- a/detector/isolation.go
+++ b/detector/isolation.go
@@ -28,7 +28,7 @@
 // nextReport is by when each machine reports again.
 func (d *Detector) nextReport() clock.Micros { return d.ReportInterval + d.ReportInterval/4 }
 
-// silence is for how long no worker was heard that should have been.
+// silence is for how long no worker reported that should have.
 func (d *Detector) silence(now clock.Micros) clock.Micros {
 	return now - max(d.lastHeartbeat, d.Since, d.runningSince)
 }
@@ -59,11 +59,11 @@
 // Isolation is why a leader should resign: this node may be cut off from the workers while another
 // is not. If nobody reaches them, leadership goes round, which harms nothing.
 type Isolation struct {
-	Silent           bool // no worker at all is heard any more
+	Silent           bool // no worker at all reports any more
 	NotAcknowledging int  // machines that do not acknowledge commands, where these are most
 }
 
-// Isolation looks whether the workers are heard and hear.
+// Isolation looks whether the workers report and acknowledge commands.
 func (d *Detector) Isolation(now clock.Micros) (isolation Isolation) {
 	isolation.Silent = d.Fleet.Len() >= minReporters && d.silence(now) > d.maxSilence() && d.expectedReporters() >= minReporters
 	if d.notAcknowledging >= minNotAcknowledging && 2*d.notAcknowledging > d.Fleet.Len() {
--- a/reconciliation/reconciler.go
+++ b/reconciliation/reconciler.go
@@ -79,7 +79,7 @@
 	r.progress.Resolve(machine.Name, recovery.MachineGone, now)
 }
 
-// Reconnecting tells whether the workers have yet to find this leader: those that are not heard are
+// Reconnecting tells whether the workers have yet to find this leader: those that do not report are
 // not lost.
 func (r *Reconciler) Reconnecting(now clock.Micros) bool {
 	return r.progress.Reconnecting(now, r.MaxReportDelay, r.isolated)
