--- a/lead/campaign.go
+++ b/election/campaign.go
@@ -1,4 +1,4 @@
-package lead
+package election
 
 import (
 	"context"
--- a/lead/elector.go
+++ b/election/elector.go
@@ -1,7 +1,7 @@
-// Package lead elects the controller that acts for the service, and issues the
+// Package election elects the controller that acts for the service, and issues the
 // fencing tokens under which it does. Leadership is a leased key in the state
-// service: whoever creates the key leads until its lease lapses.
-package lead
+// service: whoever creates the key leads until its lease expires.
+package election
 
 import (
 	"context"
--- a/failover_test.go
+++ b/failover_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"cedardoor/lead"
+	"cedardoor/election"
 	"cedardoor/store"
 	"cedardoor/wire"
 
@@ -165,10 +165,10 @@
 			}
 			fault.inject(cluster.state)
 			ctx, cancel := context.WithCancel(t.Context())
-			ready, done := make(chan lead.Term, 1), make(chan struct{})
+			ready, done := make(chan election.Term, 1), make(chan struct{})
 			go func() {
 				defer close(done)
-				nodeA.elector.Run(ctx, func(ctx context.Context, term lead.Term) { ready <- term; <-ctx.Done() })
+				nodeA.elector.Run(ctx, func(ctx context.Context, term election.Term) { ready <- term; <-ctx.Done() })
 			}()
 			for cluster.state.LostResponses() == 0 && cluster.state.DelayedCount() == 0 {
 				runtime.Gosched()
--- a/harness_cluster_test.go
+++ b/harness_cluster_test.go
@@ -15,8 +15,8 @@
 
 	"cedardoor/clock"
 	"cedardoor/config"
+	"cedardoor/election"
 	"cedardoor/internal/standin"
-	"cedardoor/lead"
 	"cedardoor/peer"
 	"cedardoor/wire"
 
@@ -84,11 +84,11 @@
 func (s *testCluster) elect(node *Service) (leader *leader, stop func()) {
 	s.tb.Helper()
 	ctx, cancel := context.WithCancel(s.tb.Context())
-	ready := make(chan lead.Term)
+	ready := make(chan election.Term)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		node.elector.Run(ctx, func(ctx context.Context, term lead.Term) {
+		node.elector.Run(ctx, func(ctx context.Context, term election.Term) {
 			select {
 			case ready <- term:
 			case <-ctx.Done():
@@ -167,13 +167,13 @@
 }
 
 // acquireTerm makes a node lead for the rest of the test, without loading the records.
-func (s *testCluster) acquireTerm(node *Service) lead.Term {
+func (s *testCluster) acquireTerm(node *Service) election.Term {
 	s.tb.Helper()
 	ctx, cancel := context.WithCancel(s.tb.Context())
-	ready, done := make(chan lead.Term, 1), make(chan struct{})
+	ready, done := make(chan election.Term, 1), make(chan struct{})
 	go func() {
 		defer close(done)
-		node.elector.Run(ctx, func(ctx context.Context, term lead.Term) { ready <- term; <-ctx.Done() })
+		node.elector.Run(ctx, func(ctx context.Context, term election.Term) { ready <- term; <-ctx.Done() })
 	}()
 	s.tb.Cleanup(func() { cancel(); <-done })
 	return <-ready
--- a/leader.go
+++ b/leader.go
@@ -16,9 +16,9 @@
 	"cedardoor/connlimit"
 	"cedardoor/detector"
 	"cedardoor/dispatcher"
+	"cedardoor/election"
 	"cedardoor/fleet"
 	"cedardoor/jobs"
-	"cedardoor/lead"
 	"cedardoor/metrics"
 	"cedardoor/planinput"
 	"cedardoor/quota"
@@ -39,7 +39,7 @@
 type leader struct {
 	environment
 
-	term    lead.Term
+	term    election.Term
 	wakeups chan struct{} // asks the control loop for a pass
 
 	mu              sync.Mutex      // guards everything below
@@ -65,7 +65,7 @@
 	operator *config.Operator
 	clock    *clock.Clock
 	store    *store.Client
-	elector  *lead.Elector
+	elector  *election.Elector
 	workers  *agent.Client
 	cloud    *cloud.Client
 	log      *slog.Logger
@@ -76,7 +76,7 @@
 	isolated    func(ctx context.Context) bool
 }
 
-func newLeader(s *Service, term lead.Term) *leader {
+func newLeader(s *Service, term election.Term) *leader {
 	ledger := s.newLedger(config.TeamLimits(s.cfg.Facts.Teams))
 	l := &leader{
 		environment: environment{cfg: s.cfg, operator: s.operator, clock: s.clock, store: s.store, elector: s.elector,
@@ -120,7 +120,7 @@
 
 // predecessorLease is how long the answers of a predecessor may keep a worker's lease from now on.
 func (l *leader) predecessorLease() clock.Micros {
-	return (l.workerLease() + lead.AttestationTTL).Stretch(clock.Drift) + clock.Second
+	return (l.workerLease() + election.AttestationTTL).Stretch(clock.Drift) + clock.Second
 }
 
 // maxReportDelay is how long a worker may take to find this leader where no other controller
--- a/service.go
+++ b/service.go
@@ -20,7 +20,7 @@
 	"cedardoor/cloud"
 	"cedardoor/config"
 	"cedardoor/connlimit"
-	"cedardoor/lead"
+	"cedardoor/election"
 	"cedardoor/leaderview"
 	"cedardoor/metrics"
 	"cedardoor/peer"
@@ -56,7 +56,7 @@
 	operator *config.Operator
 	clock    *clock.Clock
 	store    *store.Client
-	elector  *lead.Elector
+	elector  *election.Elector
 	workers  *agent.Client
 	cloud    *cloud.Client
 	users    *api.Server
@@ -88,7 +88,7 @@
 	s.catalog = catalogCache{store: s.store, cloud: s.cloud, clock: clk}
 	s.budget = connlimit.NewBudget(facts.Limits.FDLimit, facts.Limits.MemMB)
 	s.workers = agent.NewClient(s.budget.IdleWorkerConnections)
-	s.elector = lead.New(cfg.Node, s.store, clk, operator, s.requestAttestations, log)
+	s.elector = election.New(cfg.Node, s.store, clk, operator, s.requestAttestations, log)
 	s.peers = peering.New(clk, func() string { return s.elector.Leader() }, log)
 	for _, other := range cfg.Others {
 		s.peers.Add(other.Node, other.Addr)
@@ -207,7 +207,7 @@
 }
 
 // serveTerm leads for one term.
-func (s *Service) serveTerm(ctx context.Context, term lead.Term) {
+func (s *Service) serveTerm(ctx context.Context, term election.Term) {
 	for ctx.Err() == nil {
 		l := newLeader(s, term)
 		s.current.Store(l)
