--- a/api/query.go
+++ b/api/query.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"cedardoor/agent"
+	"cedardoor/peer"
 	"cedardoor/store"
 	"cedardoor/wire"
 
@@ -89,9 +90,9 @@
 	return finalStatus(uid, job.final), nil
 }
 
-func unfinishedStatus(uid string, counts taskCounts) wire.JobStatus {
-	status := wire.JobStatus{UID: uid, Status: wire.JobQueued, Done: counts.done, Running: counts.running}
-	if counts.running > 0 {
+func unfinishedStatus(uid string, counts peer.TaskCounts) wire.JobStatus {
+	status := wire.JobStatus{UID: uid, Status: wire.JobQueued, Done: counts.Done, Running: counts.Running}
+	if counts.Running > 0 {
 		status.Status = wire.JobRunning
 	}
 	return status
--- a/api/server.go
+++ b/api/server.go
@@ -9,6 +9,7 @@
 
 	"cedardoor/clock"
 	"cedardoor/config"
+	"cedardoor/peer"
 	"cedardoor/quota"
 	"cedardoor/store"
 	"cedardoor/wire"
@@ -31,7 +32,7 @@
 	// Catalog returns the machine types; false if they are unknown.
 	Catalog func(ctx context.Context) (wire.Catalog, bool)
 	// Counts returns how many tasks of each job are done and running.
-	Counts func(ctx context.Context, uids []string) map[string][2]int
+	Counts func(ctx context.Context, uids []string) map[string]peer.TaskCounts
 	// Relay sends a request to the other controllers and returns a response, unless none could
 	// serve it. It may be nil.
 	Relay func(ctx context.Context, method, path string, body []byte) (status int, response []byte, ok bool)
--- a/api/status_reader.go
+++ b/api/status_reader.go
@@ -6,6 +6,7 @@
 	"sync"
 
 	"cedardoor/clock"
+	"cedardoor/peer"
 	"cedardoor/store"
 )
 
@@ -19,7 +20,7 @@
 type statusReader struct {
 	store       *store.Client
 	clock       *clock.Clock
-	counts      func(ctx context.Context, uids []string) map[string][2]int
+	counts      func(ctx context.Context, uids []string) map[string]peer.TaskCounts
 	onFinal     func(uid string, final store.FinalRecord, revision uint64) // called with final states that changes bring; may be nil
 	minInterval clock.Micros                                               // between reads
 
@@ -38,12 +39,9 @@
 	done   chan struct{}
 	err    error
 	states map[string]recordState
-	counts map[string][2]int // tasks done and running
+	counts map[string]peer.TaskCounts
 }
 
-// taskCounts are how many tasks of a job are done and running.
-type taskCounts struct{ done, running int }
-
 // recordState is the state of a job's record among those of the unfinished jobs.
 type recordState int
 
@@ -74,14 +72,13 @@
 func jobOfKey(key string) string { return key[min(len(store.PrefixJob), len(key)):] }
 
 // read returns the state of a job's record now, and its tasks' counts.
-func (r *statusReader) read(ctx context.Context, uid string) (recordState, taskCounts, error) {
+func (r *statusReader) read(ctx context.Context, uid string) (recordState, peer.TaskCounts, error) {
 	read := r.join(uid)
 	select {
 	case <-read.done:
-		counts := read.counts[uid]
-		return read.states[uid], taskCounts{done: counts[0], running: counts[1]}, read.err
+		return read.states[uid], read.counts[uid], read.err
 	case <-ctx.Done():
-		return recordAbsent, taskCounts{}, ctx.Err()
+		return recordAbsent, peer.TaskCounts{}, ctx.Err()
 	}
 }
 
@@ -128,7 +125,7 @@
 func (r *statusReader) serve(read *sharedRead) {
 	ctx, cancel := context.WithTimeout(context.Background(), statusReadTimeout.Duration())
 	defer cancel()
-	counts := make(chan map[string][2]int, 1)
+	counts := make(chan map[string]peer.TaskCounts, 1)
 	go func() { counts <- r.counts(ctx, read.uids) }()
 	read.err = r.catchUp(ctx)
 	read.states = make(map[string]recordState, len(read.uids))
--- a/api/status_reader_test.go
+++ b/api/status_reader_test.go
@@ -10,6 +10,7 @@
 	"cedardoor/clock"
 	"cedardoor/config"
 	"cedardoor/internal/standin"
+	"cedardoor/peer"
 	"cedardoor/store"
 	"cedardoor/wire"
 
@@ -31,7 +32,7 @@
 		}
 	}
 	return &statusReader{store: client, clock: clock.New(nil), records: map[string]recordState{},
-		counts: func(context.Context, []string) map[string][2]int { return nil }}, state
+		counts: func(context.Context, []string) map[string]peer.TaskCounts { return nil }}, state
 }
 
 // waiting is the number of queries that wait for the next read.
--- a/heartbeats.go
+++ b/heartbeats.go
@@ -3,6 +3,7 @@
 import (
 	"cedardoor/clock"
 	"cedardoor/fleet"
+	"cedardoor/peer"
 	"cedardoor/wire"
 )
 
@@ -70,13 +71,13 @@
 }
 
 // counts tells how many tasks of jobs are done and running.
-func (l *leader) counts(uids []string) map[string][2]int {
+func (l *leader) counts(uids []string) map[string]peer.TaskCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := make(map[string][2]int, len(uids))
+	out := make(map[string]peer.TaskCounts, len(uids))
 	for _, uid := range uids {
 		if job := l.jobs.Get(uid); job != nil && l.loaded {
-			out[uid] = [2]int{job.Done, job.Running}
+			out[uid] = peer.TaskCounts{Done: job.Done, Running: job.Running}
 		}
 	}
 	return out
--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -75,7 +75,7 @@
 func goldenResponses() []Response {
 	return []Response{
 		{Attestation: Attestation{Attested: true, Cancelled: []string{"j-3"}}},
-		{Counts: map[string][2]int{"j-5": {2, 3}}},
+		{Counts: map[string]TaskCounts{"j-5": {Done: 2, Running: 3}}},
 		{User: UserResponse{Status: 200, Body: []byte("answer"), CancelRevision: 78}},
 		{TeamsPage: []byte("page")},
 		{Report: []byte("{}")},
--- a/peer/message.go
+++ b/peer/message.go
@@ -52,12 +52,15 @@
 // Response is the answer to a Request.
 type Response struct {
 	Attestation Attestation
-	Counts      map[string][2]int // of each job's tasks: how many are done, how many are running
+	Counts      map[string]TaskCounts // by job
 	User        UserResponse
 	TeamsPage   []byte // an encoded TeamsPage; empty unless the sender leads
 	Report      []byte // empty unless the sender leads
 }
 
+// TaskCounts is how many tasks of a job are done and how many are running.
+type TaskCounts struct{ Done, Running int }
+
 // Attestation is the answer to an AttestationRequest; without Attested it says nothing.
 type Attestation struct {
 	// Attested tells that the state service refuses the sender, which knows no later
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -22,7 +22,7 @@
 		Serve(ctx, listener, func(_ context.Context, request Request) Response {
 			return Response{
 				Attestation: Attestation{Attested: request.Attestation.Requested, Cancelled: []string{"j-2"}},
-				Counts:      map[string][2]int{request.CountsOf[0]: {4, 2}},
+				Counts:      map[string]TaskCounts{request.CountsOf[0]: {4, 2}},
 			}
 		}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	}()
@@ -32,7 +32,7 @@
 		t.Helper()
 		response, err := link.Call(t.Context(), Request{Attestation: AttestationRequest{Requested: true}, CountsOf: []string{"j-1"}})
 		attestation := response.Attestation
-		if err != nil || !attestation.Attested || len(attestation.Cancelled) != 1 || response.Counts["j-1"] != [2]int{4, 2} {
+		if err != nil || !attestation.Attested || len(attestation.Cancelled) != 1 || response.Counts["j-1"] != (TaskCounts{Done: 4, Running: 2}) {
 			t.Fatalf("response %+v, %v", response, err)
 		}
 	}
--- a/peer/wire.go
+++ b/peer/wire.go
@@ -25,7 +25,7 @@
 // wireResponse is the form of a Response.
 type wireResponse struct {
 	Word   wireWord
-	Counts map[string][2]int
+	Counts map[string]wireCounts
 	Status int
 	Body   []byte
 	Teams  []byte
@@ -33,6 +33,9 @@
 	Epoch  uint64
 }
 
+// wireCounts is the form of TaskCounts: tasks done and tasks running.
+type wireCounts = [2]int
+
 // wireWord is the form of an Attestation.
 type wireWord struct {
 	Attests   bool
@@ -75,7 +78,7 @@
 func (r *Response) toWire() *wireResponse {
 	return &wireResponse{
 		Word:   wireWord{Attests: r.Attestation.Attested, Cancelled: r.Attestation.Cancelled},
-		Counts: r.Counts,
+		Counts: countsToWire(r.Counts),
 		Status: r.User.Status,
 		Body:   r.User.Body,
 		Teams:  r.TeamsPage,
@@ -87,9 +90,31 @@
 func (w *wireResponse) toResponse() Response {
 	return Response{
 		Attestation: Attestation{Attested: w.Word.Attests, Cancelled: w.Word.Cancelled},
-		Counts:      w.Counts,
+		Counts:      countsFromWire(w.Counts),
 		User:        UserResponse{Status: w.Status, Body: w.Body, CancelRevision: w.Epoch},
 		TeamsPage:   w.Teams,
 		Report:      w.Report,
 	}
 }
+
+func countsToWire(counts map[string]TaskCounts) map[string]wireCounts {
+	if counts == nil {
+		return nil
+	}
+	out := make(map[string]wireCounts, len(counts))
+	for uid, of := range counts {
+		out[uid] = wireCounts{of.Done, of.Running}
+	}
+	return out
+}
+
+func countsFromWire(counts map[string]wireCounts) map[string]TaskCounts {
+	if counts == nil {
+		return nil
+	}
+	out := make(map[string]TaskCounts, len(counts))
+	for uid, of := range counts {
+		out[uid] = TaskCounts{Done: of[0], Running: of[1]}
+	}
+	return out
+}
--- a/peer_requests.go
+++ b/peer_requests.go
@@ -107,7 +107,7 @@
 }
 
 // counts tells how many tasks of jobs are done and running, which is for display only.
-func (s *Service) counts(ctx context.Context, uids []string) map[string][2]int {
+func (s *Service) counts(ctx context.Context, uids []string) map[string]peer.TaskCounts {
 	if l := s.current.Load(); l != nil {
 		return l.counts(uids)
 	}
--- a/peering/peers.go
+++ b/peering/peers.go
@@ -124,7 +124,7 @@
 }
 
 // Counts asks the leader how many tasks of jobs are done and running.
-func (p *Peers) Counts(ctx context.Context, uids []string) map[string][2]int {
+func (p *Peers) Counts(ctx context.Context, uids []string) map[string]peer.TaskCounts {
 	link := p.relay[p.leader()]
 	if link == nil {
 		return nil
