--- a/attempts.go
+++ b/attempts.go
@@ -23,6 +23,8 @@
 	graceMarginS = 1
 	// minRunTimes is how many run times of a job tell how long its tasks take.
 	minRunTimes = 3
+	// causeGone is the cause, in the log, of an attempt that is gone without any result.
+	causeGone wire.Cause = "gone"
 	// slownessSamples is over how many tasks a machine's slowness is averaged.
 	slownessSamples = 6
 )
@@ -137,7 +139,7 @@
 func (l *leader) attemptUnfinished(job *jobs.Job, task *jobs.Task, allocation *fleet.Allocation, gone bool, now clock.Micros) {
 	cause := allocation.Cause
 	if gone {
-		cause = "gone"
+		cause = causeGone
 	}
 	l.log.Debug("task ended", "task", allocation.Task.String(), "attempt", allocation.Attempt, "cause", cause,
 		"machine", allocation.Machine.Name, "stopping", allocation.Stopping)
--- a/fleet/allocation.go
+++ b/fleet/allocation.go
@@ -45,13 +45,13 @@
 // Progress is how far an attempt has come.
 type Progress struct {
 	ReservedAt    clock.Micros
-	Durable       bool         // recorded: its run may be sent
-	Adopted       bool         // recorded by an earlier leader
-	Status        string       // as last reported; empty before the first report
-	RunningSince  clock.Micros // first seen running
-	Ended         bool         // takes no room any more
-	Cause         string       // why it ended
-	ResultDurable bool         // its end is recorded: the worker may forget it
+	Durable       bool            // recorded: its run may be sent
+	Adopted       bool            // recorded by an earlier leader
+	Status        wire.TaskStatus // as last reported; empty before the first report
+	RunningSince  clock.Micros    // first seen running
+	Ended         bool            // takes no room any more
+	Cause         wire.Cause      // why it ended
+	ResultDurable bool            // its end is recorded: the worker may forget it
 }
 
 // Live tells whether the attempt may be on its machine or may come to be.
--- a/fleet/fixture_test.go
+++ b/fleet/fixture_test.go
@@ -81,7 +81,7 @@
 }
 
 // onlyVerb is the verb of the only command; empty if there is none or there are several.
-func onlyVerb(commands []wire.Command) string {
+func onlyVerb(commands []wire.Command) wire.Verb {
 	if len(commands) != 1 {
 		return ""
 	}
--- a/fleet/orphans.go
+++ b/fleet/orphans.go
@@ -18,7 +18,7 @@
 // started nowhere else.
 
 // orphan is what a report shows of a task without an allocation.
-type orphan struct{ status string }
+type orphan struct{ status wire.TaskStatus }
 
 // sign is what the orphan's status tells the recovery rules.
 func (o orphan) sign() recovery.Observation {
@@ -38,7 +38,7 @@
 func (t *orphanTable) RunningOrphans() int { return t.runningOrphans }
 
 // addOrphan notes an orphan that a report shows.
-func (f *Fleet) addOrphan(machine *Machine, key attemptKey, status string) {
+func (f *Fleet) addOrphan(machine *Machine, key attemptKey, status wire.TaskStatus) {
 	shown := orphan{status: status}
 	machine.orphans[key] = shown
 	if shown.sign() != recovery.ObservedRunning {
--- a/harness_total_loss_test.go
+++ b/harness_total_loss_test.go
@@ -102,7 +102,7 @@
 func (h *eventLog) violations(from, back, to time.Time, cancelled func(uid string) bool) (violations []string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	ended := map[string]string{} // causes for which the last attempts of tasks ended, if they have
+	ended := map[string]wire.Cause{} // causes for which the last attempts of tasks ended, if they have
 	ran := map[string]bool{}
 	justified := map[string]bool{} // tasks that were stopped for a cause
 	running := map[jobOnMachine]int{}
--- a/internal/standin/events.go
+++ b/internal/standin/events.go
@@ -33,13 +33,13 @@
 	Kind    EventKind
 	Task    string
 	Attempt uint64
-	Verb    string // of EventCommand
-	Live    bool   // of EventCommand: the attempt is on the machine and has not ended
-	Cause   string // of EventEnded
+	Verb    wire.Verb  // of EventCommand
+	Live    bool       // of EventCommand: the attempt is on the machine and has not ended
+	Cause   wire.Cause // of EventEnded
 }
 
 // emitTaskEvent emits an event of a task. The caller holds mu.
-func (m *Machine) emitTaskEvent(kind EventKind, t *task, cause string) {
+func (m *Machine) emitTaskEvent(kind EventKind, t *task, cause wire.Cause) {
 	if m.OnEvent != nil {
 		m.OnEvent(Event{At: time.Now(), Machine: m.Info.UID, Kind: kind, Task: t.Task, Attempt: t.Attempt, Cause: cause})
 	}
--- a/internal/standin/machine.go
+++ b/internal/standin/machine.go
@@ -182,7 +182,7 @@
 }
 
 // endTask ends a task, which is reported as a change. The caller holds mu.
-func (m *Machine) endTask(t *task, cause string) {
+func (m *Machine) endTask(t *task, cause wire.Cause) {
 	t.Status, t.Cause = wire.TaskEnded, cause
 	m.reports.changed = true
 	m.emitTaskEvent(EventEnded, t, cause)
--- a/internal/standin/machine_report.go
+++ b/internal/standin/machine_report.go
@@ -122,7 +122,7 @@
 // dropTasks ends all tasks at once, without a report. Results are lost with them that no report with a
 // response has carried, or only one right before the last response: the controller may have ended
 // before it recorded them. The caller holds mu.
-func (m *Machine) dropTasks(cause string) {
+func (m *Machine) dropTasks(cause wire.Cause) {
 	for _, t := range m.tasks {
 		lost := t.reportedAt.IsZero() || m.leaseStart.Sub(t.reportedAt) < maxRecordTime
 		if t.live() || lost && cause != CauseMachineRemoved { // results on a returned machine have been recorded
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -100,7 +100,7 @@
 }
 
 // EndTask ends a task with a cause.
-func (w *Worker) EndTask(name, cause string) {
+func (w *Worker) EndTask(name string, cause wire.Cause) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, task := range w.tasks {
--- a/wire/protocol.go
+++ b/wire/protocol.go
@@ -47,32 +47,41 @@
 	JobCancelled = "cancelled"
 )
 
+// Verb is what a command tells a worker to do.
+type Verb string
+
 // The verbs of commands to workers.
 const (
-	VerbRun    = "run"
-	VerbStop   = "halt"
-	VerbForget = "forget" // an ended task
+	VerbRun    Verb = "run"
+	VerbStop   Verb = "halt"
+	VerbForget Verb = "forget" // an ended task
 )
 
+// TaskStatus is the status of a task in a worker's report.
+type TaskStatus string
+
 // The statuses of tasks in workers' reports.
 const (
-	TaskFetching  = "fetching"  // its image
-	TaskGathering = "gathering" // of a gang, waiting for the others
-	TaskRunning   = "running"
-	TaskFlushing  = "flushing" // a checkpoint, before it ends
-	TaskEnded     = "ended"
+	TaskFetching  TaskStatus = "fetching"  // its image
+	TaskGathering TaskStatus = "gathering" // of a gang, waiting for the others
+	TaskRunning   TaskStatus = "running"
+	TaskFlushing  TaskStatus = "flushing" // a checkpoint, before it ends
+	TaskEnded     TaskStatus = "ended"
 )
 
+// Cause is why a task ended.
+type Cause string
+
 // The causes why tasks ended.
 const (
-	CauseDone    = "done"
-	CauseStopped = "stopped"
-	CauseError   = "error"
-	CauseFull    = "full"
-	CauseInUse   = "in_use"
-	CausePeers   = "peers" // of a gang that lost a task
-	CauseAlone   = "alone" // of a gang whose tasks did not all start
-	CauseNoSuch  = "no_such"
+	CauseDone    Cause = "done"
+	CauseStopped Cause = "stopped"
+	CauseError   Cause = "error"
+	CauseFull    Cause = "full"
+	CauseInUse   Cause = "in_use"
+	CausePeers   Cause = "peers" // of a gang that lost a task
+	CauseAlone   Cause = "alone" // of a gang whose tasks did not all start
+	CauseNoSuch  Cause = "no_such"
 )
 
 // The statuses of machines in the cloud.
--- a/wire/worker.go
+++ b/wire/worker.go
@@ -2,11 +2,11 @@
 
 // TaskReport is one task in a worker's report.
 type TaskReport struct {
-	Task         string `msgpack:"piece"`
-	Attempt      uint64 `msgpack:"try"`
-	Status       string `msgpack:"status"`
-	Cause        string `msgpack:"cause,omitempty"`
-	Checkpointed bool   `msgpack:"kept,omitempty"`
+	Task         string     `msgpack:"piece"`
+	Attempt      uint64     `msgpack:"try"`
+	Status       TaskStatus `msgpack:"status"`
+	Cause        Cause      `msgpack:"cause,omitempty"`
+	Checkpointed bool       `msgpack:"kept,omitempty"`
 }
 
 // Heartbeat is a worker's report.
@@ -32,7 +32,7 @@
 
 // Command is one command to a worker.
 type Command struct {
-	Verb    string   `msgpack:"verb"`
+	Verb    Verb     `msgpack:"verb"`
 	Task    string   `msgpack:"piece"`
 	Attempt uint64   `msgpack:"try"`
 	GraceS  *float64 `msgpack:"leeway_s,omitempty"`
