--- a/attribution/attribution.go
+++ b/attribution/attribution.go
@@ -125,8 +125,8 @@
 	return outcome
 }
 
-// TaskFailed takes a failure in. It tells how long the task has to back off beyond
-// Failure.RetryAt, where it fails wherever it runs.
+// TaskFailed takes a failure in. It tells whether the task is persistent: it fails wherever it runs,
+// while others of its job succeed, and has to back off beyond Failure.RetryAt.
 func (t *Tracker) TaskFailed(job Job, failure Failure, now clock.Micros) (outcome Outcome, persistent bool) {
 	history, machine := job.FailureHistory(), failure.Machine
 	if history.byMachine == nil {
--- a/autoscaler/constraints.go
+++ b/autoscaler/constraints.go
@@ -21,7 +21,7 @@
 	maxStuck = 8
 )
 
-// machineKind tells machines apart that may hold the same work.
+// machineKind tells machines apart that may hold the same work, and that the cloud may be short of.
 type machineKind struct {
 	machineType, zone string
 	preemptible       bool
--- a/autoscaler/fleet_view.go
+++ b/autoscaler/fleet_view.go
@@ -16,10 +16,6 @@
 	knownByZone  map[string]int // machines that report or are silent
 }
 
-// awaitedSlack is how much longer than two reports a machine that a predecessor recorded may take
-// to find this leader before others are rented in its stead.
-const awaitedSlack = 2 * clock.Second
-
 // viewFleet looks at every machine, and marks those that are to be returned.
 func (a *Autoscaler) viewFleet(v View) fleetView {
 	view := fleetView{silentByZone: map[string]int{}, knownByZone: map[string]int{}}
@@ -57,7 +53,7 @@
 			return
 		}
 		seen.Tasks++
-		if job, known := allocation.Owner.(*jobs.Job); known && job.IsService() {
+		if job := jobs.Of(allocation); job != nil && job.IsService() {
 			seen.Replicas++
 		}
 		if !allocation.Preemptible {
@@ -106,7 +102,7 @@
 	case machine.ListedAt > 0 && machine.CloudStatus != wire.MachineBooting && v.Now-machine.FirstSeen > a.silentTimeout():
 		return true
 	}
-	return v.Awaited.IsAwaited(machine) && v.Now-a.Since > 2*a.reportInterval()+awaitedSlack && !v.Reconnecting
+	return v.Awaited.IsAwaited(machine) && v.Now-a.Since > fleet.RediscoveryTimeout(a.reportInterval()) && !v.Reconnecting
 }
 
 // isSilent tells whether a machine that should report does not.
--- a/autoscaler/rentals.go
+++ b/autoscaler/rentals.go
@@ -28,23 +28,17 @@
 	notSeen map[string]clock.Micros // machines that are neither listed nor reporting yet, by when they were granted
 }
 
-// offer is what a rental asks for.
-type offer struct {
-	machineType, zone string
-	preemptible       bool
-}
-
 // rentals follows what this term has rented.
 type rentals struct {
 	sequence     int
 	pending      map[string]*rental      // by the request's name
 	rentedAt     map[string]clock.Micros // machines that have not booted yet, by when they were asked for
-	refusedUntil map[offer]clock.Micros
+	refusedUntil map[machineKind]clock.Micros
 	bootTimes    cloud.BootTimes // how long machines took lately
 }
 
 func newRentals() rentals {
-	return rentals{pending: map[string]*rental{}, rentedAt: map[string]clock.Micros{}, refusedUntil: map[offer]clock.Micros{}}
+	return rentals{pending: map[string]*rental{}, rentedAt: map[string]clock.Micros{}, refusedUntil: map[machineKind]clock.Micros{}}
 }
 
 // NewRequest makes the request for a rental, under a name that is never used again: it must be
@@ -70,12 +64,12 @@
 
 // Refused notes that the cloud had less than was asked for.
 func (a *Autoscaler) Refused(request wire.RentRequest, now clock.Micros) {
-	a.rentals.refusedUntil[offer{request.MachineType, request.Zone, request.Preemptible}] = now + refusalTime
+	a.rentals.refusedUntil[machineKind{request.MachineType, request.Zone, request.Preemptible}] = now + refusalTime
 }
 
-// isRefused tells whether the cloud had none of an offer lately.
+// isRefused tells whether the cloud had no machines of a kind lately.
 func (r *rentals) isRefused(machineType, zone string, preemptible bool) bool {
-	_, refused := r.refusedUntil[offer{machineType, zone, preemptible}]
+	_, refused := r.refusedUntil[machineKind{machineType, zone, preemptible}]
 	return refused
 }
 
--- a/detector/probes.go
+++ b/detector/probes.go
@@ -67,9 +67,6 @@
 	// probeSlack is how much longer than five quarters of a report interval a machine may be
 	// silent before it is probed: that is by when the next report comes.
 	probeSlack = 300 * clock.Millisecond
-	// awaitedSlack is how much longer than two report intervals a machine that a predecessor
-	// recorded may take to find this leader before it is probed.
-	awaitedSlack = 2 * clock.Second
 	// minPlausible and plausiblePart bound how many machines may be at fault at once.
 	minPlausible  = 2
 	plausiblePart = 5
@@ -122,7 +119,7 @@
 
 // silentMachines lists the machines that are silent, and may hold something.
 func (d *Detector) silentMachines(now clock.Micros) (silent []*fleet.Machine) {
-	for _, machine := range d.Fleet.SilentMachines(now, d.ReportInterval+d.ReportInterval/4+probeSlack) {
+	for _, machine := range d.Fleet.SilentMachines(now, d.nextReport()+probeSlack) {
 		if !machine.Returning && !machine.LeaseExpired(now) {
 			silent = append(silent, machine)
 		}
@@ -130,7 +127,7 @@
 	// Recorded by a predecessor, and silent since: with leaders changing, each would wait out a
 	// whole lease anew. Machines that boot hold nothing and are not silent; counting them once
 	// kept a hung one from being returned.
-	if now-d.Since <= 2*d.ReportInterval+awaitedSlack {
+	if now-d.Since <= fleet.RediscoveryTimeout(d.ReportInterval) {
 		return silent
 	}
 	for machine := range d.awaited {
--- a/fleet/liveness.go
+++ b/fleet/liveness.go
@@ -10,6 +10,16 @@
 // one untrustworthy: it may be a copy that was held up.
 const suspectReports = 2
 
+// rediscoverySlack is how much longer than two report intervals a machine may take
+// to find a new leader.
+const rediscoverySlack = 2 * clock.Second
+
+// RediscoveryTimeout is how long after the start of a term a machine that a
+// predecessor recorded may be silent: its worker has yet to find the new leader.
+func RediscoveryTimeout(reportInterval clock.Micros) clock.Micros {
+	return 2*reportInterval + rediscoverySlack
+}
+
 // Liveness is whether a machine is there. A late copy of a heartbeat can be the
 // first that a new leader receives, or the first after a long silence. So a
 // machine is trusted once it has shown a token of this term, which no earlier
--- a/jobs/job.go
+++ b/jobs/job.go
@@ -346,12 +346,18 @@
 	return false
 }
 
+// Of is the job that an allocation is of; nil where the leader does not know it.
+func Of(allocation *fleet.Allocation) *Job {
+	job, _ := allocation.Owner.(*Job)
+	return job
+}
+
 // HoldsReplica tells whether a replica of a service may be on a machine.
 func HoldsReplica(machine *fleet.Machine) bool {
 	found := false
 	machine.EachAllocation(func(allocation *fleet.Allocation) {
-		job, known := allocation.Owner.(*Job)
-		found = found || allocation.Live() && known && job.IsService() && !job.Cancelled
+		job := Of(allocation)
+		found = found || allocation.Live() && job != nil && job.IsService() && !job.Cancelled
 	})
 	return found
 }
--- a/jobs/table.go
+++ b/jobs/table.go
@@ -99,8 +99,8 @@
 // CapacityChanged keeps the counts that the planner's rules look at: of a job's tasks by zone
 // and machine. It is told of every allocation that comes to take room (+1) or no longer does (-1).
 func (t *Table) CapacityChanged(allocation *fleet.Allocation, zone string, sign int) {
-	job, ok := allocation.Owner.(*Job)
-	if !ok {
+	job := Of(allocation)
+	if job == nil {
 		return
 	}
 	job.Plan.Count(zone, allocation.Machine.Name, sign)
--- a/planinput/machines.go
+++ b/planinput/machines.go
@@ -75,7 +75,7 @@
 				planned.Stopping.RAM += allocation.RAM
 			}
 		default:
-			if job, known := allocation.Owner.(*jobs.Job); known && mayPreempt(job, allocation, guarantees) {
+			if job := jobs.Of(allocation); job != nil && mayPreempt(job, allocation, guarantees) {
 				planned.Victims = append(planned.Victims, newVictim(job, allocation))
 			}
 		}
--- a/planinput/snapshot.go
+++ b/planinput/snapshot.go
@@ -141,8 +141,8 @@
 	}
 	for _, machine := range machines {
 		machine.EachAllocation(func(allocation *fleet.Allocation) {
-			job, known := allocation.Owner.(*jobs.Job)
-			if !known || !mayMove(job, allocation) {
+			job := jobs.Of(allocation)
+			if job == nil || !mayMove(job, allocation) {
 				return
 			}
 			reason := repairReason(job, allocation, s.Now, sharing > 0)
