--- a/autoscaler/demand.go
+++ b/autoscaler/demand.go
@@ -58,13 +58,8 @@
 }
 
 // finishWithin is by when jobs of a class should be done, in seconds; zero when nothing is said.
-func (a *Autoscaler) finishWithin(class string) (within float64) {
-	for _, objective := range a.Facts.Objectives {
-		if objective.Kind == config.ObjectiveFinished && objective.Class == class && (within == 0 || objective.WithinS < within) {
-			within = objective.WithinS
-		}
-	}
-	return within
+func (a *Autoscaler) finishWithin(class string) float64 {
+	return a.Facts.ShortestObjective(config.ObjectiveFinished, class)
 }
 
 // quickestBoot is how long the machine type boots that is up soonest, in seconds.
--- a/config/platform.go
+++ b/config/platform.go
@@ -58,6 +58,17 @@
 	Share   float64 `json:"share"`
 }
 
+// ShortestObjective is the shortest time, in seconds, that the objectives of a kind name for a class;
+// zero when none does.
+func (f *Facts) ShortestObjective(kind, class string) (withinS float64) {
+	for _, objective := range f.Objectives {
+		if objective.Kind == kind && objective.Class == class && (withinS == 0 || objective.WithinS < withinS) {
+			withinS = objective.WithinS
+		}
+	}
+	return withinS
+}
+
 // Workers is the workers' timing.
 type Workers struct {
 	ReportS float64 `json:"report_s"` // interval of heartbeats
--- a/jobs/job.go
+++ b/jobs/job.go
@@ -128,7 +128,7 @@
 		job.Tasks[i].queued = true
 	}
 	job.setTargets(facts)
-	job.plan(expectedStart(facts, spec.Class))
+	job.plan(clock.FromSeconds(facts.ShortestObjective(config.ObjectiveWait, spec.Class)))
 	return job
 }
 
@@ -163,28 +163,15 @@
 	if j.Spec.DeadlineS != nil {
 		j.Targets.Deadline = clock.FromSeconds(*j.Spec.DeadlineS)
 	}
-	for _, objective := range facts.Objectives {
-		if objective.Class != j.Spec.Class || j.IsService() {
-			continue
-		}
-		switch within := clock.FromSeconds(objective.WithinS); {
-		case objective.Kind == config.ObjectiveFinished && (j.Targets.FinishWithin == 0 || within < j.Targets.FinishWithin):
-			j.Targets.FinishWithin = within
-		case objective.Kind == config.ObjectiveWait && objective.WithinS > immediateReports*facts.Workers.ReportS:
-			j.Targets.StartWithin = min(j.Targets.StartWithin, within)
-		}
+	if j.IsService() {
+		return
 	}
-}
-
-// expectedStart is the time in which tasks of a class should start; zero when nothing is said.
-func expectedStart(facts *config.Facts, class string) clock.Micros {
-	within := 0.0
+	j.Targets.FinishWithin = clock.FromSeconds(facts.ShortestObjective(config.ObjectiveFinished, j.Spec.Class))
 	for _, objective := range facts.Objectives {
-		if objective.Kind == config.ObjectiveWait && objective.Class == class && (within == 0 || objective.WithinS < within) {
-			within = objective.WithinS
+		if objective.Class == j.Spec.Class && objective.Kind == config.ObjectiveWait && objective.WithinS > immediateReports*facts.Workers.ReportS {
+			j.Targets.StartWithin = min(j.Targets.StartWithin, clock.FromSeconds(objective.WithinS))
 		}
 	}
-	return clock.FromSeconds(within)
 }
 
 // IsService tells whether the job's tasks are replicas that run until they are cancelled.
