--- a/leader.go
+++ b/leader.go
@@ -59,7 +59,7 @@
 	dispatcher      *dispatcher.Dispatcher
 }
 
-// environment is what a leader is given by its controller.
+// environment is what a controller and the leader that it may become both work with.
 type environment struct {
 	cfg      *config.Platform
 	operator *config.Operator
@@ -71,21 +71,20 @@
 	log      *slog.Logger
 	metrics  *metrics.Metrics
 	budget   connlimit.Budget
-	// readRecords reads what predecessors left, and isolated tells whether no other controller answers.
+	// readRecords reads what predecessors left; tests put other records in their place.
 	readRecords func(ctx context.Context, source recovery.Source) (*recovery.Records, error)
-	isolated    func(ctx context.Context) bool
+	// isolated tells whether no other controller answers.
+	isolated func(ctx context.Context) bool
 }
 
 func newLeader(s *Service, term election.Term) *leader {
 	ledger := s.newLedger(config.TeamLimits(s.cfg.Facts.Teams))
 	l := &leader{
-		environment: environment{cfg: s.cfg, operator: s.operator, clock: s.clock, store: s.store, elector: s.elector,
-			workers: s.workers, cloud: s.cloud, log: s.log, metrics: s.metrics, budget: s.budget,
-			readRecords: s.readRecords, isolated: s.isolated},
-		term:    term,
-		wakeups: make(chan struct{}, 1),
-		quota:   ledger,
-		jobs:    jobs.NewTable(),
+		environment: s.environment,
+		term:        term,
+		wakeups:     make(chan struct{}, 1),
+		quota:       ledger,
+		jobs:        jobs.NewTable(),
 	}
 	l.fleet = fleet.New(l.workerLease(), l.reportInterval(), term.Token, ledger)
 	l.addComponents()
--- a/peer_requests.go
+++ b/peer_requests.go
@@ -94,9 +94,6 @@
 	return response.Status, response.Body, served
 }
 
-// isolated tells whether no other controller answers.
-func (s *Service) isolated(ctx context.Context) bool { return s.peers.Isolated(ctx) }
-
 // hintCancelled tells the leader of a cancellation made here.
 func (s *Service) hintCancelled(uid string) {
 	if l := s.current.Load(); l != nil {
--- a/service.go
+++ b/service.go
@@ -52,26 +52,16 @@
 
 // Service is one controller.
 type Service struct {
-	cfg      *config.Platform
-	operator *config.Operator
-	clock    *clock.Clock
-	store    *store.Client
-	elector  *election.Elector
-	workers  *agent.Client
-	cloud    *cloud.Client
-	users    *api.Server
-	peers    *peering.Peers
-	view     *leaderview.Viewer
-	catalog  catalogCache
-	log      *slog.Logger
-	metrics  *metrics.Metrics
-	current  atomic.Pointer[leader] // the term that this controller leads; nil when it does not
-	router   *chi.Mux               // of users and workers
-	budget   connlimit.Budget
+	environment
+
+	users   *api.Server
+	peers   *peering.Peers
+	view    *leaderview.Viewer
+	catalog catalogCache
+	current atomic.Pointer[leader] // the term that this controller leads; nil when it does not
+	router  *chi.Mux               // of users and workers
 	// newLedger makes the ledger of a term; tests put a broken one in its place.
 	newLedger func(teams map[string]quota.Limits) *quota.Ledger
-	// readRecords reads what predecessors left; tests put other records in their place.
-	readRecords func(ctx context.Context, source recovery.Source) (*recovery.Records, error)
 }
 
 // New wires a controller's parts; Run starts it.
@@ -80,8 +70,8 @@
 }
 
 func newService(cfg *config.Platform, operator *config.Operator, log *slog.Logger, clk *clock.Clock) *Service {
-	s := &Service{cfg: cfg, operator: operator, log: log, clock: clk, metrics: metrics.New(), newLedger: quota.NewLedger,
-		readRecords: recovery.Read}
+	s := &Service{newLedger: quota.NewLedger,
+		environment: environment{cfg: cfg, operator: operator, log: log, clock: clk, metrics: metrics.New(), readRecords: recovery.Read}}
 	facts := &cfg.Facts
 	s.store = store.New(cfg.Outside.State, facts.State, 1+len(cfg.Others))
 	s.cloud = cloud.New(cfg.Outside.Cloud, facts.Cloud.RPS)
@@ -89,13 +79,14 @@
 	s.budget = connlimit.NewBudget(facts.Limits.FDLimit, facts.Limits.MemMB)
 	s.workers = agent.NewClient(s.budget.IdleWorkerConnections)
 	s.elector = election.New(cfg.Node, s.store, clk, operator, s.requestAttestations, log)
-	s.peers = peering.New(clk, func() string { return s.elector.Leader() }, log)
+	s.peers = peering.New(clk, s.elector.Leader, log)
 	for _, other := range cfg.Others {
 		s.peers.Add(other.Node, other.Addr)
 	}
+	s.isolated = s.peers.Isolated
 	s.users = s.newUsers()
 	s.view = leaderview.New(leaderview.Settings{Node: cfg.Node, Clock: clk, Log: log, Here: s.leaderHere,
-		LeaderName: func() string { return s.elector.Leader() }, Link: s.peers.Link})
+		LeaderName: s.elector.Leader, Link: s.peers.Link})
 	s.router = chi.NewRouter()
 	s.users.Routes(s.router)
 	return s
