--- a/service.go
+++ b/service.go
@@ -79,14 +79,14 @@
 	s.budget = connlimit.NewBudget(facts.Limits.FDLimit, facts.Limits.MemMB)
 	s.workers = agent.NewClient(s.budget.IdleWorkerConnections)
 	s.elector = election.New(cfg.Node, s.store, clk, operator, s.requestAttestations, log)
-	s.peers = peering.New(clk, s.elector.Leader, log)
+	s.peers = peering.New(clk, func() string { return s.elector.Leader() }, log)
 	for _, other := range cfg.Others {
 		s.peers.Add(other.Node, other.Addr)
 	}
 	s.isolated = s.peers.Isolated
 	s.users = s.newUsers()
 	s.view = leaderview.New(leaderview.Settings{Node: cfg.Node, Clock: clk, Log: log, Here: s.leaderHere,
-		LeaderName: s.elector.Leader, Link: s.peers.Link})
+		LeaderName: func() string { return s.elector.Leader() }, Link: s.peers.Link})
 	s.router = chi.NewRouter()
 	s.users.Routes(s.router)
 	return s
