--- a/peer/golden_test.go
+++ b/peer/golden_test.go
@@ -3,11 +3,10 @@
 import (
 	"bytes"
 	"encoding/gob"
-	"os"
-	"path/filepath"
 	"reflect"
 	"testing"
 
+	"cedardoor/internal/golden"
 	"cedardoor/quota"
 )
 
@@ -130,15 +129,6 @@
 	return out
 }
 
-func recorded(t *testing.T, name string) []byte {
-	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("testdata", "golden", name+".gob"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return raw
-}
-
 func same(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
@@ -158,7 +148,7 @@
 // TestGoldenRequests reads the requests that release f8c9f67 wrote, and has it read those of this one.
 func TestGoldenRequests(t *testing.T) {
 	want := goldenRequests()
-	received := unstream[wireRequest](t, recorded(t, "asks"), len(want))
+	received := unstream[wireRequest](t, golden.Read(t, "asks.gob"), len(want))
 	same(t, "recorded requests", converted(received, (*wireRequest).toRequest), want)
 	sent := stream(t, converted(want, (*Request).toWire))
 	same(t, "requests as the release reads them", unstream[releasedAsk](t, sent, len(want)), releasedRequests())
@@ -167,7 +157,7 @@
 // TestGoldenResponses does the same for responses.
 func TestGoldenResponses(t *testing.T) {
 	want := goldenResponses()
-	received := unstream[wireResponse](t, recorded(t, "replies"), len(want))
+	received := unstream[wireResponse](t, golden.Read(t, "replies.gob"), len(want))
 	same(t, "recorded responses", converted(received, (*wireResponse).toResponse), want)
 	sent := stream(t, converted(want, (*Response).toWire))
 	same(t, "responses as the release reads them", unstream[releasedReply](t, sent, len(want)), releasedResponses())
@@ -176,7 +166,7 @@
 // TestGoldenTeamsPage does the same for the page of teams, which travels encoded by itself.
 func TestGoldenTeamsPage(t *testing.T) {
 	want := goldenPage()
-	got, err := DecodeTeamsPage(recorded(t, "teams_page"))
+	got, err := DecodeTeamsPage(golden.Read(t, "teams_page.gob"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/store/golden_test.go
+++ b/store/golden_test.go
@@ -1,13 +1,10 @@
 package store
 
 import (
-	"bytes"
-	"os"
-	"path/filepath"
 	"reflect"
-	"strings"
 	"testing"
 
+	"cedardoor/internal/golden"
 	"cedardoor/wire"
 )
 
@@ -42,24 +39,9 @@
 func TestGoldenRecords(t *testing.T) {
 	for name, record := range goldenRecords() {
 		t.Run(name, func(t *testing.T) {
-			want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".msgpack"))
-			if err != nil {
-				t.Fatal(err)
-			}
-			got, err := wire.Marshal(record)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !bytes.Equal(got, want) {
-				t.Errorf("encoded as\n%q, want\n%q", got, want)
-			}
-			decoded := reflect.New(reflect.TypeOf(record))
-			if err := wire.Unmarshal(want, decoded.Interface()); err != nil {
-				t.Fatal(err)
-			}
-			if !reflect.DeepEqual(decoded.Elem().Interface(), record) {
-				t.Errorf("decoded as\n%+v, want\n%+v", decoded.Elem().Interface(), record)
-			}
+			recorded := golden.Read(t, name+".msgpack")
+			golden.CheckEncoded(t, recorded, record, wire.Marshal)
+			golden.CheckDecoded(t, recorded, record, wire.Unmarshal)
 		})
 	}
 }
@@ -67,10 +49,7 @@
 // TestGoldenFinalState reads the final state out of recorded jobs as a poll does.
 func TestGoldenFinalState(t *testing.T) {
 	for name, want := range map[string]string{"job": "", "job_over": wire.JobDone} {
-		raw, err := os.ReadFile(filepath.Join("testdata", "golden", name+".msgpack"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		raw := golden.Read(t, name+".msgpack")
 		final, err := FinalStateIn(raw)
 		if err != nil {
 			t.Fatal(err)
@@ -110,13 +89,8 @@
 		{ChunkRecord{}, "w d h r"},
 	}
 	for _, tt := range tests {
-		kind := reflect.TypeOf(tt.record)
-		var tags []string
-		for i := range kind.NumField() {
-			tags = append(tags, kind.Field(i).Tag.Get("msgpack"))
-		}
-		if got := strings.Join(tags, " "); got != tt.want {
-			t.Errorf("%s: %q, want %q", kind, got, tt.want)
+		if got := golden.Tags(tt.record); got != tt.want {
+			t.Errorf("%s: %q, want %q", reflect.TypeOf(tt.record), got, tt.want)
 		}
 	}
 }
--- a/wire/golden_test.go
+++ b/wire/golden_test.go
@@ -1,12 +1,10 @@
 package wire
 
 import (
-	"bytes"
-	"os"
-	"path/filepath"
 	"reflect"
-	"strings"
 	"testing"
+
+	"cedardoor/internal/golden"
 )
 
 // goldenMessages are protocol messages with all fields set, and with optional ones left out.
@@ -52,26 +50,10 @@
 func TestGoldenMessages(t *testing.T) {
 	for name, message := range goldenMessages() {
 		t.Run(name, func(t *testing.T) {
-			want, err := os.ReadFile(filepath.Join("testdata", "golden", name+".msgpack"))
-			if err != nil {
-				t.Fatal(err)
-			}
-			got, err := Marshal(message)
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !bytes.Equal(got, want) {
-				t.Errorf("encoded as\n%q, want\n%q", got, want)
-			}
-			if name == "txn" {
-				return // values of any kind are only ever sent
-			}
-			decoded := reflect.New(reflect.TypeOf(message))
-			if err := Unmarshal(want, decoded.Interface()); err != nil {
-				t.Fatal(err)
-			}
-			if !reflect.DeepEqual(decoded.Elem().Interface(), message) {
-				t.Errorf("decoded as\n%+v, want\n%+v", decoded.Elem().Interface(), message)
+			recorded := golden.Read(t, name+".msgpack")
+			golden.CheckEncoded(t, recorded, message, Marshal)
+			if name != "txn" { // values of any kind are only ever sent
+				golden.CheckDecoded(t, recorded, message, Unmarshal)
 			}
 		})
 	}
@@ -80,10 +62,7 @@
 // TestGoldenReportsByHand reads the recorded reports and specifications with the decoders that check them.
 func TestGoldenReportsByHand(t *testing.T) {
 	for _, name := range []string{"heartbeat", "heartbeat_least"} {
-		raw, err := os.ReadFile(filepath.Join("testdata", "golden", name+".msgpack"))
-		if err != nil {
-			t.Fatal(err)
-		}
+		raw := golden.Read(t, name+".msgpack")
 		got, err := DecodeHeartbeat(raw)
 		if err != nil {
 			t.Fatal(err)
@@ -96,10 +75,7 @@
 			t.Errorf("%s decoded as\n%+v, want\n%+v", name, got, want)
 		}
 	}
-	raw, err := os.ReadFile(filepath.Join("testdata", "golden", "spec.msgpack"))
-	if err != nil {
-		t.Fatal(err)
-	}
+	raw := golden.Read(t, "spec.msgpack")
 	got, err := DecodeSpec(raw)
 	if err != nil {
 		t.Fatal(err)
@@ -142,13 +118,8 @@
 		{WatchResponse{}, "epoch events"},
 	}
 	for _, tt := range tests {
-		kind := reflect.TypeOf(tt.message)
-		var tags []string
-		for i := range kind.NumField() {
-			tags = append(tags, kind.Field(i).Tag.Get("msgpack"))
-		}
-		if got := strings.Join(tags, " "); got != tt.want {
-			t.Errorf("%s: %q, want %q", kind, got, tt.want)
+		if got := golden.Tags(tt.message); got != tt.want {
+			t.Errorf("%s: %q, want %q", reflect.TypeOf(tt.message), got, tt.want)
 		}
 	}
 }
